--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -17,12 +17,13 @@
 };
 
 use crate::{
-    answer::CALLER_LEFT,
     call::Call,
     pool::Connection,
+    probe,
     quarantine::{self, End},
-    reach, self_report,
+    response::CALLER_LEFT,
     state::Host,
+    upstream_signals,
 };
 
 /// What became of sending a request.
@@ -206,7 +207,7 @@
             host.lacks_descriptors(&err);
             return NotOpen { ending: Ending::Cancelled, text };
         }
-        reach::start(host, upstream, &err);
+        probe::start(host, upstream, &err);
         NotOpen { ending: Ending::Unreachable, text }
     })
 }
@@ -246,7 +247,7 @@
 ) -> Sent {
     let (parts, body) = response.into_parts();
     let head = answer::decode(parts.status, &parts.headers, &call.id);
-    self_report::hear(host, call, upstream, parts.status, &head);
+    upstream_signals::hear(host, call, upstream, parts.status, &head);
     if !head.belongs {
         run.end(Ending::Broken);
         let text = "the answer belongs to another request";
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -16,7 +16,7 @@
 use portfield_platform::request;
 
 use crate::{
-    answer::Failure,
+    response::Failure,
     state::{Host, hash},
 };
 
--- a/crates/portfield-host/src/orders.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -7,8 +7,8 @@
 use portfield_platform::store::{self, Row};
 
 use crate::{
-    reading::{Extent, Reading},
     state::Host,
+    table_read::{Extent, Reading},
 };
 
 /// Takes rows of the operator's table.
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -11,11 +11,11 @@
 use portfield_net::clock;
 
 use crate::{
-    answer::{Body, CALLER_LEFT, Failure, GONE_RETRY},
     attempt::{self, Live, Outcome, Sent},
     call::{Call, STOOD_STILL, WAKING_RETRY},
-    placing::{Refused, Room},
-    quarantine, reach,
+    placement::{Refused, Room},
+    probe, quarantine,
+    response::{Body, CALLER_LEFT, Failure, GONE_RETRY},
     state::Host,
 };
 
@@ -179,7 +179,7 @@
     /// Notes that a run broke, and looks whether its upstream ended with it.
     fn note_break(&self, upstream: &Arc<Upstream>) {
         if quarantine::broke(&self.host, &self.call, upstream) {
-            reach::look(&self.host, upstream);
+            probe::look(&self.host, upstream);
         }
     }
 
--- a/crates/portfield-host/src/serve.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -8,11 +8,11 @@
 use portfield_net::clock;
 
 use crate::{
-    answer::{Body, Failure},
     attempt::{self, Live},
     call::Call,
     exchange::Exchange,
     quarantine, relay,
+    response::{Body, Failure},
     state::Host,
 };
 
--- a/crates/portfield-host/src/meet.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -6,9 +6,9 @@
 use portfield_platform::store::{self, Row, Store};
 
 use crate::{
-    recall,
+    quarantine_store,
     state::{Host, hash},
-    watch::{LONGEST_PAUSE, describe},
+    store_watch::{LONGEST_PAUSE, describe},
 };
 
 /// Time between two looks of a host that follows the store at the table of hosts; hosts learn of new
@@ -36,7 +36,7 @@
                 it.rows.iter().filter(|it| it.key != me).for_each(|it| learn_host(&host, it));
                 host.note_met();
                 if std::mem::replace(&mut is_first, false) {
-                    host.rt.spawn(recall::read(host.clone(), store.clone()));
+                    host.rt.spawn(quarantine_store::read(host.clone(), store.clone()));
                 }
             }
             Err(err) => {
@@ -74,7 +74,7 @@
         clock::sleep(RENEW_SPREAD.mul_f64(fastrand::f64())).await;
         write_own(&host, &store).await;
         if host.is_reader() {
-            recall::keep_all(&host);
+            quarantine_store::keep_all(&host);
         }
         written = era;
     }
--- a/crates/portfield-host/src/life.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -14,10 +14,10 @@
 use portfield_wire::peers_server::PeersServer;
 
 use crate::{
-    front, pages, peers,
+    admin, peers, server,
     settings::Settings,
     state::{Host, TAKE_MOST},
-    watch,
+    store_watch,
 };
 
 /// Time between two looks whether all requests are answered.
@@ -47,17 +47,17 @@
         log::warn!(name = host.settings().name; "no clock counts the time asleep");
     }
     let state = host.clone();
-    let answer = http1::at_once(move |it| pages::readiness(&state, it));
+    let answer = http1::at_once(move |it| admin::readiness(&state, it));
     rt.spawn(http1::serve(rt.clone(), ready, answer));
     let state = host.clone();
-    let answer = http1::at_once(move |it| pages::operate(&state, it));
+    let answer = http1::at_once(move |it| admin::operate(&state, it));
     rt.spawn(http1::serve(rt.clone(), metrics, answer));
     rt.spawn(rpc::serve(rt.clone(), control, PeersServer::new(peers::Server::new(host.clone()))));
     peers::start(&host, datagrams);
     rt.spawn(watch_load(host.clone()));
-    watch::start(&host, verdicts);
+    store_watch::start(&host, verdicts);
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.task(front::serve(host.clone(), listener, stopped));
+    let front = rt.task(server::serve(host.clone(), listener, stopped));
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload(&host, &path);
     }
--- a/crates/portfield-host/src/main.rs
+++ b/crates/portfield-host/src/main.rs
@@ -3,35 +3,35 @@
 //! It takes callers' requests, places each on an upstream by its own decision, and relays the
 //! answer. What it knows comes from the platform's store and from the other hosts' digests.
 
-mod answer;
+mod active_probes;
+mod admin;
+mod atomic_instant;
 mod attempt;
-mod awake;
 mod call;
-mod cold;
+mod cold_start;
+mod evacuations;
 mod exchange;
-mod front;
-mod intake;
-mod life;
-mod listed;
-mod meet;
+mod forward;
+mod host_discovery;
+mod ingress;
+mod lifecycle;
 mod metrics;
-mod moment;
-mod orders;
-mod pages;
 mod peers;
-mod placing;
+mod placement;
 mod pool;
+mod probe;
 mod quarantine;
-mod reach;
-mod reading;
-mod recall;
+mod quarantine_store;
 mod relay;
-mod self_report;
-mod serve;
+mod response;
+mod server;
 mod settings;
 mod state;
-mod trying;
-mod watch;
+mod store_watch;
+mod suspension;
+mod table_read;
+mod upstream_list;
+mod upstream_signals;
 
 use std::path::PathBuf;
 
@@ -60,5 +60,5 @@
     }
     logs::init_bounded(settings.log_lines as u32)?;
     let rt = Runtime::default();
-    rt.block_on(0, life::run(rt.clone(), settings, args.settings))
+    rt.block_on(0, lifecycle::run(rt.clone(), settings, args.settings))
 }
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -19,10 +19,10 @@
 use tonic::{Request, Response, Status};
 
 use crate::{
-    listed::Listed,
-    orders,
-    reading::{Extent, ListRow, Reading, take_list},
+    evacuations,
     state::Host,
+    table_read::{Extent, ListRow, Reading, take_list},
+    upstream_list::Listed,
 };
 
 /// Time in which another host tells its configuration: a second host is asked within the two
@@ -121,7 +121,7 @@
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
     let list = OrderList { standing: standing.collect(), lifted: lifted.collect() };
-    orders::learn(host, version, list);
+    evacuations::learn(host, version, list);
 }
 
 /// Takes another host's list, or what changed in it.
--- a/crates/portfield-host/src/peers/mod.rs
+++ b/crates/portfield-host/src/peers/mod.rs
@@ -1,8 +1,8 @@
 //! What hosts tell each other: digests by UDP, and what is newer on request by gRPC.
 
 mod fetch;
-mod listen;
-mod tell;
+mod receive;
+mod send;
 
 use std::sync::Arc;
 
@@ -18,6 +18,6 @@
 /// Starts the tasks.
 pub(crate) fn start(host: &Arc<Host>, socket: Async<std::net::UdpSocket>) {
     let socket = Arc::new(socket);
-    host.rt.spawn(tell::run(host.clone(), socket.clone()));
-    host.rt.spawn(listen::run(host.clone(), socket));
+    host.rt.spawn(send::run(host.clone(), socket.clone()));
+    host.rt.spawn(receive::run(host.clone(), socket));
 }
--- a/crates/portfield-host/src/peers/listen.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -18,12 +18,12 @@
 use super::{
     Datagrams,
     fetch::{self, Wanted},
-    tell,
+    send,
 };
 use crate::{
     quarantine::{self, Source},
-    self_report,
     state::Host,
+    upstream_signals,
 };
 
 /// Largest datagram.
@@ -75,7 +75,7 @@
 ) {
     let audience = host.audience();
     if digest.seeks_hosts && audience.is_large() {
-        tell::introduce(host, socket, from);
+        send::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
         // An introduction tells nothing of what its sender did.
@@ -95,7 +95,7 @@
         }
         let passed = host.others().pass_on(digest, way);
         if let Some((speaker, digest)) = passed {
-            tell::send(host, socket, &digest, [speaker]);
+            send::send(host, socket, &digest, [speaker]);
         }
     }
 }
@@ -131,7 +131,7 @@
         host.metrics.count("sums");
     }
     quarantine::take(host, &digest.suspects, Source::Host);
-    self_report::take(host, digest);
+    upstream_signals::take(host, digest);
     if audience.counts(digest) {
         host.balancer().merge(now, digest);
     }
--- a/crates/portfield-host/src/peers/tell.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -10,8 +10,9 @@
 
 use super::Datagrams;
 use crate::{
-    quarantine, self_report,
+    quarantine,
     state::{Host, hash},
+    upstream_signals,
 };
 
 /// Bytes of other hosts' words in one datagram: half of the largest one, so that this host's own word
@@ -81,7 +82,7 @@
     res.seeks_hosts = !host.others().knows_near();
     host.balancer().report(clock::now(), &mut res);
     quarantine::report(host, audience, &mut res);
-    self_report::report(host, audience, &mut res);
+    upstream_signals::report(host, audience, &mut res);
     res
 }
 
@@ -110,7 +111,7 @@
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
     host.balancer().summarize(clock::now(), &mut res);
     quarantine::summarize(host, &mut res);
-    self_report::summarize(host, &mut res);
+    upstream_signals::summarize(host, &mut res);
     res
 }
 
--- a/crates/portfield-host/src/placing.rs
+++ b/crates/portfield-host/src/placement.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     call::Call,
-    listed::{Listed, Ready},
     quarantine::{self, End},
     state::Host,
+    upstream_list::{Listed, Ready},
 };
 
 /// Where a request may be sent.
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -11,10 +11,10 @@
 use portfield_net::{clock, events::Events};
 
 use crate::{
-    answer::Body,
     attempt::{Live, explain},
     exchange::Exchange,
     quarantine,
+    response::Body,
 };
 
 /// Silence after which a stream that another upstream may go on with is moved there, as a
--- a/crates/portfield-host/src/front.rs
+++ b/crates/portfield-host/src/server.rs
@@ -23,9 +23,9 @@
 };
 
 use crate::{
-    answer::{Body, CALLER_LEFT, Failure, GONE_RETRY},
     call::Call,
-    serve,
+    forward,
+    response::{Body, CALLER_LEFT, Failure, GONE_RETRY},
     state::Host,
 };
 
@@ -121,7 +121,7 @@
     let id = request.headers().get(portfield_platform::request::ATTEMPT_ID);
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
     let (mut res, answered) = match read(&host, caller, request).await {
-        Ok(call) => (serve::run(host.clone(), call).await, Answered::Served),
+        Ok(call) => (forward::run(host.clone(), call).await, Answered::Served),
         Err(it) => {
             log::info!(
                 request = id, status = it.status.as_u16(), field = it.field, reason = it.reason,
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -25,8 +25,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    intake::Intake, listed::Listed, metrics::Metrics, moment::Moment, pool::Pool,
-    settings::Settings, trying::Trying, watch::OUTAGE,
+    active_probes::Trying, atomic_instant::Moment, ingress::Intake, metrics::Metrics, pool::Pool,
+    settings::Settings, store_watch::OUTAGE, upstream_list::Listed,
 };
 
 /// Time after a connection could not be accepted for which callers are sent elsewhere: the platform
--- a/crates/portfield-host/src/watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -14,10 +14,10 @@
 use portfield_platform::store::{self, Row, Rows, Store};
 
 use crate::{
-    meet, orders,
-    reading::{Extent, ListRow, Reading, take_list},
-    recall, self_report,
+    evacuations, host_discovery, quarantine_store,
     state::Host,
+    table_read::{Extent, ListRow, Reading, take_list},
+    upstream_signals,
 };
 
 /// Pause after a call that failed; grows by half of itself up to [`LONGEST_PAUSE`].
@@ -59,8 +59,8 @@
     };
     host.rt.spawn(Feed::new(host.clone(), store.clone(), operator).run());
     host.rt.spawn(Feed::new(host.clone(), store.clone(), upstreams).run());
-    host.rt.spawn(recall::write(host.clone(), store.clone(), verdicts));
-    host.rt.spawn(meet::run(host.clone(), store));
+    host.rt.spawn(quarantine_store::write(host.clone(), store.clone(), verdicts));
+    host.rt.spawn(host_discovery::run(host.clone(), store));
     host.rt.spawn(expire(host.clone()));
 }
 
@@ -218,7 +218,7 @@
 }
 
 fn take_operator(host: &Arc<Host>, news: News) {
-    orders::take(host, &news.rows, &news.reading);
+    evacuations::take(host, &news.rows, &news.reading);
     let row = news.rows.into_iter().rev().find(|it| it.key == store::CONFIG_KEY);
     if let Some(bytes) = row.and_then(|it| it.value) {
         host.adopt(Bytes::from(bytes), "store");
@@ -238,9 +238,9 @@
     loop {
         clock::sleep(EXPIRE_PERIOD).await;
         host.pool.sweep();
-        self_report::log_backoffs_over(&host);
+        upstream_signals::log_backoffs_over(&host);
         let now = clock::now();
-        orders::expire(&host, now);
+        evacuations::expire(&host, now);
         if !host.with_list(|it| it.directory.has_late(now)) {
             continue;
         }
--- a/crates/portfield-host/src/reading.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -7,7 +7,7 @@
 use portfield_net::contain;
 use portfield_platform::upstreams;
 
-use crate::listed::Listed;
+use crate::upstream_list::Listed;
 
 /// Upstreams that changed together, up to which each has a log line: a fleet of several hundred hosts
 /// that starts would else write a line for each upstream and host.
