--- a/crates/portfield-host/src/active_probes.rs
+++ b/crates/portfield-host/src/active_probes.rs
@@ -7,11 +7,11 @@
 
 /// Upstreams that are being tried.
 #[derive(Debug, Default)]
-pub(crate) struct Trying {
+pub(crate) struct ActiveProbes {
     upstreams: Mutex<HashSet<u32>>,
 }
 
-impl Trying {
+impl ActiveProbes {
     /// Notes that an upstream is being tried; returns whether it was not yet.
     pub(crate) fn begin(&self, upstream: u32) -> bool {
         self.upstreams.lock().unwrap_or_else(PoisonError::into_inner).insert(upstream)
--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     quarantine,
-    state::{Host, hash},
+    state::{Host, hash_name},
 };
 
 /// Path of the metrics.
@@ -28,12 +28,12 @@
 }
 
 /// Answers operators.
-pub(crate) fn operate(host: &Host, request: &Request) -> Response {
+pub(crate) fn handle_operator(host: &Host, request: &Request) -> Response {
     let path = request.url().path();
     match (request.method(), path, path.strip_prefix("/quarantine/")) {
         (Method::Get, METRICS, _) => metrics(host),
-        (Method::Get, QUARANTINE, _) => http1::json(200, &refused(host)),
-        (Method::Get, EVACUATIONS, _) => http1::json(200, &evacuated(host)),
+        (Method::Get, QUARANTINE, _) => http1::json(200, &quarantined_requests(host)),
+        (Method::Get, EVACUATIONS, _) => http1::json(200, &evacuated_data_centres(host)),
         (Method::Delete, _, Some(fingerprint)) => lift(host, fingerprint),
         _ => http1::json(404, &"no such page; there are /metrics, /quarantine and /evacuations"),
     }
@@ -41,23 +41,24 @@
 
 /// A data centre that is to get nothing.
 #[derive(Debug, Serialize)]
-struct Evacuated {
+struct EvacuatedDataCentre {
     data_centre: String,
     /// Upstreams there that would else take requests.
     n_upstreams: usize,
 }
 
-fn evacuated(host: &Host) -> Vec<Evacuated> {
+fn evacuated_data_centres(host: &Host) -> Vec<EvacuatedDataCentre> {
     host.with_list(|it| {
         let n = |name: &str| it.directory.ready().filter(|it| it.entry.data_centre == name).count();
-        let show = |name: &str| Evacuated { data_centre: name.to_owned(), n_upstreams: n(name) };
+        let show =
+            |name: &str| EvacuatedDataCentre { data_centre: name.to_owned(), n_upstreams: n(name) };
         it.evacuations.data_centres().map(show).collect()
     })
 }
 
 /// A request that is refused.
 #[derive(Debug, Serialize)]
-struct Row {
+struct QuarantinedRequest {
     fingerprint: String,
     /// Its workspace, empty where the configuration has none of that hash.
     workspace: String,
@@ -67,14 +68,14 @@
     left_s: u64,
 }
 
-fn refused(host: &Host) -> Vec<Row> {
-    let catalog = host.in_force().map(|it| it.catalog);
+fn quarantined_requests(host: &Host) -> Vec<QuarantinedRequest> {
+    let catalog = host.active_config().map(|it| it.catalog);
     let name = |number: u32| {
         let mut all = catalog.iter().flat_map(|it| it.workspaces());
-        all.find(|it| hash(&it.name) == number).map_or(String::new(), |it| it.name.clone())
+        all.find(|it| hash_name(&it.name) == number).map_or(String::new(), |it| it.name.clone())
     };
     let verdicts = host.quarantine().verdicts(clock::now());
-    let show = |it: &portfield::quarantine::Verdict| Row {
+    let show = |it: &portfield::quarantine::Verdict| QuarantinedRequest {
         fingerprint: it.request.fingerprint_text(),
         workspace: name(it.request.workspace),
         n_ends: it.n_ends,
@@ -112,7 +113,7 @@
     let gauges = [
         ("config_version", host.config_version() as f64),
         ("list_version", list.number as f64),
-        ("store_era", host.era() as f64),
+        ("store_era", host.store_era() as f64),
         ("evacuated", n_evacuated as f64),
         ("draining_unlisted", n_draining as f64),
         ("backing_off", n_backing_off as f64),
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -20,7 +20,7 @@
     call::Call,
     pool::Connection,
     probe,
-    quarantine::{self, End},
+    quarantine::{self, EndEvidence},
     response::CALLER_LEFT,
     state::Host,
     upstream_signals,
@@ -28,9 +28,9 @@
 
 /// What became of sending a request.
 #[derive(Debug)]
-pub(crate) enum Sent {
+pub(crate) enum AttemptResult {
     /// The upstream answers.
-    Answer(Box<Live>),
+    Response(Box<UpstreamResponse>),
     /// It does not, and why.
     Failed(Outcome, String),
 }
@@ -70,24 +70,24 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub(crate) struct Live {
+pub(crate) struct UpstreamResponse {
     pub parts: response::Parts,
     pub body: Incoming,
     pub head: Head,
     pub connection: Connection,
-    pub run: Run,
+    pub run: RunGuard,
     pub upstream: Arc<Upstream>,
 }
 
 /// A request that an upstream works on; dropped before its end it counts as cancelled.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct RunGuard {
     host: Arc<Host>,
     id: RunId,
     is_over: bool,
 }
 
-impl Run {
+impl RunGuard {
     fn start(host: &Arc<Host>, call: &Call, placed: &Placed) -> Self {
         let id = host.balancer().start(clock::now(), &call.job, placed);
         Self { host: host.clone(), id, is_over: false }
@@ -107,7 +107,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.end(Ending::Cancelled);
     }
@@ -121,27 +121,27 @@
     placed: &Placed,
     last_event: Option<&str>,
     patience: Duration,
-) -> Sent {
-    let mut run = Run::start(host, call, placed);
+) -> AttemptResult {
+    let mut run = RunGuard::start(host, call, placed);
     let sent = clock::now();
     let kept = host.pool.take(upstream.number());
     let mut connection = match kept {
         Some(it) => it,
         None => match open(host, upstream).await {
             Ok(it) => it,
-            Err(NotOpen { ending, text }) => {
+            Err(ConnectError { ending, text }) => {
                 run.end(ending);
-                return Sent::Failed(Outcome::NotSent, text);
+                return AttemptResult::Failed(Outcome::NotSent, text);
             }
         },
     };
     loop {
         // Since the request was placed it may drain, be evacuated, or have asked to be left alone: opening a connection
         // takes time.
-        if !host.admits(upstream) {
+        if !host.may_send_to(upstream) {
             run.end(Ending::Cancelled);
             let text = "nothing more may be sent there";
-            return Sent::Failed(Outcome::NotSent, text.to_owned());
+            return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
         let request = build(call, upstream, last_event);
         connection.guard.set(call.caller.clone());
@@ -149,31 +149,31 @@
         return match answer {
             None => {
                 // An answer that did not come while this host stood still says nothing of the upstream.
-                let stood_still = host.woke_at().is_some_and(|it| sent <= it);
+                let stood_still = host.resumed_at().is_some_and(|it| sent <= it);
                 run.end(if stood_still { Ending::Cancelled } else { Ending::Broken });
-                Sent::Failed(Outcome::Late, "no answer in time".to_owned())
+                AttemptResult::Failed(Outcome::Late, "no answer in time".to_owned())
             }
             Some(Ok(response)) => judge(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
                 run.end(Ending::Cancelled);
-                Sent::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
+                AttemptResult::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
             Some(Err(mut err)) => {
                 if err.take_message().is_none() {
                     run.end(Ending::Broken);
-                    return Sent::Failed(Outcome::Unknown, explain(err.error()));
+                    return AttemptResult::Failed(Outcome::Unknown, error_chain(err.error()));
                 }
                 // Nothing was sent; a kept connection may have ended since its last answer.
                 if !connection.reused {
                     run.end(Ending::Unreachable);
                     let text = "the connection ended before the request";
-                    return Sent::Failed(Outcome::NotSent, text.to_owned());
+                    return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
                 }
                 match open(host, upstream).await {
                     Ok(it) => connection = it,
-                    Err(NotOpen { ending, text }) => {
+                    Err(ConnectError { ending, text }) => {
                         run.end(ending);
-                        return Sent::Failed(Outcome::NotSent, text);
+                        return AttemptResult::Failed(Outcome::NotSent, text);
                     }
                 }
                 continue;
@@ -183,20 +183,20 @@
 }
 
 /// Writes an error with its causes.
-pub(crate) fn explain(err: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(err: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(err.source(), |it| it.source());
     causes.fold(err.to_string(), |text, it| format!("{text}: {it}"))
 }
 
 /// Why there is no connection to an upstream.
 #[derive(Debug)]
-struct NotOpen {
+struct ConnectError {
     /// What it says of the upstream.
     ending: Ending,
     text: String,
 }
 
-async fn open(host: &Arc<Host>, upstream: &Arc<Upstream>) -> Result<Connection, NotOpen> {
+async fn open(host: &Arc<Host>, upstream: &Arc<Upstream>) -> Result<Connection, ConnectError> {
     host.metrics.count("upstream_connections");
     let res = host.pool.open(upstream.entry.address).await;
     res.map_err(|err| {
@@ -204,11 +204,11 @@
         if is_own_limit(&err) {
             // Says nothing of the upstream: with it blamed, a host without a descriptor left alone
             // one sound upstream after the other.
-            host.lacks_descriptors(&err);
-            return NotOpen { ending: Ending::Cancelled, text };
+            host.handle_fd_exhaustion(&err);
+            return ConnectError { ending: Ending::Cancelled, text };
         }
-        probe::start(host, upstream, &err);
-        NotOpen { ending: Ending::Unreachable, text }
+        probe::start_reconnect(host, upstream, &err);
+        ConnectError { ending: Ending::Unreachable, text }
     })
 }
 
@@ -243,30 +243,37 @@
     upstream: &Arc<Upstream>,
     response: Response<Incoming>,
     connection: Connection,
-    mut run: Run,
-) -> Sent {
+    mut run: RunGuard,
+) -> AttemptResult {
     let (parts, body) = response.into_parts();
     let head = answer::decode(parts.status, &parts.headers, &call.id);
-    upstream_signals::hear(host, call, upstream, parts.status, &head);
+    upstream_signals::handle_response_head(host, call, upstream, parts.status, &head);
     if !head.belongs {
         run.end(Ending::Broken);
         let text = "the answer belongs to another request";
-        return Sent::Failed(Outcome::Unknown, text.to_owned());
+        return AttemptResult::Failed(Outcome::Unknown, text.to_owned());
     }
     if head.in_place_of(&upstream.entry.id).is_some() {
-        quarantine::ended(host, upstream, End::Replaced);
+        quarantine::record_upstream_end(host, upstream, EndEvidence::Replaced);
     }
     if head.not_run {
         let asks_time =
             head.backoff.as_ref().and_then(|it| it.time).is_some_and(|it| !it.is_zero());
         run.end(if asks_time { Ending::BackedOff } else { Ending::Rejected });
         let text = format!("turned away with {}", parts.status.as_u16());
-        return Sent::Failed(Outcome::NotRun, text);
+        return AttemptResult::Failed(Outcome::NotRun, text);
     }
     if parts.status.is_success() && !head.signed {
         run.end(Ending::Broken);
-        return Sent::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
+        return AttemptResult::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
     let upstream = upstream.clone();
-    Sent::Answer(Box::new(Live { parts, body, head, connection, run, upstream }))
+    AttemptResult::Response(Box::new(UpstreamResponse {
+        parts,
+        body,
+        head,
+        connection,
+        run,
+        upstream,
+    }))
 }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     response::Failure,
-    state::{Host, hash},
+    state::{Host, hash_name},
 };
 
 /// When a caller is told to come back to a host that knows no configuration yet.
@@ -28,9 +28,9 @@
 
 /// When a caller is told to come back, to another host, by one that stood still: it mostly hears within as much
 /// what has changed.
-pub(crate) const WAKING_RETRY: Duration = Duration::from_millis(100);
+pub(crate) const SUSPENDED_RETRY: Duration = Duration::from_millis(100);
 /// What it is told.
-pub(crate) const STOOD_STILL: &str = "this host stood still, and hears first what has changed";
+pub(crate) const SUSPENDED_TEXT: &str = "this host stood still, and hears first what has changed";
 
 /// A request that may be sent to an upstream.
 #[derive(Debug)]
@@ -67,24 +67,24 @@
         request: Request<Incoming>,
     ) -> Result<Self, Failure> {
         let arrived = clock::now();
-        if !host.trusts() {
-            return Err(Failure::refused(STOOD_STILL, WAKING_RETRY));
+        if !host.has_fresh_state() {
+            return Err(Failure::unavailable(SUSPENDED_TEXT, SUSPENDED_RETRY));
         }
-        let Some(in_force) = host.in_force() else {
-            return Err(Failure::refused("no configuration is known yet", NO_CONFIG_RETRY));
+        let Some(active_config) = host.active_config() else {
+            return Err(Failure::unavailable("no configuration is known yet", NO_CONFIG_RETRY));
         };
-        let catalog = in_force.catalog;
+        let catalog = active_config.catalog;
         let (parts, body) = request.into_parts();
         let head = request::decode(&parts.headers)
-            .map_err(|it| Failure::bad(StatusCode::BAD_REQUEST, it.header, it.hint))?;
+            .map_err(|it| Failure::rejected(StatusCode::BAD_REQUEST, it.header, it.hint))?;
         let route = find_route(&catalog, &parts.uri, &parts.headers)?;
-        if route.kind.is_stream() && !host.takes_streams() {
-            return Err(Failure::refused("this host is about to end", STOPPING_RETRY));
+        if route.kind.is_stream() && !host.accepts_streams() {
+            return Err(Failure::unavailable("this host is about to end", STOPPING_RETRY));
         }
         let workspace = authorize(&catalog, &route, head.key.as_deref())?;
         let service = route.pick(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
-        let owner = workspace.as_ref().map_or(0, |it| hash(&it.name));
+        let owner = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
         let n_messages = messages(head.prompt.as_ref(), engine);
         let draw = fastrand::f64();
         let overload = host.governor().refuses(arrived, owner, n_messages, draw);
@@ -98,11 +98,12 @@
         }
         let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
         let reading = read_body(body, catalog.limits().body_bytes);
-        let late = || Err(Failure::bad(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
+        let late =
+            || Err(Failure::rejected(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
         let body = clock::timeout(patience, reading).await.unwrap_or_else(late)?;
         let job = Job {
             workspace: owner,
-            service: hash(&service),
+            service: hash_name(&service),
             prompt: head.prompt,
             objective: route.objective,
             waited: Duration::ZERO,
@@ -131,7 +132,7 @@
             config_version: catalog.version(),
             job,
             fingerprint,
-            _held: host.hold(),
+            _held: host.track_request(),
         })
     }
 
@@ -179,7 +180,7 @@
     Overloaded { owner, tokens, overload }: Overloaded,
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
-    host.intake.refused(name);
+    host.ingress.record_refused(name);
     let account = host.balancer().account(clock::now(), owner);
     log::info!(
         request = head.id, route = route.name, workspace = name, tokens,
@@ -203,7 +204,7 @@
 fn find_route(catalog: &Catalog, uri: &Uri, headers: &HeaderMap) -> Result<Arc<Route>, Failure> {
     let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let name = named.or(uri.host()).unwrap_or_default();
-    let missing = || Failure::bad(StatusCode::NOT_FOUND, "path", "no route takes this path");
+    let missing = || Failure::rejected(StatusCode::NOT_FOUND, "path", "no route takes this path");
     catalog.route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
@@ -215,7 +216,7 @@
     let found = key.and_then(|it| catalog.workspace(it)).cloned();
     if found.is_none() && route.access == Access::Keyed {
         let text = "send a key of a workspace";
-        return Err(Failure::bad(StatusCode::UNAUTHORIZED, "authorization", text));
+        return Err(Failure::rejected(StatusCode::UNAUTHORIZED, "authorization", text));
     }
     Ok(found)
 }
@@ -225,8 +226,8 @@
         Ok(it) => Ok(it.to_bytes()),
         Err(err) if err.is::<http_body_util::LengthLimitError>() => {
             let text = format!("send at most {limit} bytes");
-            Err(Failure::bad(StatusCode::PAYLOAD_TOO_LARGE, "body", text))
+            Err(Failure::rejected(StatusCode::PAYLOAD_TOO_LARGE, "body", text))
         }
-        Err(err) => Err(Failure::bad(StatusCode::BAD_REQUEST, "body", err.to_string())),
+        Err(err) => Err(Failure::rejected(StatusCode::BAD_REQUEST, "body", err.to_string())),
     }
 }
--- a/crates/portfield-host/src/cold_start.rs
+++ b/crates/portfield-host/src/cold_start.rs
@@ -8,7 +8,7 @@
 };
 use portfield_net::clock;
 
-use crate::state::{Host, hash};
+use crate::state::{Host, hash_name};
 
 /// Time from its start for which a host that could not read the table of hosts leaves cold upstreams alone: by then it
 /// has heard of the others, else it would send as if it were alone.
@@ -17,7 +17,7 @@
 const MAX_LINES: usize = 16;
 
 /// Whether the upstreams of a service are cold after their start.
-enum Start {
+enum WarmupPolicy {
     Cold(Warming),
     /// They may take all that they have slots for.
     Warm,
@@ -27,11 +27,11 @@
 
 impl Host {
     /// Takes what upstreams say of themselves.
-    pub(crate) fn note_cold(&self, told: &[Arc<Upstream>]) {
+    pub(crate) fn update_cold(&self, told: &[Arc<Upstream>]) {
         let (warm, cold): (Vec<_>, Vec<_>) = told.iter().partition(|it| it.entry.cold.is_zero());
         warm.iter().for_each(|it| self.balancer().warm(it.number()));
         let n_cold =
-            cold.iter().filter(|it| self.begin_cold(it, Some(it.entry.cold), cold.len())).count();
+            cold.iter().filter(|it| self.mark_cold(it, Some(it.entry.cold), cold.len())).count();
         if MAX_LINES < n_cold {
             log::info!(n = n_cold; "upstreams cold");
         }
@@ -39,7 +39,7 @@
 
     /// Takes an upstream that may have started anew for cold, until it is known not to be.
     pub(crate) fn presume_cold(&self, upstream: &Upstream) {
-        self.begin_cold(upstream, None, 1);
+        self.mark_cold(upstream, None, 1);
     }
 
     /// Takes the upstreams of a data centre for cold that was to get nothing.
@@ -47,7 +47,7 @@
         let is_there = |it: &&Arc<Upstream>| it.entry.data_centre == data_centre;
         let all: Vec<_> =
             self.with_list(|it| it.directory.ready().filter(is_there).cloned().collect());
-        let n_cold = all.iter().filter(|it| self.begin_cold(it, None, all.len())).count();
+        let n_cold = all.iter().filter(|it| self.mark_cold(it, None, all.len())).count();
         if MAX_LINES < n_cold {
             log::info!(n = n_cold, data_centre; "upstreams cold");
         }
@@ -55,12 +55,14 @@
 
     /// Takes an upstream for cold, for as long as it says or its service names, if its service knows of that; returns
     /// whether it does. `n_together` are taken for cold at this moment.
-    fn begin_cold(&self, upstream: &Upstream, told: Option<Duration>, n_together: usize) -> bool {
-        let (time, quota) = match (self.start_of(&upstream.entry.service), told) {
-            (Start::Cold(it), told) => (told.unwrap_or(it.time), self.quota(upstream, it)),
-            (Start::Unknown, Some(told)) => (told, 0),
-            (Start::Unknown, None) => return false,
-            (Start::Warm, _) => {
+    fn mark_cold(&self, upstream: &Upstream, told: Option<Duration>, n_together: usize) -> bool {
+        let (time, quota) = match (self.warmup_policy(&upstream.entry.service), told) {
+            (WarmupPolicy::Cold(it), told) => {
+                (told.unwrap_or(it.time), self.cold_quota_for(upstream, it))
+            }
+            (WarmupPolicy::Unknown, Some(told)) => (told, 0),
+            (WarmupPolicy::Unknown, None) => return false,
+            (WarmupPolicy::Warm, _) => {
                 self.balancer().warm(upstream.number());
                 return false;
             }
@@ -73,20 +75,20 @@
         true
     }
 
-    fn start_of(&self, service: &str) -> Start {
-        let Some(in_force) = self.in_force() else { return Start::Unknown };
-        let warming = in_force.catalog.service(service).and_then(|it| it.warming);
-        warming.map_or(Start::Warm, Start::Cold)
+    fn warmup_policy(&self, service: &str) -> WarmupPolicy {
+        let Some(active_config) = self.active_config() else { return WarmupPolicy::Unknown };
+        let warming = active_config.catalog.service(service).and_then(|it| it.warming);
+        warming.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
     }
 
     /// Returns how many requests a second this host may send to a cold upstream.
-    fn quota(&self, upstream: &Upstream, warming: Warming) -> u32 {
-        if !self.has_met() && clock::now() < STARTING {
+    fn cold_quota_for(&self, upstream: &Upstream, warming: Warming) -> u32 {
+        if !self.has_loaded_hosts() && clock::now() < STARTING {
             return 0;
         }
         let settings = self.settings();
         let most = warming.rate * settings.cold_overrun + settings.cold_slack;
-        let hosts = self.others().known_in(hash(&upstream.entry.data_centre));
+        let hosts = self.peers().known_in(hash_name(&upstream.entry.data_centre));
         cold_quota(most, &hosts, self.own_hash(), upstream.number())
     }
 }
--- a/crates/portfield-host/src/evacuations.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -8,38 +8,38 @@
 
 use crate::{
     state::Host,
-    table_read::{Extent, Reading},
+    table_read::{ReadScope, TableRead},
 };
 
 /// Takes rows of the operator's table.
 ///
 /// The row's key is the order: one whose value cannot be read stands all the same.
-pub(crate) fn take(host: &Arc<Host>, rows: &[Row], reading: &Reading) {
+pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
     let order = |it: &Row| {
         let data_centre = store::evacuated(&it.key)?.to_owned();
         Some(Order { data_centre, row: it.version, is_lifted: it.value.is_none() })
     };
     let orders: Vec<Order> = rows.iter().filter_map(order).collect();
-    if orders.is_empty() && reading.extent == Extent::Changes {
+    if orders.is_empty() && reading.scope == ReadScope::Changes {
         return;
     }
-    let Reading { version, extent, source } = *reading;
-    let source = match extent {
+    let TableRead { version, scope, source } = *reading;
+    let source = match scope {
         // Only a copy has lost what the operator wrote: a store that was merely away has not.
-        Extent::Copy => source,
-        Extent::Changes | Extent::Whole => Source::Current,
+        ReadScope::Restored => source,
+        ReadScope::Changes | ReadScope::Full => Source::Current,
     };
-    let changes = host.update_list(|it| match extent {
-        Extent::Changes => it.evacuations.apply(version, orders),
-        Extent::Whole | Extent::Copy => it.evacuations.replace(version, orders, source),
+    let changes = host.update_list(|it| match scope {
+        ReadScope::Changes => it.evacuations.apply(version, orders),
+        ReadScope::Full | ReadScope::Restored => it.evacuations.replace(version, orders, source),
     });
-    note(host, &changes, "store");
+    record_changes(host, &changes, "store");
 }
 
 /// Takes another host's orders, as of a version of the store.
-pub(crate) fn learn(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
+pub(crate) fn merge_peer_orders(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
     let changes = host.update_list(|it| it.evacuations.learn(clock::now(), version, list));
-    note(host, &changes, "host");
+    record_changes(host, &changes, "host");
 }
 
 /// Ends orders that the store has lost and the operator did not write again.
@@ -48,11 +48,11 @@
         return;
     }
     let changes = host.update_list(|it| it.evacuations.expire(now));
-    note(host, &changes, "lost by the store");
+    record_changes(host, &changes, "lost by the store");
 }
 
 /// Tells what came into force, and has upstreams that may be used again start slowly.
-fn note(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
+fn record_changes(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
     let orders = host.with_list(|it| it.evacuations.version());
     for OrderChange { data_centre, is_lifted } in changes {
         let store_age_ms = host.store_age().as_millis() as u64;
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -11,11 +11,11 @@
 use portfield_net::clock;
 
 use crate::{
-    attempt::{self, Live, Outcome, Sent},
-    call::{Call, STOOD_STILL, WAKING_RETRY},
-    placement::{Refused, Room},
+    attempt::{self, AttemptResult, Outcome, UpstreamResponse},
+    call::{Call, SUSPENDED_RETRY, SUSPENDED_TEXT},
+    placement::{PlacementMode, PlacementRefusal},
     probe, quarantine,
-    response::{Body, CALLER_LEFT, Failure, GONE_RETRY},
+    response::{Body, CALLER_LEFT, CALLER_LEFT_RETRY, Failure},
     state::Host,
 };
 
@@ -69,13 +69,13 @@
     pub(crate) async fn next_answer(
         &mut self,
         last_event: Option<&str>,
-    ) -> Result<Box<Live>, Failure> {
+    ) -> Result<Box<UpstreamResponse>, Failure> {
         loop {
             self.check_allowed()?;
             self.check_awake().await?;
             self.check_quarantine()?;
             let (placed, upstream) = self.place()?;
-            if !self.tried.is_empty() && !self.host.spend_retry(self.call.job.service) {
+            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.job.service) {
                 self.host.metrics.count("retry_budget_spent");
                 return Err(self.failure("the retry budget is spent".to_owned(), RETRY));
             }
@@ -84,11 +84,13 @@
             let patience = self.patience(placed.estimate);
             let (host, call) = (&self.host, &self.call);
             match attempt::send(host, call, &upstream, &placed, last_event, patience).await {
-                Sent::Answer(live) => {
+                AttemptResult::Response(live) => {
                     self.note_run();
                     return Ok(live);
                 }
-                Sent::Failed(outcome, cause) => self.note_failed(&upstream, outcome, cause)?,
+                AttemptResult::Failed(outcome, cause) => {
+                    self.note_failed(&upstream, outcome, cause)?
+                }
             }
         }
     }
@@ -97,9 +99,9 @@
     fn place(&mut self) -> Result<(Placed, Arc<Upstream>), Failure> {
         self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
         let is_last_try = self.host.quarantine().is_last_try(clock::now(), self.call.request());
-        let room = if is_last_try { Room::Apart } else { Room::Any };
-        let Refused { reason, retry, estimate, share } =
-            match self.host.place(&self.call, &self.tried, room) {
+        let mode = if is_last_try { PlacementMode::Isolated } else { PlacementMode::Any };
+        let PlacementRefusal { reason, retry, estimate, share } =
+            match self.host.place(&self.call, &self.tried, mode) {
                 Ok(it) => return Ok(it),
                 Err(it) => it,
             };
@@ -168,18 +170,18 @@
         );
         self.host.metrics.count(&format!("attempts_failed{{outcome=\"{word}\"}}"));
         if outcome == Outcome::Abandoned {
-            return Err(self.failure(CALLER_LEFT.to_owned(), GONE_RETRY));
+            return Err(self.failure(CALLER_LEFT.to_owned(), CALLER_LEFT_RETRY));
         }
         if outcome == Outcome::Late && !self.call.kind().is_repeatable() {
-            return Err(Failure::unknown(StatusCode::GATEWAY_TIMEOUT, cause));
+            return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, cause));
         }
         Ok(())
     }
 
     /// Notes that a run broke, and looks whether its upstream ended with it.
     fn note_break(&self, upstream: &Arc<Upstream>) {
-        if quarantine::broke(&self.host, &self.call, upstream) {
-            probe::look(&self.host, upstream);
+        if quarantine::record_broken_run(&self.host, &self.call, upstream) {
+            probe::verify_alive(&self.host, upstream);
         }
     }
 
@@ -219,7 +221,7 @@
         if !self.may_repeat() {
             return false;
         }
-        let placed = self.host.place(&self.call, &self.tried, Room::Any);
+        let placed = self.host.place(&self.call, &self.tried, PlacementMode::Any);
         placed.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
     }
 
@@ -239,13 +241,13 @@
         if self.call.left().is_zero() {
             let text = "the time of the request is up";
             if self.may_have_run {
-                return Err(Failure::unknown(StatusCode::GATEWAY_TIMEOUT, text));
+                return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, text));
             }
-            return Err(Failure::refused(text, RETRY));
+            return Err(Failure::unavailable(text, RETRY));
         }
         if self.may_have_run && !self.call.kind().is_repeatable() {
             let text = "the answer broke, and the request may not run twice";
-            return Err(Failure::unknown(StatusCode::BAD_GATEWAY, text));
+            return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
         let max = self.call.route.max_attempts;
         if max <= self.n_run || max + MAX_TURNED_AWAY <= self.n_run + self.n_turned {
@@ -257,9 +259,9 @@
     /// Checks that what this host knows may be used; a stream that has begun waits for it, since its caller has part
     /// of the answer.
     async fn check_awake(&mut self) -> Result<(), Failure> {
-        while !self.host.trusts() {
+        while !self.host.has_fresh_state() {
             if self.call.job.stage == Stage::New {
-                return Err(self.failure(STOOD_STILL.to_owned(), WAKING_RETRY));
+                return Err(self.failure(SUSPENDED_TEXT.to_owned(), SUSPENDED_RETRY));
             }
             clock::sleep(AWAKE_PERIOD).await;
         }
@@ -281,14 +283,14 @@
              another one for {} s",
             left.as_secs()
         );
-        Err(self.failure(reason, quarantine::seconds(left)))
+        Err(self.failure(reason, quarantine::whole_seconds(left)))
     }
 
     fn failure(&self, reason: String, retry: Duration) -> Failure {
         if self.may_have_run {
-            return Failure::unknown(StatusCode::BAD_GATEWAY, reason);
+            return Failure::outcome_unknown(StatusCode::BAD_GATEWAY, reason);
         }
-        Failure::refused(reason, retry)
+        Failure::unavailable(reason, retry)
     }
 
     /// Returns how long the next upstream is waited for.
@@ -321,7 +323,7 @@
             may_have_run = self.may_have_run; "given up"
         );
         self.host.metrics.count(&format!("given_up{{status=\"{}\"}}", failure.status.as_u16()));
-        failure.answer(&self.call.id)
+        failure.to_response(&self.call.id)
     }
 }
 
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -8,7 +8,7 @@
 use portfield_net::clock;
 
 use crate::{
-    attempt::{self, Live},
+    attempt::{self, UpstreamResponse},
     call::Call,
     exchange::Exchange,
     quarantine, relay,
@@ -17,8 +17,8 @@
 };
 
 /// Serves a request to its end.
-pub(crate) async fn run(host: Arc<Host>, call: Call) -> Response<Body> {
-    host.earn_retry(call.job.service);
+pub(crate) async fn serve_request(host: Arc<Host>, call: Call) -> Response<Body> {
+    host.deposit_retry(call.job.service);
     let mut exchange = Exchange::new(host, call);
     loop {
         let live = match exchange.next_answer(None).await {
@@ -26,9 +26,9 @@
             Err(failure) => return exchange.give_up(failure),
         };
         let res = if exchange.call.kind().is_stream() && live.parts.status.is_success() {
-            relay::stream(exchange, live).await
+            relay::relay_stream(exchange, live).await
         } else {
-            whole(exchange, live).await
+            buffer_response(exchange, live).await
         };
         match res {
             Ok(it) => return it,
@@ -42,13 +42,16 @@
 /// # Errors
 ///
 /// The exchange, where the answer broke or is an error and the request may be sent again.
-async fn whole(mut exchange: Exchange, live: Box<Live>) -> Result<Response<Body>, Exchange> {
-    let Live { mut parts, body, head, connection, mut run, upstream } = *live;
+async fn buffer_response(
+    mut exchange: Exchange,
+    live: Box<UpstreamResponse>,
+) -> Result<Response<Body>, Exchange> {
+    let UpstreamResponse { mut parts, body, head, connection, mut run, upstream } = *live;
     let bytes = match clock::timeout(exchange.call.left(), body.collect()).await {
         Some(Ok(it)) => it.to_bytes(),
         broken => {
             let cause = match broken {
-                Some(Err(err)) => attempt::explain(&err),
+                Some(Err(err)) => attempt::error_chain(&err),
                 _ => "the answer did not end in time".to_owned(),
             };
             run.end(Ending::Broken);
@@ -56,7 +59,7 @@
             if exchange.may_repeat() {
                 return Err(exchange);
             }
-            return Ok(exchange.give_up(Failure::unknown(StatusCode::BAD_GATEWAY, cause)));
+            return Ok(exchange.give_up(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, cause)));
         }
     };
     let first = clock::now();
@@ -75,7 +78,7 @@
         return Err(exchange);
     }
     if status.is_success() {
-        quarantine::succeeded(&exchange.host, &exchange.call);
+        quarantine::record_success(&exchange.host, &exchange.call);
     }
     exchange.answered(status, first, 0);
     Ok(res)
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -7,43 +7,43 @@
 
 use crate::{
     quarantine_store,
-    state::{Host, hash},
-    store_watch::{LONGEST_PAUSE, describe},
+    state::{Host, hash_name},
+    store_watch::{MAX_PAUSE, truncate_error},
 };
 
 /// Time between two looks of a host that follows the store at the table of hosts; hosts learn of new
 /// ones from digests before.
 const HOSTS_PERIOD: Duration = Duration::from_secs(15);
 /// Time between two looks whether the store has lost what this host wrote.
-const RENEW_PERIOD: Duration = Duration::from_millis(500);
+const REREGISTER_PERIOD: Duration = Duration::from_millis(500);
 /// Time over which hosts write their rows again once the store went back: it takes 300 transactions a second, and
 /// has to take the upstreams' and the operator's first.
-const RENEW_SPREAD: Duration = Duration::from_secs(4);
+const REREGISTER_SPREAD: Duration = Duration::from_secs(4);
 
 /// Writes this host's address to the store and reads the others', for ever.
 pub(crate) async fn run(host: Arc<Host>, store: Store) {
-    write_own(&host, &store).await;
-    host.rt.spawn(renew(host.clone(), store.clone()));
+    register(&host, &store).await;
+    host.rt.spawn(reregister(host.clone(), store.clone()));
     let mut is_first = true;
     loop {
-        if !is_first && !host.is_reader() {
+        if !is_first && !host.is_store_reader() {
             clock::sleep(HOSTS_PERIOD).await;
             continue;
         }
         match store.read(store::HOSTS).await {
             Ok(it) => {
                 let me = host.settings().peers.to_string();
-                it.rows.iter().filter(|it| it.key != me).for_each(|it| learn_host(&host, it));
-                host.note_met();
+                it.rows.iter().filter(|it| it.key != me).for_each(|it| add_host(&host, it));
+                host.mark_hosts_loaded();
                 if std::mem::replace(&mut is_first, false) {
-                    host.rt.spawn(quarantine_store::read(host.clone(), store.clone()));
+                    host.rt.spawn(quarantine_store::load(host.clone(), store.clone()));
                 }
             }
             Err(err) => {
                 // Callers do not wait for a store that is down.
-                host.note_recalled();
-                log::warn!(err:% = describe(&err); "hosts not read");
-                clock::sleep(LONGEST_PAUSE).await;
+                host.mark_quarantine_loaded();
+                log::warn!(err:% = truncate_error(&err); "hosts not read");
+                clock::sleep(MAX_PAUSE).await;
                 continue;
             }
         }
@@ -52,40 +52,40 @@
 }
 
 /// Writes this host's address to the store, until the store has it.
-async fn write_own(host: &Host, store: &Store) {
+async fn register(host: &Host, store: &Store) {
     let me = host.settings().peers.to_string();
     let place = host.settings().data_centre.clone();
     while let Err(err) = store.write(store::HOSTS, &me, place.as_bytes()).await {
-        host.note_recalled();
-        log::warn!(err:% = describe(&err); "own address not written");
-        clock::sleep(LONGEST_PAUSE).await;
+        host.mark_quarantine_loaded();
+        log::warn!(err:% = truncate_error(&err); "own address not written");
+        clock::sleep(MAX_PAUSE).await;
     }
 }
 
 /// Writes again what this host wrote, each time that the store came back from a copy of itself.
-async fn renew(host: Arc<Host>, store: Store) {
-    let mut written = host.era();
+async fn reregister(host: Arc<Host>, store: Store) {
+    let mut written = host.store_era();
     loop {
-        clock::sleep(RENEW_PERIOD).await;
-        let era = host.era();
+        clock::sleep(REREGISTER_PERIOD).await;
+        let era = host.store_era();
         if era <= written {
             continue;
         }
-        clock::sleep(RENEW_SPREAD.mul_f64(fastrand::f64())).await;
-        write_own(&host, &store).await;
-        if host.is_reader() {
-            quarantine_store::keep_all(&host);
+        clock::sleep(REREGISTER_SPREAD.mul_f64(fastrand::f64())).await;
+        register(&host, &store).await;
+        if host.is_store_reader() {
+            quarantine_store::persist_all(&host);
         }
         written = era;
     }
 }
 
 /// Learns of a host by its row: its address, and the name of its data centre.
-fn learn_host(host: &Host, row: &Row) {
+fn add_host(host: &Host, row: &Row) {
     let Ok(address) = row.key.parse() else {
         log::warn!(key = row.key; "no host's address");
         return;
     };
     let name = row.value.as_deref().and_then(|it| std::str::from_utf8(it).ok());
-    host.others().learn(address, name.map(hash));
+    host.peers().learn(address, name.map(hash_name));
 }
--- a/crates/portfield-host/src/ingress.rs
+++ b/crates/portfield-host/src/ingress.rs
@@ -16,9 +16,9 @@
     /// Connections accepted.
     pub n_accepted: u64,
     /// Connections that ended.
-    pub n_ended: u64,
+    pub n_closed: u64,
     /// Of them, those that their callers closed, and were not told to.
-    pub n_left: u64,
+    pub n_caller_closed: u64,
     /// Requests read.
     pub n_requests: u64,
     /// Requests refused for want of processor time, by workspace.
@@ -40,33 +40,33 @@
 
 /// Counts of callers' connections and requests.
 #[derive(Debug, Default)]
-pub(crate) struct Intake {
+pub(crate) struct IngressStats {
     counts: Mutex<Counts>,
 }
 
-impl Intake {
+impl IngressStats {
     /// Notes a new connection.
-    pub(crate) fn accepted(&self) {
+    pub(crate) fn record_accepted(&self) {
         self.counts().n_accepted += 1;
     }
 
     /// Notes the end of a connection.
-    pub(crate) fn ended(&self) {
-        self.counts().n_ended += 1;
+    pub(crate) fn record_closed(&self) {
+        self.counts().n_closed += 1;
     }
 
     /// Notes that a caller closed its connection, and was not told to.
-    pub(crate) fn left(&self) {
-        self.counts().n_left += 1;
+    pub(crate) fn record_caller_close(&self) {
+        self.counts().n_caller_closed += 1;
     }
 
     /// Notes a request.
-    pub(crate) fn requested(&self) {
+    pub(crate) fn record_request(&self) {
         self.counts().n_requests += 1;
     }
 
     /// Notes a request of a workspace that is refused for want of processor time.
-    pub(crate) fn refused(&self, workspace: &str) {
+    pub(crate) fn record_refused(&self, workspace: &str) {
         count(&mut self.counts().refused, workspace);
     }
 
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -16,12 +16,12 @@
 use crate::{
     admin, peers, server,
     settings::Settings,
-    state::{Host, TAKE_MOST},
+    state::{Host, STREAM_ACCEPT_TIME},
     store_watch,
 };
 
 /// Time between two looks whether all requests are answered.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_POLL: Duration = Duration::from_millis(50);
 /// Time in which idle connections are closed at the end.
 const CLOSE_TIME: Duration = Duration::from_millis(300);
 /// Time before the end of the grace period at which the process ends whatever still runs.
@@ -50,11 +50,11 @@
     let answer = http1::at_once(move |it| admin::readiness(&state, it));
     rt.spawn(http1::serve(rt.clone(), ready, answer));
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::operate(&state, it));
+    let answer = http1::at_once(move |it| admin::handle_operator(&state, it));
     rt.spawn(http1::serve(rt.clone(), metrics, answer));
     rt.spawn(rpc::serve(rt.clone(), control, PeersServer::new(peers::Server::new(host.clone()))));
     peers::start(&host, datagrams);
-    rt.spawn(watch_load(host.clone()));
+    rt.spawn(monitor_load(host.clone()));
     store_watch::start(&host, verdicts);
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let front = rt.task(server::serve(host.clone(), listener, stopped));
@@ -64,17 +64,17 @@
     let grace = host.settings().grace;
     log::info!(grace_ms = grace.as_millis() as u64; "stopping");
     let told = clock::now();
-    host.stop();
+    host.begin_shutdown();
     let last = told + grace - END_MARGIN.min(grace);
-    clock::sleep(TAKE_MOST.min(grace / 3)).await;
+    clock::sleep(STREAM_ACCEPT_TIME.min(grace / 3)).await;
     while 0 < host.n_active() && clock::now() < last {
-        clock::sleep(LOOK_PERIOD).await;
+        clock::sleep(DRAIN_POLL).await;
     }
     let cut = host.n_active();
     drop(stop);
     let ended = clock::timeout(CLOSE_TIME, front).await.is_some();
     log::info!(ended, cut; "stopped");
-    clock::sleep(LAST_LINES).await;
+    clock::sleep(LOG_FLUSH_TIME).await;
     Ok(())
 }
 
@@ -82,14 +82,14 @@
 const LOAD_PERIOD: Duration = Duration::from_millis(25);
 
 /// Tells the governor how late timers fire, and logs where callers are sent elsewhere.
-async fn watch_load(host: Arc<Host>) {
+async fn monitor_load(host: Arc<Host>) {
     let mut was_busy = false;
     let mut counted = clock::now();
     loop {
         let due = clock::now() + LOAD_PERIOD;
         clock::sleep(LOAD_PERIOD).await;
         // Time that the host stood still is no load.
-        let stood_still = host.look_awake().is_some();
+        let stood_still = host.check_suspension().is_some();
         let now = clock::now();
         let (is_busy, late) = {
             let mut governor = host.governor();
@@ -102,19 +102,19 @@
             was_busy = is_busy;
             log::warn!(is_busy, late_ms = late, active = host.n_active(); "own load");
         }
-        if counted + INTAKE_PERIOD <= now {
+        if counted + INGRESS_PERIOD <= now {
             counted = now;
-            log_intake(&host, late, is_busy);
+            log_ingress(&host, late, is_busy);
         }
     }
 }
 
 /// Time between two log lines that count what callers send to a host which refuses some of it.
-const INTAKE_PERIOD: Duration = Duration::from_secs(1);
+const INGRESS_PERIOD: Duration = Duration::from_secs(1);
 
 /// Logs what callers sent of late, where some of it was refused for want of processor time, or callers are sent elsewhere.
-fn log_intake(host: &Host, late: f64, is_busy: bool) {
-    let counts = host.intake.take();
+fn log_ingress(host: &Host, late: f64, is_busy: bool) {
+    let counts = host.ingress.take();
     let n_refused = counts.n_refused();
     if n_refused == 0 && !is_busy {
         return;
@@ -122,14 +122,14 @@
     let (workspace, n_of_it) = counts.most_refused();
     log::info!(
         requests = counts.n_requests, refused = n_refused, workspace, refused_of_it = n_of_it,
-        accepted = counts.n_accepted, ended = counts.n_ended, left = counts.n_left,
+        accepted = counts.n_accepted, ended = counts.n_closed, left = counts.n_caller_closed,
         active = host.n_active(),
         late_ms = late, is_busy; "short of processor time"
     );
 }
 
 /// Time that the last log lines get to be written.
-const LAST_LINES: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
 
 /// Reads the settings again; those that cannot change while the process runs stay.
 fn reload(host: &Arc<Host>, path: &std::path::Path) {
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -21,8 +21,8 @@
 use crate::{
     evacuations,
     state::Host,
-    table_read::{Extent, ListRow, Reading, take_list},
-    upstream_list::Listed,
+    table_read::{ListRow, ReadScope, TableRead, apply_list},
+    upstream_list::UpstreamList,
 };
 
 /// Time in which another host tells its configuration: a second host is asked within the two
@@ -75,14 +75,14 @@
     let channel = rpc::Channel::open(&host.rt, stream).await?;
     let request = request(host, wanted);
     let mut reply = channel.peers().knowledge(request).await?.into_inner();
-    take_orders(host, &mut reply);
+    apply_orders(host, &mut reply);
     if !reply.config.is_empty() {
-        host.adopt(Bytes::from(std::mem::take(&mut reply.config)), "host");
+        host.apply_config(Bytes::from(std::mem::take(&mut reply.config)), "host");
     }
     if reply.list.is_empty() && !reply.is_partial {
         return Ok(());
     }
-    take_reply(host, reply);
+    apply_reply(host, reply);
     Ok(())
 }
 
@@ -105,7 +105,7 @@
 }
 
 /// Takes another host's orders of the operator.
-fn take_orders(host: &Arc<Host>, reply: &mut KnowledgeReply) {
+fn apply_orders(host: &Arc<Host>, reply: &mut KnowledgeReply) {
     let version = StoreVersion::new(reply.orders_era, reply.orders_version);
     if version == StoreVersion::default() {
         return;
@@ -116,16 +116,16 @@
         is_lifted,
     };
     let standing = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
-        let left = time_held(it.held);
+        let left = held_time(it.held);
         (order(it, false), left)
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
     let list = OrderList { standing: standing.collect(), lifted: lifted.collect() };
-    evacuations::learn(host, version, list);
+    evacuations::merge_peer_orders(host, version, list);
 }
 
 /// Takes another host's list, or what changed in it.
-fn take_reply(host: &Host, mut reply: KnowledgeReply) {
+fn apply_reply(host: &Host, mut reply: KnowledgeReply) {
     let now = clock::now();
     host.with_list(|it| {
         reply.list.retain(|row| row.held == 0 || it.directory.takes_held(&row.id));
@@ -133,7 +133,7 @@
     let held: Vec<(String, Duration)> = reply
         .list
         .iter()
-        .filter_map(|it| Some((it.id.clone(), now + time_held(it.held)?)))
+        .filter_map(|it| Some((it.id.clone(), now + held_time(it.held)?)))
         .collect();
     let set = reply.list.into_iter().map(|it| ListRow {
         id: it.id,
@@ -143,13 +143,13 @@
     let gone = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
     let rows: Vec<ListRow> = set.chain(gone).collect();
     // The other host tells which entries may only have lapsed.
-    let reading = Reading {
+    let reading = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
-        extent: if reply.is_partial { Extent::Changes } else { Extent::Whole },
+        scope: if reply.is_partial { ReadScope::Changes } else { ReadScope::Full },
         source: Source::Current,
     };
     host.update_list(|it| {
-        if take_list(it, rows, &reading) {
+        if apply_list(it, rows, &reading) {
             held.iter().for_each(|(id, until)| it.directory.hold(id, *until));
         }
     });
@@ -176,7 +176,7 @@
     ) -> Result<Response<KnowledgeReply>, Status> {
         let request = request.into_inner();
         let mut reply = KnowledgeReply::default();
-        if let Some(it) = self.host.in_force()
+        if let Some(it) = self.host.active_config()
             && request.config_version < it.catalog.version()
         {
             reply.config_version = it.catalog.version();
@@ -185,8 +185,8 @@
         let list = StoreVersion::new(request.list_era, request.list_version);
         let orders = StoreVersion::new(request.orders_era, request.orders_version);
         self.host.with_list(|it| {
-            tell_list(it, list, &mut reply);
-            tell_orders(it, orders, &mut reply);
+            fill_list(it, list, &mut reply);
+            fill_orders(it, orders, &mut reply);
         });
         Ok(Response::new(reply))
     }
@@ -198,12 +198,12 @@
 }
 
 /// Reads what [`held_ms`] wrote.
-fn time_held(millis: u32) -> Option<Duration> {
+fn held_time(millis: u32) -> Option<Duration> {
     (0 < millis).then(|| Duration::from_millis(u64::from(millis)))
 }
 
 /// Tells the operator's orders to a host that knows an older version of them.
-fn tell_orders(listed: &Listed, known: StoreVersion, reply: &mut KnowledgeReply) {
+fn fill_orders(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.evacuations.version();
     if version <= known {
         return;
@@ -221,7 +221,7 @@
 
 /// Tells the list to a host that knows an older version of it, or what changed since where that is
 /// known: one entry of some 200 bytes in place of 65 KB at 325 upstreams.
-fn tell_list(listed: &Listed, known: StoreVersion, reply: &mut KnowledgeReply) {
+fn fill_list(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.directory.version();
     (reply.list_version, reply.list_era) = (version.number, version.era);
     if version <= known {
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -21,7 +21,7 @@
     send,
 };
 use crate::{
-    quarantine::{self, Source},
+    quarantine::{self, VerdictSource},
     state::Host,
     upstream_signals,
 };
@@ -38,7 +38,7 @@
 /// Listens to the others for ever.
 pub(super) async fn run(host: Arc<Host>, socket: Datagrams) {
     let mut buf = vec![0; MAX_DATAGRAM];
-    let mut news = News::default();
+    let mut news = NewerVersions::default();
     let mut woke = None;
     loop {
         let (n, address) = match socket.recv_from(&mut buf).await {
@@ -48,7 +48,7 @@
                 continue;
             }
         };
-        let woke_last = host.woke_at();
+        let woke_last = host.resumed_at();
         if woke_last != woke {
             // What lies here was said while this host stood still.
             woke = woke_last;
@@ -60,18 +60,18 @@
             continue;
         };
         // Who says it says it to all.
-        contain::call("digest", || take(&host, &socket, address, digest, &mut news));
+        contain::call("digest", || handle_datagram(&host, &socket, address, digest, &mut news));
         news.fetch(&host);
     }
 }
 
 /// Takes a datagram: its sender's word, and what that passes on.
-fn take(
+fn handle_datagram(
     host: &Arc<Host>,
     socket: &Datagrams,
     from: SocketAddr,
     mut digest: Digest,
-    news: &mut News,
+    news: &mut NewerVersions,
 ) {
     let audience = host.audience();
     if digest.seeks_hosts && audience.is_large() {
@@ -79,21 +79,21 @@
     }
     if !digest.hosts.is_empty() {
         // An introduction tells nothing of what its sender did.
-        learn(host, &digest);
+        learn_hosts(host, &digest);
         return;
     }
-    let known = host.with_list(|it| Known {
+    let known = host.with_list(|it| KnownVersions {
         config: host.config_version(),
         list: it.directory.version(),
         orders: it.evacuations.version(),
     });
     let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Way::Relayed));
     for (digest, way) in std::iter::once((digest, Way::Direct)).chain(relayed) {
-        take_one(host, &audience, from, &digest);
+        handle_digest(host, &audience, from, &digest);
         if digest.host != host.own_hash() {
             news.note(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let passed = host.others().pass_on(digest, way);
+        let passed = host.peers().pass_on(digest, way);
         if let Some((speaker, digest)) = passed {
             send::send(host, socket, &digest, [speaker]);
         }
@@ -101,8 +101,8 @@
 }
 
 /// Learns of hosts by another's word.
-fn learn(host: &Host, digest: &Digest) {
-    let mut others = host.others();
+fn learn_hosts(host: &Host, digest: &Digest) {
+    let mut others = host.peers();
     for it in &digest.hosts {
         match it.address.parse() {
             Ok(address) => others.learn(address, Some(it.data_centre)),
@@ -112,16 +112,16 @@
 }
 
 /// Takes one digest.
-fn take_one(host: &Host, audience: &Audience, from: SocketAddr, digest: &Digest) {
+fn handle_digest(host: &Host, audience: &Audience, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
     }
     let now = clock::now();
-    host.others().hear(now, from, digest);
+    host.peers().hear(now, from, digest);
     if digest.n_summed == 0 {
         let store_age = Duration::from_millis(u64::from(digest.store_age));
-        host.note_witness(now.saturating_sub(store_age));
-        host.hear(Follower {
+        host.record_store_contact(now.saturating_sub(store_age));
+        host.record_follower(Follower {
             host: digest.host,
             data_centre: digest.data_centre,
             store_age,
@@ -130,8 +130,8 @@
     } else {
         host.metrics.count("sums");
     }
-    quarantine::take(host, &digest.suspects, Source::Host);
-    upstream_signals::take(host, digest);
+    quarantine::merge_suspects(host, &digest.suspects, VerdictSource::Host);
+    upstream_signals::merge_digest(host, digest);
     if audience.counts(digest) {
         host.balancer().merge(now, digest);
     }
@@ -139,7 +139,7 @@
 
 /// The versions that this host knows, when a datagram comes.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct KnownVersions {
     config: u64,
     list: StoreVersion,
     /// The operator's orders.
@@ -148,10 +148,10 @@
 
 /// What other hosts know that this one does not.
 #[derive(Debug, Default)]
-struct News {
-    config: Newer,
-    list: Newer,
-    orders: Newer,
+struct NewerVersions {
+    config: NewerPeer,
+    list: NewerPeer,
+    orders: NewerPeer,
     /// For how long this host's list has been behind.
     lag: Lag,
     /// When the list may be fetched again.
@@ -164,12 +164,12 @@
 /// One of the hosts that know something newer, drawn by lot: a datagram tells of many, and all its
 /// receivers would ask the same one.
 #[derive(Debug, Default)]
-struct Newer {
+struct NewerPeer {
     from: Option<SocketAddr>,
     n: u32,
 }
 
-impl Newer {
+impl NewerPeer {
     fn note(&mut self, address: SocketAddr) {
         self.n += 1;
         if fastrand::u32(..self.n) == 0 {
@@ -182,8 +182,8 @@
     }
 }
 
-impl News {
-    fn note(&mut self, host: &Host, known: Known, address: SocketAddr, digest: &Digest) {
+impl NewerVersions {
+    fn note(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
         let hears_store =
             Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.fresh;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
@@ -193,13 +193,13 @@
         if known.config < digest.config_version {
             self.config.note(address);
         } else if hears_store && orders <= known.orders {
-            host.waking().heard_host(Knowledge::Config);
+            host.suspension().heard_host(Knowledge::Config);
         }
-        host.note_era(digest.list_era, "host");
+        host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.note(address);
         } else if hears_store {
-            host.waking().heard_host(Knowledge::Upstreams);
+            host.suspension().heard_host(Knowledge::Upstreams);
         }
     }
 
@@ -214,7 +214,7 @@
         let Some(from) = self.list.take() else { return };
         let now = clock::now();
         let version = host.with_list(|it| it.directory.version());
-        let is_due = host.needs_list() || LIST_PATIENCE <= self.lag.grow(now, version);
+        let is_due = host.needs_peer_list() || LIST_PATIENCE <= self.lag.grow(now, version);
         if self.list_due <= now && is_due {
             self.list_due = now + LIST_PERIOD;
             fetch::start(host, from, Wanted::List, &self.is_fetching_list);
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -11,7 +11,7 @@
 use super::Datagrams;
 use crate::{
     quarantine,
-    state::{Host, hash},
+    state::{Host, hash_name},
     upstream_signals,
 };
 
@@ -25,28 +25,28 @@
 pub(super) async fn run(host: Arc<Host>, socket: Datagrams) {
     let mut sequence = 0;
     let mut logged = Duration::ZERO;
-    let mut audience = host.look();
+    let mut audience = host.refresh_audience();
     loop {
         clock::sleep(audience.period()).await;
         sequence += 1;
-        audience = host.look();
+        audience = host.refresh_audience();
         let header = header(&host, sequence);
         let digest = own_digest(&host, &audience, header.clone());
-        let (told, passed) = {
-            let mut others = host.others();
+        let (told, relayed) = {
+            let mut others = host.peers();
             (others.told(sequence), others.take_passing())
         };
         if audience.speaks() {
-            let sum = sum(&host, header);
-            let told = host.others().told_sum(clock::now(), sequence);
-            send(&host, &socket, &sum, told);
+            let summary = summary(&host, header);
+            let told = host.peers().told_sum(clock::now(), sequence);
+            send(&host, &socket, &summary, told);
         }
-        for digest in with_passed(digest, passed) {
+        for digest in split_relayed(digest, relayed) {
             send(&host, &socket, &digest, told.iter().copied());
         }
         if logged + HEARD_PERIOD <= clock::now() {
             logged = clock::now();
-            log_heard(&host);
+            log_hosts_heard(&host);
         }
     }
 }
@@ -72,17 +72,17 @@
 
 /// Introduces the hosts that this one knows to one that knows none of its data centre.
 pub(super) fn introduce(host: &Host, socket: &Async<std::net::UdpSocket>, to: SocketAddr) {
-    let digest = Digest { hosts: host.others().known(), ..header(host, 0) };
+    let digest = Digest { hosts: host.peers().known(), ..header(host, 0) };
     send(host, socket, &digest, [to]);
 }
 
 /// Adds what this host did to its header.
 fn own_digest(host: &Host, audience: &Audience, header: Digest) -> Digest {
     let mut res = header;
-    res.seeks_hosts = !host.others().knows_near();
+    res.seeks_hosts = !host.peers().knows_near();
     host.balancer().report(clock::now(), &mut res);
-    quarantine::report(host, audience, &mut res);
-    upstream_signals::report(host, audience, &mut res);
+    quarantine::fill_digest(host, audience, &mut res);
+    upstream_signals::fill_digest(host, audience, &mut res);
     res
 }
 
@@ -99,7 +99,7 @@
         list_era: list.era,
         orders_version: orders.number,
         orders_era: orders.era,
-        data_centre: hash(&settings.data_centre),
+        data_centre: hash_name(&settings.data_centre),
         store_age: host.store_age().as_millis().min(u128::from(u32::MAX)) as u32,
         address: settings.peers.to_string(),
         ..Digest::default()
@@ -107,20 +107,20 @@
 }
 
 /// Adds what this host's data centre did to the host's header, in whose place the data centre stands.
-fn sum(host: &Host, header: Digest) -> Digest {
+fn summary(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
     host.balancer().summarize(clock::now(), &mut res);
-    quarantine::summarize(host, &mut res);
-    upstream_signals::summarize(host, &mut res);
+    quarantine::fill_summary(host, &mut res);
+    upstream_signals::fill_summary(host, &mut res);
     res
 }
 
 /// Adds what others said, as several digests where it is too long for one datagram; each tells this
 /// host's own word, which counts once.
-fn with_passed(own: Digest, passed: Vec<Digest>) -> Vec<Digest> {
+fn split_relayed(own: Digest, relayed: Vec<Digest>) -> Vec<Digest> {
     let mut res = vec![own.clone()];
     let mut n_bytes = 0;
-    for it in passed {
+    for it in relayed {
         n_bytes += it.encoded_len();
         if MAX_RELAYED < n_bytes {
             n_bytes = it.encoded_len();
@@ -133,8 +133,8 @@
     res
 }
 
-fn log_heard(host: &Host) {
-    let n = host.others().take_heard();
+fn log_hosts_heard(host: &Host) {
+    let n = host.peers().take_heard();
     if 0 < n {
         log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts heard");
     }
--- a/crates/portfield-host/src/placement.rs
+++ b/crates/portfield-host/src/placement.rs
@@ -14,23 +14,23 @@
 
 use crate::{
     call::Call,
-    quarantine::{self, End},
+    quarantine::{self, EndEvidence},
     state::Host,
-    upstream_list::{Listed, Ready},
+    upstream_list::{ReadyUpstreams, UpstreamList},
 };
 
 /// Where a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Room {
+pub(crate) enum PlacementMode {
     /// Wherever it is served best.
     Any,
     /// Where least runs: it may end its upstream.
-    Apart,
+    Isolated,
 }
 
 /// Why a request is sent to no upstream.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Refused {
+pub(crate) struct PlacementRefusal {
     pub reason: Refusal,
     /// When to come back.
     pub retry: Duration,
@@ -42,36 +42,36 @@
 
 impl Host {
     /// Changes the list of upstreams, or which of them may be used.
-    pub(crate) fn update_list<T>(&self, f: impl FnOnce(&mut Listed) -> T) -> T {
+    pub(crate) fn update_list<T>(&self, f: impl FnOnce(&mut UpstreamList) -> T) -> T {
         let here = self.settings().data_centre.clone();
         let mut listed = self.listed.write().unwrap_or_else(PoisonError::into_inner);
         let before: Vec<Arc<Upstream>> = listed.directory.ready().cloned().collect();
         let res = f(&mut listed);
         listed.group(&here);
-        let cold = listed.take_cold();
+        let cold = listed.take_cold_changes();
         let ids: HashSet<u32> = listed.directory.all().map(|it| it.number()).collect();
         let is_reborn = |it: &&Arc<Upstream>| listed.directory.is_reborn(it);
         let reborn: Vec<Arc<Upstream>> = before.iter().filter(is_reborn).cloned().collect();
         drop(listed);
         self.balancer().retain(|id| ids.contains(&id));
-        self.note_cold(&cold);
-        reborn.iter().for_each(|it| quarantine::ended(self, it, End::Reborn));
+        self.update_cold(&cold);
+        reborn.iter().for_each(|it| quarantine::record_upstream_end(self, it, EndEvidence::Reborn));
         res
     }
 
     /// Reads the list of upstreams.
-    pub(crate) fn with_list<T>(&self, f: impl FnOnce(&Listed) -> T) -> T {
+    pub(crate) fn with_list<T>(&self, f: impl FnOnce(&UpstreamList) -> T) -> T {
         f(&self.listed.read().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Returns whether a request that was placed on an upstream may be written to it now.
-    pub(crate) fn admits(&self, upstream: &Upstream) -> bool {
+    pub(crate) fn may_send_to(&self, upstream: &Upstream) -> bool {
         let backs_off = self.balancer().backs_off_until(clock::now(), upstream.number()).is_some();
         !backs_off && self.with_list(|it| it.offers(upstream))
     }
 
     /// Returns the upstreams of a request's service, of the regions where its route and its workspace may be served.
-    fn candidates(&self, call: &Call) -> Arc<Ready> {
+    fn candidates(&self, call: &Call) -> Arc<ReadyUpstreams> {
         let ready = self.with_list(|it| it.ready.get(&call.service).cloned()).unwrap_or_default();
         let workspace = call.workspace.as_ref().map(|it| &it.regions);
         let bounds = || std::iter::once(&call.route.regions).chain(workspace);
@@ -93,8 +93,8 @@
         &self,
         call: &Call,
         tried: &[u32],
-        room: Room,
-    ) -> Result<(Placed, Arc<Upstream>), Refused> {
+        mode: PlacementMode,
+    ) -> Result<(Placed, Arc<Upstream>), PlacementRefusal> {
         let job = &call.job;
         let ready = self.candidates(call);
         let untried = || ready.candidates.iter().filter(|it| !tried.contains(&it.upstream));
@@ -108,22 +108,22 @@
             some = untried().copied().collect();
             &some
         };
-        let res = match room {
-            Room::Any => balancer.place(now, job, candidates),
-            Room::Apart => {
-                let calmest = balancer.calmest(now, candidates);
-                balancer.place(now, job, calmest.as_slice())
+        let res = match mode {
+            PlacementMode::Any => balancer.place(now, job, candidates),
+            PlacementMode::Isolated => {
+                let least_loaded = balancer.calmest(now, candidates);
+                balancer.place(now, job, least_loaded.as_slice())
             }
         };
         drop(balancer);
         let placed = match res {
             Placement::Send(it) => it,
             Placement::Refuse { reason, retry, estimate, share } => {
-                return Err(Refused { reason, retry, estimate, share });
+                return Err(PlacementRefusal { reason, retry, estimate, share });
             }
         };
         let chosen = ready.upstreams.iter().find(|it| it.number() == placed.upstream);
-        chosen.map(|it| (placed, it.clone())).ok_or(Refused {
+        chosen.map(|it| (placed, it.clone())).ok_or(PlacementRefusal {
             reason: Refusal::NoUpstream,
             retry: placed.estimate,
             estimate: placed.estimate,
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -6,30 +6,30 @@
 use portfield_net::clock;
 
 use crate::{
-    quarantine::{self, End},
+    quarantine::{self, EndEvidence},
     state::Host,
 };
 
 /// Time before the first try; on a link that loses packets the next one mostly succeeds.
 const FIRST_PAUSE: Duration = Duration::from_millis(60);
 /// Longest time between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time for which a new connection has to stay open, where a run broke, to show that its upstream goes on.
-const SECOND_LOOK: Duration = Duration::from_millis(100);
+const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 
 /// Starts to try an upstream that could not be reached, unless it is being tried, until it is reached or
 /// gone; `err` is what the last try said.
-pub(crate) fn start(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
-    if !host.trying.begin(upstream.number()) {
+pub(crate) fn start_reconnect(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
+    if !host.probes.begin(upstream.number()) {
         return;
     }
     note_unreachable(host, upstream, err);
     let (task, upstream) = (host.clone(), upstream.clone());
     let first = err.kind().into();
     host.rt.spawn(async move {
-        try_on(&task, &upstream, &first).await;
-        task.trying.end(upstream.number());
+        probe_until_reachable(&task, &upstream, &first).await;
+        task.probes.end(upstream.number());
     });
 }
 
@@ -37,24 +37,24 @@
 ///
 /// A run breaks with its connection or with its upstream; the one costs its callers one answer, the other all
 /// that ran there. A connection that can be opened takes the place of the broken one.
-pub(crate) fn look(host: &Arc<Host>, upstream: &Arc<Upstream>) {
-    if !host.trying.begin(upstream.number()) {
+pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
+    if !host.probes.begin(upstream.number()) {
         return;
     }
     let (task, upstream) = (host.clone(), upstream.clone());
     host.rt.spawn(async move {
-        look_twice(&task, &upstream).await;
-        task.trying.end(upstream.number());
+        verify_with_retry(&task, &upstream).await;
+        task.probes.end(upstream.number());
     });
 }
 
 /// Looks at an upstream, and once more where the new connection has ended too: one that ends may close its
 /// connections before it stops to listen.
-async fn look_twice(host: &Host, upstream: &Upstream) {
+async fn verify_with_retry(host: &Host, upstream: &Upstream) {
     for _ in 0..2 {
         match host.pool.open(upstream.entry.address).await {
             Ok(it) => {
-                clock::sleep(SECOND_LOOK).await;
+                clock::sleep(MIN_OPEN_TIME).await;
                 if !it.sender.is_closed() {
                     host.pool.put(upstream.number(), it, None);
                     return;
@@ -62,7 +62,7 @@
             }
             Err(err) if is_refused(&err) => {
                 note_unreachable(host, upstream, &err);
-                return try_on(host, upstream, &err).await;
+                return probe_until_reachable(host, upstream, &err).await;
             }
             Err(err) => {
                 log::debug!(upstream = upstream.entry.id, err:%; "upstream not looked at");
@@ -76,7 +76,7 @@
 fn note_unreachable(host: &Host, upstream: &Upstream, err: &io::Error) {
     log::info!(upstream = upstream.entry.id, err:%; "upstream unreachable");
     if is_refused(err) {
-        quarantine::ended(host, upstream, End::Refused);
+        quarantine::record_upstream_end(host, upstream, EndEvidence::Refused);
     }
 }
 
@@ -88,7 +88,7 @@
 /// Tries an upstream until it is reached or gone.
 ///
 /// One at whose address nothing listened meanwhile may have started anew, before its entry says so.
-async fn try_on(host: &Host, upstream: &Upstream, first: &io::Error) {
+async fn probe_until_reachable(host: &Host, upstream: &Upstream, first: &io::Error) {
     let lost = clock::now();
     let mut has_ended = is_refused(first);
     let mut pause = FIRST_PAUSE;
@@ -99,7 +99,7 @@
         if !is_listed() {
             return;
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
         let opened = host.pool.open(upstream.entry.address).await;
         has_ended |= opened.as_ref().is_err_and(is_refused);
         if let Ok(it) = opened {
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -20,7 +20,7 @@
 /// That its entry is gone shows nothing: those of a data centre that is cut off go too, and the upstreams there
 /// go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum EndEvidence {
     /// Nothing listens at its address.
     Refused,
     /// Another one answers there.
@@ -31,7 +31,7 @@
 
 /// Where a verdict comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum VerdictSource {
     /// This host saw the last end that it takes.
     Own,
     /// Another host's digest.
@@ -41,23 +41,23 @@
 }
 
 /// Notes that a run of a request broke; returns whether it is to be found out that its upstream is still there.
-pub(crate) fn broke(host: &Host, call: &Call, upstream: &Upstream) -> bool {
+pub(crate) fn record_broken_run(host: &Host, call: &Call, upstream: &Upstream) -> bool {
     // One that leaves ends with whatever still runs there, and a host that stood still may not know that it does.
-    if !host.trusts()
+    if !host.has_fresh_state()
         || !host.with_list(|it| it.directory.ready().any(|it| it.hash == upstream.hash))
     {
         return false;
     }
-    let is_ended = host.breaks().note(clock::now(), call.request(), upstream.number());
+    let is_ended = host.broken_runs().note(clock::now(), call.request(), upstream.number());
     if is_ended {
-        suspect(host, &[call.request()], upstream);
+        add_suspects(host, &[call.request()], upstream);
     }
     !is_ended
 }
 
 /// Notes that an upstream ended.
-pub(crate) fn ended(host: &Host, upstream: &Upstream, how: End) {
-    let requests = host.breaks().ended(clock::now(), upstream.number());
+pub(crate) fn record_upstream_end(host: &Host, upstream: &Upstream, how: EndEvidence) {
+    let requests = host.broken_runs().ended(clock::now(), upstream.number());
     if requests.is_empty() {
         return;
     }
@@ -67,17 +67,17 @@
         upstream = upstream.entry.id, how:?, n = requests.len(), fingerprints; "upstream ended"
     );
     host.metrics.count("upstreams_ended");
-    suspect(host, &requests, upstream);
+    add_suspects(host, &requests, upstream);
 }
 
 /// Notes that an upstream ended under requests.
-fn suspect(host: &Host, requests: &[Request], upstream: &Upstream) {
+fn add_suspects(host: &Host, requests: &[Request], upstream: &Upstream) {
     let verdicts = host.quarantine().ended(clock::now(), requests, upstream.number());
-    verdicts.iter().for_each(|it| note_verdict(host, it, Source::Own));
+    verdicts.iter().for_each(|it| record_verdict(host, it, VerdictSource::Own));
 }
 
 /// Notes that a request was answered whole: it does not end upstreams.
-pub(crate) fn succeeded(host: &Host, call: &Call) {
+pub(crate) fn record_success(host: &Host, call: &Call) {
     if host.quarantine().clear(clock::now(), call.request()) {
         log::info!(
             request = call.id, fingerprint = call.request().fingerprint_text();
@@ -91,41 +91,41 @@
     let lifted = host.quarantine().lift(clock::now(), fingerprint);
     let Some(request) = lifted else { return false };
     log::warn!(fingerprint = request.fingerprint_text(); "quarantine lifted");
-    host.keep_verdict(request);
+    host.persist_verdict(request);
     true
 }
 
 /// Takes what another host or the store tells.
-pub(crate) fn take(host: &Host, suspects: &[Suspect], source: Source) {
+pub(crate) fn merge_suspects(host: &Host, suspects: &[Suspect], source: VerdictSource) {
     if suspects.is_empty() {
         return;
     }
     let verdicts = host.quarantine().take(clock::now(), suspects);
-    verdicts.iter().for_each(|it| note_verdict(host, it, source));
+    verdicts.iter().for_each(|it| record_verdict(host, it, source));
 }
 
 /// Adds what this host knows to its own digest.
-pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, audience: &Audience, digest: &mut Digest) {
     digest.suspects = host.quarantine().report(clock::now(), audience, digest.sequence);
 }
 
 /// Adds what the hosts of this data centre know to their sum.
-pub(crate) fn summarize(host: &Host, digest: &mut Digest) {
+pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
     digest.suspects = host.quarantine().summarize(clock::now());
 }
 
 /// Returns a time as callers are told it, in whole seconds.
-pub(crate) fn seconds(time: Duration) -> Duration {
+pub(crate) fn whole_seconds(time: Duration) -> Duration {
     Duration::from_secs(time.as_secs() + 1)
 }
 
-fn note_verdict(host: &Host, it: &Verdict, source: Source) {
+fn record_verdict(host: &Host, it: &Verdict, source: VerdictSource) {
     log::warn!(
         fingerprint = it.request.fingerprint_text(), workspace_hash = it.request.workspace,
         n_ends = it.n_ends, left_s = it.left.as_secs(), source:?; "request quarantined"
     );
     host.metrics.count("requests_quarantined");
     if it.is_own {
-        host.keep_verdict(it.request);
+        host.persist_verdict(it.request);
     }
 }
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -11,15 +11,15 @@
 use prost::Message;
 
 use crate::{
-    quarantine::{Source, take},
+    quarantine::{VerdictSource, merge_suspects},
     state::Host,
 };
 
-/// Pause after a call that failed; it doubles up to [`LONGEST_PAUSE`].
+/// Pause after a call that failed; it doubles up to [`MAX_PAUSE`].
 const PAUSE: Duration = Duration::from_millis(600);
 /// Longest such pause: what is kept matters after a loss of all hosts only, and a store that is down is not to be
 /// asked by each of them all the time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_PAUSE: Duration = Duration::from_secs(10);
 /// Time between two looks at the table while a data centre cannot be heard: what it knows of a lethal request is to be
 /// known here within three seconds.
 const CUT_PERIOD: Duration = Duration::from_millis(1500);
@@ -37,49 +37,49 @@
 /// In a data centre of many hosts the first ones by hash read it before they are ready, and whoever follows the store
 /// after that; the others hear it from them. On a day of 295 hosts all calls to the store were 4,122 where each read it
 /// at its start, 3,984 where these do (one play each), 3,839 without it.
-pub(crate) async fn read(host: Arc<Host>, store: Store) {
+pub(crate) async fn load(host: Arc<Host>, store: Store) {
     let mut has_read = false;
-    if host.others().is_among_first(FIRST) {
+    if host.peers().is_among_first(FIRST) {
         let mut pause = PAUSE;
-        while !read_once(&host, &store).await {
+        while !load_once(&host, &store).await {
             clock::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_PAUSE);
         }
         has_read = true;
     }
-    host.note_recalled();
+    host.mark_quarantine_loaded();
     loop {
         clock::sleep(CUT_PERIOD).await;
-        if host.is_reader() && (!has_read || may_know_less(&host)) {
-            has_read |= read_once(&host, &store).await;
+        if host.is_store_reader() && (!has_read || peers_may_know_more(&host)) {
+            has_read |= load_once(&host, &store).await;
         }
     }
 }
 
 /// Returns whether a data centre cannot be heard that may know of what is suspected here.
-fn may_know_less(host: &Host) -> bool {
-    let is_cut = host.others().misses_centre(clock::now());
+fn peers_may_know_more(host: &Host) -> bool {
+    let is_cut = host.peers().misses_centre(clock::now());
     is_cut && 0 < host.quarantine().n_suspects()
 }
 
 /// Reads what the store keeps; returns whether it told.
-async fn read_once(host: &Host, store: &Store) -> bool {
+async fn load_once(host: &Host, store: &Store) -> bool {
     let rows = match store.read(store::QUARANTINE).await {
         Ok(it) => it.rows,
         Err(err) => {
             // Other hosts may tell it; callers do not wait for a store that is down.
-            host.note_recalled();
+            host.mark_quarantine_loaded();
             log::warn!(err:%; "quarantine not read");
             return false;
         }
     };
-    let (kept, past): (Vec<_>, Vec<_>) = rows.into_iter().map(decode).partition(Result::is_ok);
+    let (kept, past): (Vec<_>, Vec<_>) = rows.into_iter().map(decode_row).partition(Result::is_ok);
     let suspects: Vec<Suspect> = kept.into_iter().flatten().collect();
     if !suspects.is_empty() {
         log::info!(n = suspects.len(); "quarantine read");
     }
-    take(host, &suspects, Source::Store);
-    host.note_recalled();
+    merge_suspects(host, &suspects, VerdictSource::Store);
+    host.mark_quarantine_loaded();
     let keys: Vec<String> = past.into_iter().filter_map(Result::err).take(MAX_REMOVED).collect();
     if !keys.is_empty()
         && let Err(err) = store.remove(store::QUARANTINE, &keys).await
@@ -90,35 +90,35 @@
 }
 
 /// Has the store keep all that this host refuses: it has lost what it kept.
-pub(crate) fn keep_all(host: &Host) {
+pub(crate) fn persist_all(host: &Host) {
     let verdicts = host.quarantine().verdicts(clock::now());
-    verdicts.iter().for_each(|it| host.keep_verdict(it.request));
+    verdicts.iter().for_each(|it| host.persist_verdict(it.request));
 }
 
 /// Writes the requests that come in.
-pub(crate) async fn write(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
+pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
     while let Ok(request) = requests.recv().await {
-        write_one(&host, &store, request).await;
+        write_verdict(&host, &store, request).await;
     }
 }
 
 /// Writes what is known against a request by then, until the store has it.
-async fn write_one(host: &Host, store: &Store, request: Request) {
+async fn write_verdict(host: &Host, store: &Store, request: Request) {
     let mut pause = PAUSE;
     loop {
         let known = host.quarantine().record(clock::now(), request);
         let Some(suspect) = known else { return };
         let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
-        let res = store.write(store::QUARANTINE, &key(request), &row.encode_to_vec()).await;
+        let res = store.write(store::QUARANTINE, &row_key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
         log::warn!(fingerprint = request.fingerprint_text(), err:%; "quarantine not written");
         clock::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
     }
 }
 
 /// Returns the key of a request's row.
-fn key(request: Request) -> String {
+fn row_key(request: Request) -> String {
     format!("{:08x}-{:x}", request.workspace, request.fingerprint % PLACES)
 }
 
@@ -127,7 +127,7 @@
 /// # Errors
 ///
 /// The key of a row that says nothing that still matters, or cannot be read.
-fn decode(row: Row) -> Result<Suspect, String> {
+fn decode_row(row: Row) -> Result<Suspect, String> {
     let stored = row.value.and_then(|it| StoredSuspect::decode(it.as_slice()).ok());
     let Some(StoredSuspect { suspect: Some(mut suspect), written }) = stored else {
         return Err(row.key);
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -11,7 +11,7 @@
 use portfield_net::{clock, events::Events};
 
 use crate::{
-    attempt::{Live, explain},
+    attempt::{UpstreamResponse, error_chain},
     exchange::Exchange,
     quarantine,
     response::Body,
@@ -28,9 +28,9 @@
 /// # Errors
 ///
 /// The exchange, where the stream broke before its first event and may be sent again.
-pub(crate) async fn stream(
+pub(crate) async fn relay_stream(
     exchange: Exchange,
-    live: Box<Live>,
+    live: Box<UpstreamResponse>,
 ) -> Result<Response<Body>, Exchange> {
     let mut parts = live.parts.clone();
     portfield_platform::request::strip_hop(&mut parts.headers);
@@ -60,7 +60,7 @@
 
 struct Relay {
     exchange: Exchange,
-    live: Option<Box<Live>>,
+    live: Option<Box<UpstreamResponse>>,
     events: Events,
     first: Option<Duration>,
     /// When the wait for the next piece ends.
@@ -91,10 +91,10 @@
                     if whole.is_empty() {
                         continue;
                     }
-                    self.note_events();
+                    self.record_events();
                     return Ok(Some(whole));
                 }
-                Some(Some(Err(err))) => explain(&err),
+                Some(Some(Err(err))) => error_chain(&err),
                 None if self.exchange.call.left().is_zero() => "the route's time was up".to_owned(),
                 // An engine that ran out of memory reads a prompt again: better late than cut.
                 None if self.first.is_some() && !self.exchange.has_other() => {
@@ -103,7 +103,7 @@
                 }
                 None => "the upstream fell silent".to_owned(),
             };
-            self.go_on(cause).await?;
+            self.resume(cause).await?;
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Notes that whole events came.
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         if self.first.is_none() {
             self.first = Some(clock::now());
             self.exchange.begin();
@@ -134,10 +134,10 @@
     /// Notes the stream's whole end and keeps its connection.
     fn end(&mut self) {
         let Some(live) = self.live.take() else { return };
-        let Live { head, connection, mut run, upstream, .. } = *live;
+        let UpstreamResponse { head, connection, mut run, upstream, .. } = *live;
         run.first();
         run.end(Ending::Done);
-        quarantine::succeeded(&self.exchange.host, &self.exchange.call);
+        quarantine::record_success(&self.exchange.host, &self.exchange.call);
         if head.keeps {
             self.exchange.host.pool.put(upstream.number(), connection, head.idle);
         }
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Where that is not allowed or not possible: the caller's connection must break too.
-    async fn go_on(&mut self, cause: String) -> io::Result<()> {
+    async fn resume(&mut self, cause: String) -> io::Result<()> {
         if let Some(mut live) = self.live.take() {
             let timed_out = self.exchange.call.left().is_zero();
             live.run.end(if timed_out { Ending::Cancelled } else { Ending::Broken });
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -12,7 +12,7 @@
 /// What a caller that has left is told; nobody reads it.
 pub(crate) const CALLER_LEFT: &str = "the caller has left";
 /// When it is told to come back.
-pub(crate) const GONE_RETRY: Duration = Duration::ZERO;
+pub(crate) const CALLER_LEFT_RETRY: Duration = Duration::ZERO;
 
 /// Body of an answer to a caller.
 pub(crate) type Body = UnsyncBoxBody<Bytes, std::io::Error>;
@@ -43,27 +43,31 @@
 
 impl Failure {
     /// Builds the rejection of a bad request.
-    pub(crate) fn bad(status: StatusCode, field: &'static str, reason: impl Into<String>) -> Self {
+    pub(crate) fn rejected(
+        status: StatusCode,
+        field: &'static str,
+        reason: impl Into<String>,
+    ) -> Self {
         Self { status, field, reason: reason.into(), retry: None, answered: Answered::Served }
     }
 
     /// Builds the refusal of a request that did not run and will not.
-    pub(crate) fn refused(reason: impl Into<String>, retry: Duration) -> Self {
-        Self { retry: Some(retry), ..Self::bad(StatusCode::SERVICE_UNAVAILABLE, "", reason) }
+    pub(crate) fn unavailable(reason: impl Into<String>, retry: Duration) -> Self {
+        Self { retry: Some(retry), ..Self::rejected(StatusCode::SERVICE_UNAVAILABLE, "", reason) }
     }
 
     /// Builds the refusal of a request that this host has no processor time for.
     pub(crate) fn overloaded(retry: Duration) -> Self {
-        Self { answered: Answered::Refused, ..Self::refused("this host is overloaded", retry) }
+        Self { answered: Answered::Refused, ..Self::unavailable("this host is overloaded", retry) }
     }
 
     /// Builds the end of a request that may have run.
-    pub(crate) fn unknown(status: StatusCode, reason: impl Into<String>) -> Self {
-        Self::bad(status, "", reason)
+    pub(crate) fn outcome_unknown(status: StatusCode, reason: impl Into<String>) -> Self {
+        Self::rejected(status, "", reason)
     }
 
     /// Builds the answer.
-    pub(crate) fn answer(&self, id: &str) -> Response<Body> {
+    pub(crate) fn to_response(&self, id: &str) -> Response<Body> {
         let may_have_run =
             matches!(self.status, StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT);
         let outcome = if may_have_run { "unknown" } else { "not-run" };
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -25,7 +25,7 @@
 use crate::{
     call::Call,
     forward,
-    response::{Body, CALLER_LEFT, Failure, GONE_RETRY},
+    response::{Body, CALLER_LEFT, CALLER_LEFT_RETRY, Failure},
     state::Host,
 };
 
@@ -44,20 +44,20 @@
     let (open, all_closed) = async_channel::bounded::<()>(1);
     loop {
         let accept = async { Some(listener.accept().await) };
-        match future::or(stopped(&stop), accept).await {
+        match future::or(wait_for_stop(&stop), accept).await {
             None => break,
             Some(Err(err)) => {
-                host.lacks_descriptors(&err);
+                host.handle_fd_exhaustion(&err);
                 clock::sleep(ACCEPT_PAUSE).await;
             }
             Some(Ok((stream, _))) => {
                 let (task, stop, open) = (host.clone(), stop.clone(), open.clone());
-                host.intake.accepted();
+                host.ingress.record_accepted();
                 host.rt.spawn(async move {
                     // Else a request that ends this host would go to the next one.
-                    let served = connection(task.clone(), stream, stop);
+                    let served = serve_connection(task.clone(), stream, stop);
                     contain::run("caller's connection", served).await;
-                    task.intake.ended();
+                    task.ingress.record_closed();
                     drop(open);
                 });
             }
@@ -68,22 +68,22 @@
     let _ = all_closed.recv().await;
 }
 
-async fn stopped<T>(stop: &Receiver<()>) -> Option<T> {
+async fn wait_for_stop<T>(stop: &Receiver<()>) -> Option<T> {
     let _ = stop.recv().await;
     None
 }
 
-async fn connection(host: Arc<Host>, stream: TcpStream, stop: Receiver<()>) {
+async fn serve_connection(host: Arc<Host>, stream: TcpStream, stop: Receiver<()>) {
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!(err:%; "option not set");
     }
-    let idle = host.in_force().map_or(FIRST_IDLE, |it| it.catalog.limits().idle_time);
+    let idle = host.active_config().map_or(FIRST_IDLE, |it| it.catalog.limits().idle_time);
     let stream = Arc::<Async<std::net::TcpStream>>::from(stream);
     let told_to_close = AtomicBool::new(false);
     let service = service_fn(|request| {
         let (host, caller, told_to_close) = (host.clone(), stream.clone(), &told_to_close);
         async move {
-            let res = answer(host, &caller, request).await;
+            let res = handle_request(host, &caller, request).await;
             told_to_close.store(res.headers().contains_key(header::CONNECTION), Ordering::Relaxed);
             Ok::<_, Infallible>(res)
         }
@@ -95,7 +95,7 @@
         .serve_connection(Socket::from(stream.clone()), service);
     let mut connection = std::pin::pin!(connection);
     let ended = async { Some(connection.as_mut().await) };
-    let res = match future::or(ended, stopped(&stop)).await {
+    let res = match future::or(ended, wait_for_stop(&stop)).await {
         Some(res) => res,
         None => {
             connection.as_mut().graceful_shutdown();
@@ -103,7 +103,7 @@
         }
     };
     if !told_to_close.load(Ordering::Relaxed) && res.is_ok() {
-        host.intake.left();
+        host.ingress.record_caller_close();
     }
     if let Err(err) = res {
         host.metrics.count("caller_connections_broken");
@@ -111,27 +111,27 @@
     }
 }
 
-async fn answer(
+async fn handle_request(
     host: Arc<Host>,
     caller: &Arc<Async<std::net::TcpStream>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     host.metrics.count("requests");
-    host.intake.requested();
+    host.ingress.record_request();
     let id = request.headers().get(portfield_platform::request::ATTEMPT_ID);
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
-    let (mut res, answered) = match read(&host, caller, request).await {
-        Ok(call) => (forward::run(host.clone(), call).await, Answered::Served),
+    let (mut res, answered) = match read_request(&host, caller, request).await {
+        Ok(call) => (forward::serve_request(host.clone(), call).await, Answered::Served),
         Err(it) => {
             log::info!(
                 request = id, status = it.status.as_u16(), field = it.field, reason = it.reason,
                 config = host.config_version(); "rejected"
             );
             host.metrics.count(&format!("rejected{{status=\"{}\"}}", it.status.as_u16()));
-            (it.answer(&id), it.answered)
+            (it.to_response(&id), it.answered)
         }
     };
-    if host.closes(answered) {
+    if host.should_close(answered) {
         res.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     res
@@ -146,7 +146,7 @@
 /// # Errors
 ///
 /// The answer to a request that is not to be passed on.
-async fn read(
+async fn read_request(
     host: &Host,
     caller: &Arc<Async<std::net::TcpStream>>,
     request: Request<Incoming>,
@@ -154,7 +154,7 @@
     let call = Call::read(host, caller, request).await?;
     if socket::is_closed(caller) {
         host.metrics.count("callers_left_before");
-        return Err(Failure::refused(CALLER_LEFT, GONE_RETRY));
+        return Err(Failure::unavailable(CALLER_LEFT, CALLER_LEFT_RETRY));
     }
     Ok(call)
 }
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -25,24 +25,25 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    active_probes::Trying, atomic_instant::Moment, ingress::Intake, metrics::Metrics, pool::Pool,
-    settings::Settings, store_watch::OUTAGE, upstream_list::Listed,
+    active_probes::ActiveProbes, atomic_instant::AtomicInstant, ingress::IngressStats,
+    metrics::Metrics, pool::Pool, settings::Settings, store_watch::OUTAGE,
+    upstream_list::UpstreamList,
 };
 
 /// Time after a connection could not be accepted for which callers are sent elsewhere: the platform
 /// asks once a second, and descriptors are freed as answers end.
-const ACCEPT_TROUBLE: Duration = Duration::from_millis(1500);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Time for which a host that ends still takes streams: the platform needs two misses, a second
 /// apart, to send callers elsewhere.
-pub(crate) const TAKE_MOST: Duration = Duration::from_millis(2600);
+pub(crate) const STREAM_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 
 /// Verdicts that may wait to be written while the store is down; other hosts know them too.
-const MAX_UNKEPT: usize = 256;
+const MAX_PENDING_VERDICTS: usize = 256;
 
 /// A configuration and the bytes that it was read from.
 #[derive(Debug, Clone)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfig {
     pub catalog: Arc<Catalog>,
     pub bytes: Bytes,
 }
@@ -53,38 +54,38 @@
     pub rt: Runtime,
     pub settings: RwLock<Arc<Settings>>,
     pub metrics: Metrics,
-    pub intake: Intake,
+    pub ingress: IngressStats,
     pub pool: Pool,
-    pub trying: Trying,
+    pub probes: ActiveProbes,
     pub incarnation: u64,
     own_hash: u64,
-    in_force: RwLock<Option<InForce>>,
-    pub listed: RwLock<Listed>,
+    active_config: RwLock<Option<ActiveConfig>>,
+    pub listed: RwLock<UpstreamList>,
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
-    others: Mutex<Others>,
-    readers: Mutex<Readers>,
-    witness: Mutex<Witness>,
+    peers: Mutex<Others>,
+    store_readers: Mutex<Readers>,
+    store_contacts: Mutex<Witness>,
     governor: Mutex<Governor>,
-    breaks: Mutex<Breaks>,
+    broken_runs: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
-    waking: Mutex<Waking>,
+    suspension: Mutex<Waking>,
     /// Requests whose verdict the store is to keep.
-    verdicts: Sender<Request>,
+    verdict_queue: Sender<Request>,
     /// When the store was first asked which requests are refused.
-    recalled: Moment,
+    quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
-    met: Moment,
+    hosts_loaded: AtomicInstant,
     /// How often the store came back from a copy of itself, as far as this host has heard.
-    era: AtomicU64,
+    store_era: AtomicU64,
     /// When the process was told to stop.
-    stopping: Moment,
+    stopping: AtomicInstant,
     /// Held by every request that is not answered yet.
     active: Arc<()>,
     /// When the store last answered.
-    store_heard: Moment,
+    store_response: AtomicInstant,
     /// When a connection could last not be accepted.
-    not_accepted: Moment,
+    accept_failure: AtomicInstant,
 }
 
 impl Host {
@@ -94,44 +95,44 @@
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
         let place = Place {
             host: host_hash(settings.peers),
-            data_centre: hash(&settings.data_centre),
+            data_centre: hash_name(&settings.data_centre),
             direct: settings.direct_hosts,
         };
         let incarnation = fastrand::u64(1..);
         let mut balancer = Balancer::new(settings.share_window);
         balancer.seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
-        let (verdicts, kept) = async_channel::bounded(MAX_UNKEPT);
+        let (verdict_queue, pending) = async_channel::bounded(MAX_PENDING_VERDICTS);
         let res = Arc::new(Self {
             pool: Pool::new(rt.clone()),
-            trying: Trying::default(),
+            probes: ActiveProbes::default(),
             rt,
             metrics: Metrics::default(),
-            intake: Intake::default(),
+            ingress: IngressStats::default(),
             incarnation,
-            in_force: RwLock::new(None),
+            active_config: RwLock::new(None),
             listed: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            others: Mutex::new(Others::new(place, seeds)),
+            peers: Mutex::new(Others::new(place, seeds)),
             own_hash: place.host,
-            readers: Mutex::new(Readers::new(settings.pace)),
-            witness: Mutex::new(Witness::new(OUTAGE)),
+            store_readers: Mutex::new(Readers::new(settings.pace)),
+            store_contacts: Mutex::new(Witness::new(OUTAGE)),
             governor: Mutex::default(),
-            breaks: Mutex::default(),
+            broken_runs: Mutex::default(),
             quarantine: Mutex::default(),
-            waking: Mutex::default(),
-            verdicts,
-            recalled: Moment::default(),
-            met: Moment::default(),
-            era: AtomicU64::new(0),
-            stopping: Moment::default(),
+            suspension: Mutex::default(),
+            verdict_queue,
+            quarantine_loaded: AtomicInstant::default(),
+            hosts_loaded: AtomicInstant::default(),
+            store_era: AtomicU64::new(0),
+            stopping: AtomicInstant::default(),
             active: Arc::new(()),
-            store_heard: Moment::default(),
-            not_accepted: Moment::default(),
+            store_response: AtomicInstant::default(),
+            accept_failure: AtomicInstant::default(),
             settings: RwLock::new(Arc::new(settings)),
         });
-        (res, kept)
+        (res, pending)
     }
 
     /// Returns the settings in force.
@@ -140,18 +141,18 @@
     }
 
     /// Returns the configuration in force.
-    pub(crate) fn in_force(&self) -> Option<InForce> {
-        self.in_force.read().unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn active_config(&self) -> Option<ActiveConfig> {
+        self.active_config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Returns the version of the configuration in force, zero before there is one.
     pub(crate) fn config_version(&self) -> u64 {
-        self.in_force().map_or(0, |it| it.catalog.version())
+        self.active_config().map_or(0, |it| it.catalog.version())
     }
 
     /// Puts a configuration in force, unless one as new is already; `source` says where it came
     /// from.
-    pub(crate) fn adopt(&self, bytes: Bytes, source: &str) {
+    pub(crate) fn apply_config(&self, bytes: Bytes, source: &str) {
         let decode = || portfield_platform::config::decode(&bytes);
         let Some(decoded) = contain::call("configuration", decode) else { return };
         let catalog = match decoded {
@@ -161,16 +162,16 @@
                 return;
             }
         };
-        let mut in_force = self.in_force.write().unwrap_or_else(PoisonError::into_inner);
-        let old = in_force.as_ref().map_or(0, |it| it.catalog.version());
+        let mut active_config = self.active_config.write().unwrap_or_else(PoisonError::into_inner);
+        let old = active_config.as_ref().map_or(0, |it| it.catalog.version());
         if catalog.version() <= old {
             return;
         }
         self.balancer().set_capacity(catalog.limits().tokens_rate);
         let version = catalog.version();
-        *in_force = Some(InForce { catalog: Arc::new(catalog), bytes });
-        drop(in_force);
-        self.update_list(Listed::retell_cold);
+        *active_config = Some(ActiveConfig { catalog: Arc::new(catalog), bytes });
+        drop(active_config);
+        self.update_list(UpstreamList::reset_cold);
         log::info!(version, old, source; "configuration in force");
         self.metrics.count("config_changes");
     }
@@ -181,18 +182,18 @@
     }
 
     /// Counts a request towards a service's retry budget.
-    pub(crate) fn earn_retry(&self, service: u32) {
+    pub(crate) fn deposit_retry(&self, service: u32) {
         self.with_budget(service, |it, _| it.earn(clock::now()));
     }
 
     /// Pays for sending a request a second time, if the budget allows it.
-    pub(crate) fn spend_retry(&self, service: u32) -> bool {
+    pub(crate) fn withdraw_retry(&self, service: u32) -> bool {
         self.with_budget(service, |it, n_hosts| it.spend(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
         // Hosts that fell silent may still repeat requests behind a cut.
-        let n_hosts = 1 + self.others().n_known();
+        let n_hosts = 1 + self.peers().n_known();
         let it = self.settings();
         let new = || RetryBudget::new(it.retry_ratio, it.retry_extra, it.retry_window);
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
@@ -200,8 +201,8 @@
     }
 
     /// Returns the other hosts.
-    pub(crate) fn others(&self) -> MutexGuard<'_, Others> {
-        self.others.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn peers(&self) -> MutexGuard<'_, Others> {
+        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns this host's own load.
@@ -210,13 +211,13 @@
     }
 
     /// Returns the runs that broke of late.
-    pub(crate) fn breaks(&self) -> MutexGuard<'_, Breaks> {
-        self.breaks.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn broken_runs(&self) -> MutexGuard<'_, Breaks> {
+        self.broken_runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether this host has stood still, and what it has heard since.
-    pub(crate) fn waking(&self) -> MutexGuard<'_, Waking> {
-        self.waking.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn suspension(&self) -> MutexGuard<'_, Waking> {
+        self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the requests that something is known against.
@@ -225,54 +226,54 @@
     }
 
     /// Notes that the store has told which requests are refused, or cannot.
-    pub(crate) fn note_recalled(&self) {
-        self.recalled.note();
+    pub(crate) fn mark_quarantine_loaded(&self) {
+        self.quarantine_loaded.set_now();
     }
 
     /// Notes that the table of hosts was read.
-    pub(crate) fn note_met(&self) {
-        self.met.note();
+    pub(crate) fn mark_hosts_loaded(&self) {
+        self.hosts_loaded.set_now();
     }
 
     /// Returns whether the table of hosts was ever read.
-    pub(crate) fn has_met(&self) -> bool {
-        self.met.age().is_some()
+    pub(crate) fn has_loaded_hosts(&self) -> bool {
+        self.hosts_loaded.elapsed().is_some()
     }
 
     /// Returns how often the store came back from a copy of itself, as far as this host has heard.
-    pub(crate) fn era(&self) -> u64 {
-        self.era.load(Ordering::Relaxed)
+    pub(crate) fn store_era(&self) -> u64 {
+        self.store_era.load(Ordering::Relaxed)
     }
 
     /// Notes the era of the store; `source` says where it was heard.
-    pub(crate) fn note_era(&self, era: u64, source: &str) {
-        let before = self.era.fetch_max(era, Ordering::Relaxed);
+    pub(crate) fn update_store_era(&self, era: u64, source: &str) {
+        let before = self.store_era.fetch_max(era, Ordering::Relaxed);
         if before < era {
             log::warn!(era, before, source; "store went back");
         }
     }
 
     /// Has the store keep what is known against a request.
-    pub(crate) fn keep_verdict(&self, request: Request) {
-        if self.verdicts.try_send(request).is_err() {
+    pub(crate) fn persist_verdict(&self, request: Request) {
+        if self.verdict_queue.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
             log::warn!(fingerprint = request.fingerprint_text(); "verdict not kept");
         }
     }
 
     /// Returns whether a caller's connection is to be closed after an answer.
-    pub(crate) fn closes(&self, answered: Answered) -> bool {
-        self.is_stopping() || self.governor().closes(answered) || !self.accepts()
+    pub(crate) fn should_close(&self, answered: Answered) -> bool {
+        self.is_stopping() || self.governor().closes(answered) || !self.can_accept()
     }
 
     /// Looks anew at whom to tell what this host did.
-    pub(crate) fn look(&self) -> Audience {
-        self.others().look(clock::now())
+    pub(crate) fn refresh_audience(&self) -> Audience {
+        self.peers().look(clock::now())
     }
 
     /// Returns whom to tell what this host did, as of the last look.
     pub(crate) fn audience(&self) -> Audience {
-        self.others().audience()
+        self.peers().audience()
     }
 
     /// Returns the hash that names this host among the others.
@@ -281,96 +282,96 @@
     }
 
     /// Notes what another host said of itself.
-    pub(crate) fn hear(&self, it: Follower) {
-        self.readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
+    pub(crate) fn record_follower(&self, it: Follower) {
+        self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
     }
 
     /// Notes that another host heard the store at a time.
-    pub(crate) fn note_witness(&self, at: Duration) {
-        self.witness.lock().unwrap_or_else(PoisonError::into_inner).note(at);
+    pub(crate) fn record_store_contact(&self, at: Duration) {
+        self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).note(at);
     }
 
     /// Returns whether others have heard the store from a time on until now.
-    pub(crate) fn is_witnessed(&self, from: Duration) -> bool {
-        let witness = self.witness.lock().unwrap_or_else(PoisonError::into_inner);
+    pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
+        let witness = self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner);
         witness.covers(from, clock::now())
     }
 
     /// Returns whether this host is to follow the store itself.
-    pub(crate) fn is_reader(&self) -> bool {
-        let data_centre = hash(&self.settings().data_centre);
+    pub(crate) fn is_store_reader(&self) -> bool {
+        let data_centre = hash_name(&self.settings().data_centre);
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
-        let readers = self.readers.lock().unwrap_or_else(PoisonError::into_inner);
+        let readers = self.store_readers.lock().unwrap_or_else(PoisonError::into_inner);
         readers.is_reader(now, self.own_hash, data_centre, n_others)
     }
 
     /// Notes that the store answered.
-    pub(crate) fn store_answered(&self) {
-        self.store_heard.note();
+    pub(crate) fn record_store_response(&self) {
+        self.store_response.set_now();
     }
 
     /// Returns how long ago the store last answered; for ever if it never did.
     pub(crate) fn store_age(&self) -> Duration {
-        self.store_heard.age().unwrap_or(Duration::MAX)
+        self.store_response.elapsed().unwrap_or(Duration::MAX)
     }
 
     /// Returns whether the list of upstreams is to be taken from other hosts.
-    pub(crate) fn needs_list(&self) -> bool {
-        self.settings().pace.silent < self.store_age() || !self.is_reader()
+    pub(crate) fn needs_peer_list(&self) -> bool {
+        self.settings().pace.silent < self.store_age() || !self.is_store_reader()
     }
 
     /// Returns whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        let known = self.in_force().is_some() && !self.with_list(|it| it.directory.is_empty());
-        let is_recalled = self.recalled.age().is_some();
+        let known = self.active_config().is_some() && !self.with_list(|it| it.directory.is_empty());
+        let is_recalled = self.quarantine_loaded.elapsed().is_some();
         known
             && is_recalled
-            && self.trusts()
+            && self.has_fresh_state()
             && !self.is_stopping()
             && !self.governor().is_busy()
-            && self.accepts()
+            && self.can_accept()
     }
 
     /// Notes that a connection could not be opened or accepted for want of descriptors, and frees some:
     /// kept connections now, callers' with their next answers.
-    pub(crate) fn lacks_descriptors(&self, err: &io::Error) {
-        if self.accepts() {
+    pub(crate) fn handle_fd_exhaustion(&self, err: &io::Error) {
+        if self.can_accept() {
             log::warn!(err:%, active = self.n_active(); "connection not accepted");
         }
         self.metrics.count("connections_not_accepted");
-        self.not_accepted.note();
+        self.accept_failure.set_now();
         self.pool.clear();
     }
 
     /// Returns whether connections could be accepted of late.
-    fn accepts(&self) -> bool {
-        self.not_accepted.age().is_none_or(|it| ACCEPT_TROUBLE < it)
+    fn can_accept(&self) -> bool {
+        self.accept_failure.elapsed().is_none_or(|it| ACCEPT_BACKOFF < it)
     }
 
     /// Returns whether the process was told to stop.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stopping.age().is_some()
+        self.stopping.elapsed().is_some()
     }
 
     /// Returns how long ago the process was told to stop.
-    pub(crate) fn stopping_for(&self) -> Option<Duration> {
-        self.stopping.age()
+    pub(crate) fn stopping_elapsed(&self) -> Option<Duration> {
+        self.stopping.elapsed()
     }
 
     /// Returns whether new streams are taken: a host that was told to stop takes them only until callers
     /// are sent elsewhere.
-    pub(crate) fn takes_streams(&self) -> bool {
-        self.stopping_for().is_none_or(|it| it <= TAKE_MOST)
+    pub(crate) fn accepts_streams(&self) -> bool {
+        self.stopping_elapsed().is_none_or(|it| it <= STREAM_ACCEPT_TIME)
     }
 
     /// Turns readiness off for good.
-    pub(crate) fn stop(&self) {
-        self.stopping.note();
+    pub(crate) fn begin_shutdown(&self) {
+        self.stopping.set_now();
     }
 
     /// Returns what a request holds until it is answered.
-    pub(crate) fn hold(&self) -> Arc<()> {
+    pub(crate) fn track_request(&self) -> Arc<()> {
         self.active.clone()
     }
 
@@ -381,6 +382,6 @@
 }
 
 /// Returns the number of a name among the hosts.
-pub(crate) fn hash(name: &str) -> u32 {
+pub(crate) fn hash_name(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -16,19 +16,19 @@
 use crate::{
     evacuations, host_discovery, quarantine_store,
     state::Host,
-    table_read::{Extent, ListRow, Reading, take_list},
+    table_read::{ListRow, ReadScope, TableRead, apply_list},
     upstream_signals,
 };
 
-/// Pause after a call that failed; grows by half of itself up to [`LONGEST_PAUSE`].
+/// Pause after a call that failed; grows by half of itself up to [`MAX_PAUSE`].
 const PAUSE: Duration = Duration::from_millis(150);
 /// Longest such pause: a change must be in force two seconds after it was acknowledged.
-pub(crate) const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+pub(crate) const MAX_PAUSE: Duration = Duration::from_millis(600);
 /// Least time between the beginnings of two calls for what the operator wrote.
-const GATHER: Duration = Duration::from_millis(100);
+const OPERATOR_INTERVAL: Duration = Duration::from_millis(100);
 /// The same for the list of upstreams: those that come, go or warm up one after the other are told together, and who
 /// leaves must get nothing more two seconds later.
-const GATHER_LIST: Duration = Duration::from_millis(300);
+const LIST_INTERVAL: Duration = Duration::from_millis(300);
 /// Time after the first look at a table before its changes are followed: by then a host knows
 /// how many there are, and whether it is one that follows.
 const SETTLE: Duration = Duration::from_millis(1000);
@@ -36,7 +36,7 @@
 /// heartbeats of 1.2 s after which the platform removes one, and longer than it holds a call.
 pub(crate) const OUTAGE: Duration = Duration::from_millis(3200);
 /// Characters of an error that are logged.
-const LONGEST_ERROR: usize = 200;
+const MAX_ERROR_CHARS: usize = 200;
 /// Time between two looks whether this host is to follow the store.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
 /// Time between two looks for entries that did not come back.
@@ -45,47 +45,47 @@
 /// Starts the tasks.
 pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
     let store = Store::new(host.settings().store, CALL_TIMEOUT);
-    let operator = Followed {
+    let operator = WatchedTable {
         table: store::OPERATOR,
         what: Knowledge::Config,
-        gather: GATHER,
-        take: take_operator,
+        interval: OPERATOR_INTERVAL,
+        take: apply_operator_rows,
     };
-    let upstreams = Followed {
+    let upstreams = WatchedTable {
         table: store::UPSTREAMS,
         what: Knowledge::Upstreams,
-        gather: GATHER_LIST,
-        take: take_upstreams,
+        interval: LIST_INTERVAL,
+        take: apply_upstream_rows,
     };
-    host.rt.spawn(Feed::new(host.clone(), store.clone(), operator).run());
-    host.rt.spawn(Feed::new(host.clone(), store.clone(), upstreams).run());
-    host.rt.spawn(quarantine_store::write(host.clone(), store.clone(), verdicts));
+    host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), operator).run());
+    host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), upstreams).run());
+    host.rt.spawn(quarantine_store::run_writer(host.clone(), store.clone(), verdicts));
     host.rt.spawn(host_discovery::run(host.clone(), store));
-    host.rt.spawn(expire(host.clone()));
+    host.rt.spawn(run_expiry(host.clone()));
 }
 
 /// A table that is followed.
 #[derive(Debug, Clone, Copy)]
-struct Followed {
+struct WatchedTable {
     table: &'static str,
     what: Knowledge,
     /// Least time between the beginnings of two calls.
-    gather: Duration,
-    take: fn(&Arc<Host>, News),
+    interval: Duration,
+    take: fn(&Arc<Host>, TableUpdate),
 }
 
 /// What came from the store.
 #[derive(Debug)]
-struct News {
+struct TableUpdate {
     rows: Vec<Row>,
-    reading: Reading,
+    reading: TableRead,
 }
 
 /// A table as this host follows it.
-struct Feed {
+struct TableWatcher {
     host: Arc<Host>,
     store: Store,
-    followed: Followed,
+    followed: WatchedTable,
     /// Changes after this version are news; `None` where the whole table is to be read.
     version: Option<StoreVersion>,
     /// The era of the last answer that was taken.
@@ -98,8 +98,8 @@
     pace: Duration,
 }
 
-impl Feed {
-    fn new(host: Arc<Host>, store: Store, followed: Followed) -> Self {
+impl TableWatcher {
+    fn new(host: Arc<Host>, store: Store, followed: WatchedTable) -> Self {
         Self {
             host,
             store,
@@ -117,80 +117,82 @@
     /// Follows the table for ever.
     async fn run(mut self) {
         loop {
-            if self.version.is_some() && !self.host.is_reader() {
+            if self.version.is_some() && !self.host.is_store_reader() {
                 // What changed meanwhile is told from this version on, or read anew.
                 clock::sleep(IDLE_PERIOD).await;
                 self.heard = clock::now();
                 continue;
             }
             let asked = clock::now();
-            match self.ask().await {
-                Ok(it) if it.version.era < self.host.era() => {
+            match self.read_next().await {
+                Ok(it) if it.version.era < self.host.store_era() => {
                     let era = it.version.era;
                     log::warn!(table = self.followed.table, era; "answer of an earlier store passed over");
-                    self.wait_longer().await;
+                    self.back_off().await;
                 }
                 Ok(it) if self.version.is_some_and(|last| last.era != it.version.era) => {
                     // The same number may be of another change now: only the whole table tells.
-                    self.host.note_era(it.version.era, "store");
+                    self.host.update_store_era(it.version.era, "store");
                     self.version = None;
                 }
-                Ok(it) => self.take(asked, it).await,
-                Err(err) => self.fail(&err).await,
+                Ok(it) => self.apply(asked, it).await,
+                Err(err) => self.handle_error(&err).await,
             }
         }
     }
 
-    async fn ask(&self) -> Result<Rows, Error> {
+    async fn read_next(&self) -> Result<Rows, Error> {
         let table = self.followed.table;
         match self.version {
             None => self.store.read(table).await,
             // A host that stood still does not wait for the next change to know the last one.
-            Some(it) if !self.host.trusts() => self.store.changes(table, it, Duration::ZERO).await,
+            Some(it) if !self.host.has_fresh_state() => {
+                self.store.changes(table, it, Duration::ZERO).await
+            }
             Some(it) => self.store.changes(table, it, self.host.settings().pace.hold).await,
         }
     }
 
-    async fn take(&mut self, asked: Duration, Rows { rows, version }: Rows) {
+    async fn apply(&mut self, asked: Duration, Rows { rows, version }: Rows) {
         let (now, table) = (clock::now(), self.followed.table);
         let silent = now - self.heard;
         if std::mem::take(&mut self.is_lost) {
             log::info!(table, silent_ms = silent.as_millis() as u64; "store regained");
         }
         // Where others heard the store all the while, only the way to it was cut: what it lacks is gone.
-        if OUTAGE < silent && !self.host.is_witnessed(self.heard) {
+        if OUTAGE < silent && !self.host.peers_reached_store(self.heard) {
             self.returned = Some(now);
         }
         self.heard = now;
         // A host that has only looked once follows nothing yet: others that do must not stop
         // for it.
         if self.version.is_some() {
-            self.host.store_answered();
+            self.host.record_store_response();
         }
         self.pause = PAUSE;
-        let extent = match (self.version, self.era) {
-            (Some(_), _) => Extent::Changes,
-            (None, Some(era)) if era < version.era => Extent::Copy,
-            (None, _) => Extent::Whole,
+        let scope = match (self.version, self.era) {
+            (Some(_), _) => ReadScope::Changes,
+            (None, Some(era)) if era < version.era => ReadScope::Restored,
+            (None, _) => ReadScope::Full,
         };
-        if extent == Extent::Copy {
+        if scope == ReadScope::Restored {
             self.returned = Some(now);
         }
-        self.host.note_era(version.era, "store");
+        self.host.update_store_era(version.era, "store");
         let recent = self.returned.filter(|it| now < *it + RETURN_GRACE);
         let source = match recent {
             Some(returned) => Source::AfterOutage { returned },
             None => Source::Current,
         };
-        let gap = std::mem::replace(&mut self.pace, self.followed.gather);
+        let gap = std::mem::replace(&mut self.pace, self.followed.interval);
         (self.version, self.era) = (Some(version), Some(version.era));
-        let news = News { rows, reading: Reading { version, extent, source } };
+        let news = TableUpdate { rows, reading: TableRead { version, scope, source } };
         (self.followed.take)(&self.host, news);
-        self.host.waking().heard_store(asked, self.followed.what);
+        self.host.suspension().heard_store(asked, self.followed.what);
         clock::sleep((asked + gap).saturating_sub(now)).await;
     }
 
-    async fn fail(&mut self, err: &Error) {
+    async fn handle_error(&mut self, err: &Error) {
         let table = self.followed.table;
         if store::is_history_gone(err) {
             let after = self.version.unwrap_or_default();
@@ -200,45 +202,45 @@
         }
         self.host.metrics.count(&format!("store_failed{{table=\"{table}\"}}"));
         if !std::mem::replace(&mut self.is_lost, true) {
-            log::warn!(table, err:% = describe(err); "store lost");
+            log::warn!(table, err:% = truncate_error(err); "store lost");
         }
-        self.wait_longer().await;
+        self.back_off().await;
     }
 
     /// Pauses before the next call, longer each time.
-    async fn wait_longer(&mut self) {
+    async fn back_off(&mut self) {
         clock::sleep(self.pause).await;
-        self.pause = (self.pause + self.pause / 2).min(LONGEST_PAUSE);
+        self.pause = (self.pause + self.pause / 2).min(MAX_PAUSE);
     }
 }
 
 /// Writes an error shortened: an answer's body may be long.
-pub(crate) fn describe(err: &Error) -> String {
-    err.to_string().chars().take(LONGEST_ERROR).collect()
+pub(crate) fn truncate_error(err: &Error) -> String {
+    err.to_string().chars().take(MAX_ERROR_CHARS).collect()
 }
 
-fn take_operator(host: &Arc<Host>, news: News) {
-    evacuations::take(host, &news.rows, &news.reading);
+fn apply_operator_rows(host: &Arc<Host>, news: TableUpdate) {
+    evacuations::apply_rows(host, &news.rows, &news.reading);
     let row = news.rows.into_iter().rev().find(|it| it.key == store::CONFIG_KEY);
     if let Some(bytes) = row.and_then(|it| it.value) {
-        host.adopt(Bytes::from(bytes), "store");
+        host.apply_config(Bytes::from(bytes), "store");
     }
 }
 
-fn take_upstreams(host: &Arc<Host>, news: News) {
-    if news.rows.is_empty() && news.reading.extent == Extent::Changes {
+fn apply_upstream_rows(host: &Arc<Host>, news: TableUpdate) {
+    if news.rows.is_empty() && news.reading.scope == ReadScope::Changes {
         return;
     }
     let row = |it: Row| ListRow { id: it.key, entry: it.value, version: it.version };
     let rows = news.rows.into_iter().map(row).collect();
-    host.update_list(|it| take_list(it, rows, &news.reading));
+    host.update_list(|it| apply_list(it, rows, &news.reading));
 }
 
-async fn expire(host: Arc<Host>) {
+async fn run_expiry(host: Arc<Host>) {
     loop {
         clock::sleep(EXPIRE_PERIOD).await;
         host.pool.sweep();
-        upstream_signals::log_backoffs_over(&host);
+        upstream_signals::log_expired_backoffs(&host);
         let now = clock::now();
         evacuations::expire(&host, now);
         if !host.with_list(|it| it.directory.has_late(now)) {
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -10,25 +10,25 @@
     /// Looks at the clock: whether this host stood still, and for how long if it has just gone on.
     ///
     /// Called often, and before anything that relies on what the host knows.
-    pub(crate) fn look_awake(&self) -> Option<Duration> {
-        let still = self.waking().look(clock::now())?;
+    pub(crate) fn check_suspension(&self) -> Option<Duration> {
+        let still = self.suspension().look(clock::now())?;
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
         clock::woke();
         self.balancer().stood_still(still);
-        self.others().drop_passing();
+        self.peers().drop_passing();
         Some(still)
     }
 
     /// Returns whether what this host knows of the fleet may be used.
-    pub(crate) fn trusts(&self) -> bool {
-        self.look_awake();
-        self.waking().trusts(clock::now())
+    pub(crate) fn has_fresh_state(&self) -> bool {
+        self.check_suspension();
+        self.suspension().trusts(clock::now())
     }
 
     /// Returns when this host last went on after it had stood still, if it ever did.
-    pub(crate) fn woke_at(&self) -> Option<Duration> {
-        self.look_awake();
-        self.waking().woke_at()
+    pub(crate) fn resumed_at(&self) -> Option<Duration> {
+        self.check_suspension();
+        self.suspension().woke_at()
     }
 }
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -7,7 +7,7 @@
 use portfield_net::contain;
 use portfield_platform::upstreams;
 
-use crate::upstream_list::Listed;
+use crate::upstream_list::UpstreamList;
 
 /// Upstreams that changed together, up to which each has a log line: a fleet of several hundred hosts
 /// that starts would else write a line for each upstream and host.
@@ -15,22 +15,22 @@
 
 /// As of when a table was read, and what that says of rows that are missing.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Reading {
+pub(crate) struct TableRead {
     pub version: StoreVersion,
-    pub extent: Extent,
+    pub scope: ReadScope,
     pub source: Source,
 }
 
 /// How much of a table was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Extent {
+pub(crate) enum ReadScope {
     /// What changed since the last reading.
     Changes,
     /// All of it.
-    Whole,
+    Full,
     /// All of it, from a store that came back from a copy of itself: what it has lost may be missing, and what was over
     /// may be there.
-    Copy,
+    Restored,
 }
 
 /// One row of the list, as the store or another host tells it.
@@ -61,8 +61,12 @@
 
 /// Changes the list, with a log line for each upstream that changed, or one for many; returns whether it is not older
 /// than what is known.
-pub(crate) fn take_list(listed: &mut Listed, rows: Vec<ListRow>, reading: &Reading) -> bool {
-    let Reading { version, extent, source } = *reading;
+pub(crate) fn apply_list(
+    listed: &mut UpstreamList,
+    rows: Vec<ListRow>,
+    reading: &TableRead,
+) -> bool {
+    let TableRead { version, scope, source } = *reading;
     // What is told on goes with the list's own version: older bytes would be taken for newer ones.
     if version < listed.directory.version() {
         log::info!(list:% = listed.directory.version(), read:% = version; "older list passed over");
@@ -72,7 +76,7 @@
     let directory = &mut listed.directory;
     // Who tells a list of a later era may have begun with the copy, and not know what is over.
     let is_later_era = !directory.is_empty() && directory.version().era < version.era;
-    let (told, as_read) = if extent == Extent::Copy || is_later_era {
+    let (told, as_read) = if scope == ReadScope::Restored || is_later_era {
         let versions = rows.iter().map(|it| it.version);
         let told = directory.without_past(read.iter().cloned().zip(versions));
         let as_read = ids_in_both(&read, &told);
@@ -80,9 +84,9 @@
     } else {
         (read, None)
     };
-    let changed = match extent {
-        Extent::Changes => directory.apply(version, told, source),
-        Extent::Whole | Extent::Copy => directory.replace(version, told, source),
+    let changed = match scope {
+        ReadScope::Changes => directory.apply(version, told, source),
+        ReadScope::Full | ReadScope::Restored => directory.replace(version, told, source),
     };
     rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
     // The bytes of what was not taken as it was read are not told on.
--- a/crates/portfield-host/src/upstream_list.rs
+++ b/crates/portfield-host/src/upstream_list.rs
@@ -14,13 +14,13 @@
 
 /// Upstreams and the entries they were read from, by id.
 #[derive(Debug, Default)]
-pub(crate) struct Listed {
+pub(crate) struct UpstreamList {
     pub directory: Directory,
     pub entries: HashMap<String, Bytes>,
     /// Data centres that are to get nothing.
     pub evacuations: Evacuations,
     /// By service, made anew with each change: every request reads it.
-    pub ready: HashMap<String, Arc<Ready>>,
+    pub ready: HashMap<String, Arc<ReadyUpstreams>>,
     /// Hashes of all of them.
     offered: HashSet<u64>,
     /// How long upstreams said that they stay cold, by hash; those that said so.
@@ -29,12 +29,12 @@
 
 /// The upstreams of a service that take new requests, both lists in the same order.
 #[derive(Debug, Default)]
-pub(crate) struct Ready {
+pub(crate) struct ReadyUpstreams {
     pub upstreams: Vec<Arc<Upstream>>,
     pub candidates: Vec<Candidate>,
 }
 
-impl Ready {
+impl ReadyUpstreams {
     /// Returns those of some data centres.
     pub(crate) fn within(&self, is_allowed: impl Fn(&str) -> bool) -> Self {
         let all = self.upstreams.iter().zip(&self.candidates);
@@ -44,19 +44,19 @@
     }
 }
 
-impl Listed {
+impl UpstreamList {
     /// Returns whether an upstream may be sent new requests.
     pub(crate) fn offers(&self, upstream: &Upstream) -> bool {
         self.offered.contains(&upstream.hash)
     }
 
     /// Has all upstreams tell again how long they stay cold: their services may be treated otherwise now.
-    pub(crate) fn retell_cold(&mut self) {
+    pub(crate) fn reset_cold(&mut self) {
         self.cold.clear();
     }
 
     /// Returns the upstreams that say something else than before of how long they stay cold.
-    pub(crate) fn take_cold(&mut self) -> Vec<Arc<Upstream>> {
+    pub(crate) fn take_cold_changes(&mut self) -> Vec<Arc<Upstream>> {
         let told = |it: &Arc<Upstream>| self.cold.get(&it.hash).copied().unwrap_or_default();
         let is_news = |it: &&Arc<Upstream>| it.entry.cold != told(it);
         let res: Vec<_> = self.directory.all().filter(is_news).cloned().collect();
@@ -67,7 +67,7 @@
 
     /// Makes the lists by service anew; `here` is this host's data centre.
     pub(crate) fn group(&mut self, here: &str) {
-        let mut ready: HashMap<String, Ready> = HashMap::new();
+        let mut ready: HashMap<String, ReadyUpstreams> = HashMap::new();
         let is_open = |it: &&Arc<Upstream>| !self.evacuations.covers(&it.entry.data_centre);
         self.offered = self.directory.ready().filter(is_open).map(|it| it.hash).collect();
         for it in self.directory.ready().filter(is_open) {
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -17,7 +17,7 @@
 /// Takes what the head of an answer says of the upstream that gave it, whatever else becomes of the answer.
 ///
 /// An answer that names another request came on this upstream's connection all the same, and is its own.
-pub(crate) fn hear(
+pub(crate) fn handle_response_head(
     host: &Host,
     call: &Call,
     asked: &Arc<Upstream>,
@@ -25,12 +25,12 @@
     head: &Head,
 ) {
     if let Some(other) = head.in_place_of(&asked.entry.id) {
-        note_replaced(host, call, asked, other);
+        record_replaced(host, call, asked, other);
     }
     if !head.draining && head.backoff.is_none() {
         return;
     }
-    let Some(upstream) = speaker(host, asked, head) else {
+    let Some(upstream) = responding_upstream(host, asked, head) else {
         log::info!(
             request = call.id, asked = asked.entry.id, upstream = head.other;
             "an unknown upstream says something of itself"
@@ -39,16 +39,16 @@
     };
     if head.draining {
         host.metrics.count("answers_draining");
-        note_draining(host, call, &upstream, status);
+        record_draining(host, call, &upstream, status);
     }
     if let Some(it) = &head.backoff {
         host.metrics.count("backoffs_asked");
-        back_off(host, call, &upstream, status, it);
+        record_backoff(host, call, &upstream, status, it);
     }
 }
 
 /// Adds the upstreams that drain by their own word to this host's digest.
-pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, audience: &Audience, digest: &mut Digest) {
     // Every request reads the list, and mostly there is none.
     if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
         return;
@@ -58,12 +58,12 @@
 }
 
 /// Adds them to the sum of this host's data centre.
-pub(crate) fn summarize(host: &Host, digest: &mut Digest) {
+pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
     digest.draining = host.with_list(|it| it.directory.summarize_draining());
 }
 
 /// Takes what another host heard of upstreams.
-pub(crate) fn take(host: &Host, digest: &Digest) {
+pub(crate) fn merge_digest(host: &Host, digest: &Digest) {
     let is_news = |it: &u32| !host.with_list(|list| list.directory.is_said_to_drain(*it));
     let news: Vec<u32> = digest.draining.iter().copied().filter(is_news).collect();
     if news.is_empty() {
@@ -79,13 +79,13 @@
         return;
     }
     for number in news {
-        log::info!(upstream = id_of(host, number), number, source = "host", host = digest.address; "upstream drains");
+        log::info!(upstream = upstream_id(host, number), number, source = "host", host = digest.address; "upstream drains");
     }
 }
 
 /// Returns the upstream that gave an answer: the one that was asked, or the one that says that it is another and stands
 /// at the same address.
-fn speaker(host: &Host, asked: &Arc<Upstream>, head: &Head) -> Option<Arc<Upstream>> {
+fn responding_upstream(host: &Host, asked: &Arc<Upstream>, head: &Head) -> Option<Arc<Upstream>> {
     let Some(other) = head.in_place_of(&asked.entry.id) else {
         return Some(asked.clone());
     };
@@ -95,7 +95,13 @@
 }
 
 /// Leaves an upstream alone for as long as it asks for.
-fn back_off(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode, asked: &RetryAfter) {
+fn record_backoff(
+    host: &Host,
+    call: &Call,
+    upstream: &Upstream,
+    status: StatusCode,
+    asked: &RetryAfter,
+) {
     let (now, number) = (clock::now(), upstream.number());
     let end = {
         let mut balancer = host.balancer();
@@ -112,22 +118,22 @@
 }
 
 /// Logs the upstreams whose time is over.
-pub(crate) fn log_backoffs_over(host: &Host) {
+pub(crate) fn log_expired_backoffs(host: &Host) {
     let over = host.balancer().take_backoffs_over(clock::now());
     for number in over {
-        log::info!(upstream = id_of(host, number), number; "upstream may be asked again");
+        log::info!(upstream = upstream_id(host, number), number; "upstream may be asked again");
     }
 }
 
 /// Returns the id of an upstream that the list knows.
-fn id_of(host: &Host, number: u32) -> Option<String> {
+fn upstream_id(host: &Host, number: u32) -> Option<String> {
     let is_it = |it: &&Arc<Upstream>| it.number() == number;
     host.with_list(|it| it.directory.all().find(is_it).map(|it| it.entry.id.clone()))
 }
 
 /// Sends nothing more to an upstream in whose place another one answers, until its entry goes too.
-fn note_replaced(host: &Host, call: &Call, asked: &Upstream, other: &str) {
-    if !mark(host, asked) {
+fn record_replaced(host: &Host, call: &Call, asked: &Upstream, other: &str) {
+    if !mark_draining(host, asked) {
         return;
     }
     log::info!(
@@ -137,8 +143,8 @@
     );
 }
 
-fn note_draining(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode) {
-    if !mark(host, upstream) {
+fn record_draining(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode) {
+    if !mark_draining(host, upstream) {
         return;
     }
     log::info!(
@@ -152,7 +158,7 @@
 /// Marks an upstream that gets nothing more; returns whether that is news.
 ///
 /// The lists by service are made anew only then: every answer of one that drains says so.
-fn mark(host: &Host, upstream: &Upstream) -> bool {
+fn mark_draining(host: &Host, upstream: &Upstream) -> bool {
     let number = upstream.number();
     let is_known = host.with_list(|it| it.directory.is_said_to_drain(number));
     !is_known && host.update_list(|it| it.directory.note_draining(number))
