--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -11,10 +11,7 @@
     catalog::Upstream,
 };
 use portfield_net::clock;
-use portfield_platform::{
-    answer::{self, Head},
-    request,
-};
+use portfield_platform::{request, response::ResponseHead};
 
 use crate::{
     answer::CALLER_LEFT,
@@ -72,7 +69,7 @@
 pub(crate) struct Live {
     pub parts: response::Parts,
     pub body: Incoming,
-    pub head: Head,
+    pub head: ResponseHead,
     pub connection: Connection,
     pub run: Run,
     pub upstream: Arc<Upstream>,
@@ -219,13 +216,13 @@
 }
 
 fn build(call: &Call, upstream: &Upstream, last_event: Option<&str>) -> Request<Full<Bytes>> {
-    let headers = request::encode(
+    let headers = request::rewrite_headers(
         &call.headers,
-        &request::Upstream {
-            patience: call.left(),
-            expected: &upstream.entry.id,
+        &request::UpstreamHeaders {
+            timeout: call.left(),
+            incarnation: &upstream.entry.id,
             workspace: call.workspace.as_ref().map(|it| it.name.as_str()),
-            last_event,
+            last_event_id: last_event,
         },
     );
     let mut res = Request::new(Full::new(call.body.clone()));
@@ -245,24 +242,24 @@
     mut run: Run,
 ) -> Sent {
     let (parts, body) = response.into_parts();
-    let head = answer::decode(parts.status, &parts.headers, &call.id);
+    let head = portfield_platform::response::decode(parts.status, &parts.headers, &call.id);
     self_report::hear(host, call, upstream, parts.status, &head);
-    if !head.belongs {
+    if !head.id_matches {
         run.end(Ending::Broken);
         let text = "the answer belongs to another request";
         return Sent::Failed(Outcome::Unknown, text.to_owned());
     }
-    if head.in_place_of(&upstream.entry.id).is_some() {
+    if head.replacement_of(&upstream.entry.id).is_some() {
         quarantine::ended(host, upstream, End::Replaced);
     }
     if head.not_run {
         let asks_time =
-            head.backoff.as_ref().and_then(|it| it.time).is_some_and(|it| !it.is_zero());
+            head.retry_after.as_ref().and_then(|it| it.delay).is_some_and(|it| !it.is_zero());
         run.end(if asks_time { Ending::BackedOff } else { Ending::Rejected });
         let text = format!("turned away with {}", parts.status.as_u16());
         return Sent::Failed(Outcome::NotRun, text);
     }
-    if parts.status.is_success() && !head.signed {
+    if parts.status.is_success() && !head.is_signed {
         run.end(Ending::Broken);
         return Sent::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -81,7 +81,7 @@
         if route.kind.is_stream() && !host.takes_streams() {
             return Err(Failure::refused("this host is about to end", STOPPING_RETRY));
         }
-        let workspace = authorize(&catalog, &route, head.key.as_deref())?;
+        let workspace = authorize(&catalog, &route, head.api_key.as_deref())?;
         let service = route.pick(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
         let owner = workspace.as_ref().map_or(0, |it| hash(&it.name));
@@ -96,7 +96,7 @@
             log_overload(host, &head, &route, workspace.as_deref(), refused);
             return Err(Failure::overloaded(host.governor().retry(fastrand::f64())));
         }
-        let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let reading = read_body(body, catalog.limits().body_bytes);
         let late = || Err(Failure::bad(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
         let body = clock::timeout(patience, reading).await.unwrap_or_else(late)?;
@@ -117,7 +117,7 @@
         };
         let fingerprint = identity.fingerprint();
         Ok(Self {
-            id: head.id,
+            id: head.attempt_id,
             caller: caller.clone(),
             arrived,
             deadline: arrived.saturating_add(patience),
@@ -173,7 +173,7 @@
 
 fn log_overload(
     host: &Host,
-    head: &request::Head,
+    head: &request::RequestHead,
     route: &Route,
     workspace: Option<&Workspace>,
     Overloaded { owner, tokens, overload }: Overloaded,
@@ -182,7 +182,7 @@
     host.intake.refused(name);
     let account = host.balancer().account(clock::now(), owner);
     log::info!(
-        request = head.id, route = route.name, workspace = name, tokens,
+        request = head.attempt_id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
         offered_level = overload.map_or(0.0, |it| it.level),
         late_ms = overload.map_or(0.0, |it| it.late), active = host.n_active(),
--- a/crates/portfield-host/src/meet.rs
+++ b/crates/portfield-host/src/meet.rs
@@ -30,7 +30,7 @@
             clock::sleep(HOSTS_PERIOD).await;
             continue;
         }
-        match store.read(store::HOSTS).await {
+        match store.read(store::HOSTS_TABLE).await {
             Ok(it) => {
                 let me = host.settings().peers.to_string();
                 it.rows.iter().filter(|it| it.key != me).for_each(|it| learn_host(&host, it));
@@ -55,7 +55,7 @@
 async fn write_own(host: &Host, store: &Store) {
     let me = host.settings().peers.to_string();
     let place = host.settings().data_centre.clone();
-    while let Err(err) = store.write(store::HOSTS, &me, place.as_bytes()).await {
+    while let Err(err) = store.write(store::HOSTS_TABLE, &me, place.as_bytes()).await {
         host.note_recalled();
         log::warn!(err:% = describe(&err); "own address not written");
         clock::sleep(LONGEST_PAUSE).await;
--- a/crates/portfield-host/src/orders.rs
+++ b/crates/portfield-host/src/orders.rs
@@ -16,7 +16,7 @@
 /// The row's key is the order: one whose value cannot be read stands all the same.
 pub(crate) fn take(host: &Arc<Host>, rows: &[Row], reading: &Reading) {
     let order = |it: &Row| {
-        let data_centre = store::evacuated(&it.key)?.to_owned();
+        let data_centre = store::evacuated_data_centre(&it.key)?.to_owned();
         Some(Order { data_centre, row: it.version, is_lifted: it.value.is_none() })
     };
     let orders: Vec<Order> = rows.iter().filter_map(order).collect();
--- a/crates/portfield-host/src/reading.rs
+++ b/crates/portfield-host/src/reading.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use portfield::catalog::{Change, Changed, Directory, Source, State, StoreVersion};
 use portfield_net::contain;
-use portfield_platform::upstreams;
+use portfield_platform::upstream_entry;
 
 use crate::listed::Listed;
 
@@ -47,7 +47,7 @@
     /// Reads the row; one of another writer names no upstream.
     fn change(&self) -> Change {
         let Some(entry) = &self.entry else { return Change::Gone(self.id.clone()) };
-        let decoded = contain::call("entry", || upstreams::decode(&self.id, entry));
+        let decoded = contain::call("entry", || upstream_entry::decode(&self.id, entry));
         let Some(decoded) = decoded else { return Change::Foreign(self.id.clone()) };
         match decoded {
             Ok(it) => Change::Set(it),
--- a/crates/portfield-host/src/recall.rs
+++ b/crates/portfield-host/src/recall.rs
@@ -64,7 +64,7 @@
 
 /// Reads what the store keeps; returns whether it told.
 async fn read_once(host: &Host, store: &Store) -> bool {
-    let rows = match store.read(store::QUARANTINE).await {
+    let rows = match store.read(store::QUARANTINE_TABLE).await {
         Ok(it) => it.rows,
         Err(err) => {
             // Other hosts may tell it; callers do not wait for a store that is down.
@@ -82,7 +82,7 @@
     host.note_recalled();
     let keys: Vec<String> = past.into_iter().filter_map(Result::err).take(MAX_REMOVED).collect();
     if !keys.is_empty()
-        && let Err(err) = store.remove(store::QUARANTINE, &keys).await
+        && let Err(err) = store.remove(store::QUARANTINE_TABLE, &keys).await
     {
         log::warn!(err:%; "quarantine not cleaned");
     }
@@ -109,7 +109,7 @@
         let known = host.quarantine().record(clock::now(), request);
         let Some(suspect) = known else { return };
         let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
-        let res = store.write(store::QUARANTINE, &key(request), &row.encode_to_vec()).await;
+        let res = store.write(store::QUARANTINE_TABLE, &key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
         log::warn!(fingerprint = request.fingerprint_text(), err:%; "quarantine not written");
         clock::sleep(pause).await;
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -33,7 +33,7 @@
     live: Box<Live>,
 ) -> Result<Response<Body>, Exchange> {
     let mut parts = live.parts.clone();
-    portfield_platform::request::strip_hop(&mut parts.headers);
+    portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let mut relay =
         Relay { exchange, live: Some(live), events: Events::default(), first: None, alarm: None };
     let first = match relay.next().await {
@@ -138,8 +138,8 @@
         run.first();
         run.end(Ending::Done);
         quarantine::succeeded(&self.exchange.host, &self.exchange.call);
-        if head.keeps {
-            self.exchange.host.pool.put(upstream.number(), connection, head.idle);
+        if head.keep_alive {
+            self.exchange.host.pool.put(upstream.number(), connection, head.idle_timeout);
         }
     }
 
--- a/crates/portfield-host/src/self_report.rs
+++ b/crates/portfield-host/src/self_report.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use portfield::{balance::Audience, catalog::Upstream};
 use portfield_net::clock;
-use portfield_platform::{answer::Head, retry_after::RetryAfter};
+use portfield_platform::{response::ResponseHead, retry_after::RetryAfter};
 use portfield_wire::Digest;
 
 use crate::{call::Call, state::Host};
@@ -22,26 +22,26 @@
     call: &Call,
     asked: &Arc<Upstream>,
     status: StatusCode,
-    head: &Head,
+    head: &ResponseHead,
 ) {
-    if let Some(other) = head.in_place_of(&asked.entry.id) {
+    if let Some(other) = head.replacement_of(&asked.entry.id) {
         note_replaced(host, call, asked, other);
     }
-    if !head.draining && head.backoff.is_none() {
+    if !head.is_draining && head.retry_after.is_none() {
         return;
     }
     let Some(upstream) = speaker(host, asked, head) else {
         log::info!(
-            request = call.id, asked = asked.entry.id, upstream = head.other;
+            request = call.id, asked = asked.entry.id, upstream = head.responder_id;
             "an unknown upstream says something of itself"
         );
         return;
     };
-    if head.draining {
+    if head.is_draining {
         host.metrics.count("answers_draining");
         note_draining(host, call, &upstream, status);
     }
-    if let Some(it) = &head.backoff {
+    if let Some(it) = &head.retry_after {
         host.metrics.count("backoffs_asked");
         back_off(host, call, &upstream, status, it);
     }
@@ -85,8 +85,8 @@
 
 /// Returns the upstream that gave an answer: the one that was asked, or the one that says that it is another and stands
 /// at the same address.
-fn speaker(host: &Host, asked: &Arc<Upstream>, head: &Head) -> Option<Arc<Upstream>> {
-    let Some(other) = head.in_place_of(&asked.entry.id) else {
+fn speaker(host: &Host, asked: &Arc<Upstream>, head: &ResponseHead) -> Option<Arc<Upstream>> {
+    let Some(other) = head.replacement_of(&asked.entry.id) else {
         return Some(asked.clone());
     };
     let is_other =
@@ -99,14 +99,14 @@
     let (now, number) = (clock::now(), upstream.number());
     let end = {
         let mut balancer = host.balancer();
-        if let Some(time) = asked.time {
+        if let Some(time) = asked.delay {
             balancer.back_off(now, number, time);
         }
         balancer.backs_off_until(now, number)
     };
     log::info!(
-        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.sent,
-        backoff_ms = asked.time.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
+        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.raw,
+        backoff_ms = asked.delay.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
         left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asks to be left alone"
     );
 }
--- a/crates/portfield-host/src/serve.rs
+++ b/crates/portfield-host/src/serve.rs
@@ -63,10 +63,10 @@
     run.first();
     let is_error = parts.status.is_server_error();
     run.end(if is_error { Ending::Error } else { Ending::Done });
-    if head.keeps {
-        exchange.host.pool.put(upstream.number(), connection, head.idle);
+    if head.keep_alive {
+        exchange.host.pool.put(upstream.number(), connection, head.idle_timeout);
     }
-    portfield_platform::request::strip_hop(&mut parts.headers);
+    portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let body = Full::new(bytes).map_err(|it| match it {}).boxed_unsync();
     let status = parts.status;
     let res = Response::from_parts(parts, body);
--- a/crates/portfield-host/src/watch.rs
+++ b/crates/portfield-host/src/watch.rs
@@ -46,13 +46,13 @@
 pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
     let store = Store::new(host.settings().store, CALL_TIMEOUT);
     let operator = Followed {
-        table: store::OPERATOR,
+        table: store::OPERATOR_TABLE,
         what: Knowledge::Config,
         gather: GATHER,
         take: take_operator,
     };
     let upstreams = Followed {
-        table: store::UPSTREAMS,
+        table: store::UPSTREAMS_TABLE,
         what: Knowledge::Upstreams,
         gather: GATHER_LIST,
         take: take_upstreams,
@@ -146,8 +146,10 @@
         match self.version {
             None => self.store.read(table).await,
             // A host that stood still does not wait for the next change to know the last one.
-            Some(it) if !self.host.trusts() => self.store.changes(table, it, Duration::ZERO).await,
-            Some(it) => self.store.changes(table, it, self.host.settings().pace.hold).await,
+            Some(it) if !self.host.trusts() => {
+                self.store.poll_changes(table, it, Duration::ZERO).await
+            }
+            Some(it) => self.store.poll_changes(table, it, self.host.settings().pace.hold).await,
         }
     }
 
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -11,7 +11,7 @@
 };
 
 use fleet::{Fleet, config, connect, exchange, read_answer, request, until};
-use portfield_platform::request::RESERVED;
+use portfield_platform::request::RESERVED_HEADERS;
 use portfield_platform_standins::UpstreamFault;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 fn leases_and_copies_of_memory_are_never_a_caller_s_to_name() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.host();
-    for (n, name) in RESERVED.iter().enumerate() {
+    for (n, name) in RESERVED_HEADERS.iter().enumerate() {
         let forged = format!("{name}: 10.0.0.1:80/f\r\ndeadline-ms:");
         let text = request("digest", &format!("r{n}")).replace("deadline-ms:", &forged);
         assert_eq!(host.send(&text).status, 200, "{name}");
