--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -30,7 +30,7 @@
             clock::sleep(HOSTS_PERIOD).await;
             continue;
         }
-        match store.read(store::HOSTS).await {
+        match store.read(store::HOSTS_TABLE).await {
             Ok(it) => {
                 let me = host.settings().peers.to_string();
                 it.rows.iter().filter(|it| it.key != me).for_each(|it| add_host(&host, it));
@@ -55,7 +55,7 @@
 async fn register(host: &Host, store: &Store) {
     let me = host.settings().peers.to_string();
     let place = host.settings().data_centre.clone();
-    while let Err(err) = store.write(store::HOSTS, &me, place.as_bytes()).await {
+    while let Err(err) = store.write(store::HOSTS_TABLE, &me, place.as_bytes()).await {
         host.mark_quarantine_loaded();
         log::warn!(err:% = truncate_error(&err); "own address not written");
         clock::sleep(MAX_PAUSE).await;
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -46,13 +46,13 @@
 pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
     let store = Store::new(host.settings().store, CALL_TIMEOUT);
     let operator = WatchedTable {
-        table: store::OPERATOR,
+        table: store::OPERATOR_TABLE,
         what: Knowledge::Config,
         interval: OPERATOR_INTERVAL,
         take: apply_operator_rows,
     };
     let upstreams = WatchedTable {
-        table: store::UPSTREAMS,
+        table: store::UPSTREAMS_TABLE,
         what: Knowledge::Upstreams,
         interval: LIST_INTERVAL,
         take: apply_upstream_rows,
@@ -147,9 +147,9 @@
             None => self.store.read(table).await,
             // A host that stood still does not wait for the next change to know the last one.
             Some(it) if !self.host.has_fresh_state() => {
-                self.store.changes(table, it, Duration::ZERO).await
+                self.store.poll_changes(table, it, Duration::ZERO).await
             }
-            Some(it) => self.store.changes(table, it, self.host.settings().pace.hold).await,
+            Some(it) => self.store.poll_changes(table, it, self.host.settings().pace.hold).await,
         }
     }
 
