--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -109,7 +109,8 @@
         let known = host.quarantine().record(clock::now(), request);
         let Some(suspect) = known else { return };
         let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
-        let res = store.write(store::QUARANTINE_TABLE, &row_key(request), &row.encode_to_vec()).await;
+        let res =
+            store.write(store::QUARANTINE_TABLE, &row_key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
         log::warn!(fingerprint = request.fingerprint_text(), err:%; "quarantine not written");
         clock::sleep(pause).await;
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -85,7 +85,11 @@
 
 /// Returns the upstream that gave an answer: the one that was asked, or the one that says that it is another and stands
 /// at the same address.
-fn responding_upstream(host: &Host, asked: &Arc<Upstream>, head: &ResponseHead) -> Option<Arc<Upstream>> {
+fn responding_upstream(
+    host: &Host,
+    asked: &Arc<Upstream>,
+    head: &ResponseHead,
+) -> Option<Arc<Upstream>> {
     let Some(other) = head.replacement_of(&asked.entry.id) else {
         return Some(asked.clone());
     };
