--- a/crates/portfield-host/tests/cost.rs
+++ b/crates/portfield-host/tests/cost.rs
@@ -104,7 +104,7 @@
             caller
         })
         .collect();
-    until("both hang", || fleet.engines[0].n_run() == 2);
+    until("both hang", || fleet.engines[0].n_executed() == 2);
     let before = used(&host);
     let body = "x".repeat(LARGE_BODY);
     let mut caller = connect(host.listen).unwrap();
--- a/crates/portfield-host/tests/evacuation.rs
+++ b/crates/portfield-host/tests/evacuation.rs
@@ -8,7 +8,7 @@
 };
 
 use fleet::{Fleet, Host, config, request, until};
-use portfield_platform_standins::{StoreFault, UsersUpstream};
+use portfield_platform_standins::{FakeUpstream, StoreFault};
 use serde_json::{Value, json};
 
 /// A fleet whose second plain upstream stands in another data centre.
@@ -18,7 +18,7 @@
     fleet
 }
 
-fn entry_in(upstream: &UsersUpstream, data_centre: &str) -> Value {
+fn entry_in(upstream: &FakeUpstream, data_centre: &str) -> Value {
     let mut res = upstream.entry("desk", "ready");
     res["zone"] = json!(data_centre);
     res
@@ -71,7 +71,7 @@
     // The second host follows nothing yet when the store goes silent for it: the first tells it.
     fleet.store.put("op", "evacuate/north", &json!({}));
     until("the first knows", || first.metric("portfield_evacuated") == 1.0);
-    fleet.store.set_fault(StoreFault::Busy);
+    fleet.store.set_fault(StoreFault::Unavailable);
     let second = fleet.start(&format!("seeds = {seeds:?}"));
     until("the second knows", || second.metric("portfield_evacuated") == 1.0);
     until("it is ready", || second.is_ready());
@@ -84,7 +84,7 @@
 fn a_store_that_goes_back_changes_no_order() {
     let mut fleet = two_centres();
     let host = fleet.host();
-    let before = fleet.store.copy();
+    let before = fleet.store.snapshot();
     fleet.store.put("op", "evacuate/north", &json!({}));
     until("it is in force", || host.metric("portfield_evacuated") == 1.0);
     fleet.store.restore(before);
@@ -94,7 +94,7 @@
         thread::sleep(Duration::from_millis(50));
     }
     fleet.store.put("op", "evacuate/north", &json!({}));
-    let with_order = fleet.store.copy();
+    let with_order = fleet.store.snapshot();
     thread::sleep(Duration::from_millis(300));
     fleet.store.remove("op", "evacuate/north");
     until("it is over", || host.metric("portfield_evacuated") == 0.0);
@@ -132,7 +132,7 @@
     for host in &hosts {
         until("it knows", || !host.logged("upstream cold").is_empty());
     }
-    let before = fleet.plains[0].n_run();
+    let before = fleet.plains[0].n_executed();
     let start = Instant::now();
     let mut n = 0;
     while start.elapsed() < Duration::from_secs(1) {
@@ -140,16 +140,16 @@
         assert_eq!(answer.status, 200);
         n += 1;
     }
-    let n_cold = fleet.plains[0].n_run() - before;
+    let n_cold = fleet.plains[0].n_executed() - before;
     // Twice 1.5 and 5 are the most in a second.
     assert!((1..=8).contains(&n_cold), "{n_cold} of {n}");
     let mut warm = fleet.plains[0].entry("desk", "ready");
     warm["seq"] = json!(2);
     fleet.store.put("servers", "plain-0", &warm);
     until("it takes its part again", || {
-        let before = fleet.plains[0].n_run();
+        let before = fleet.plains[0].n_executed();
         served_by(&hosts[0], 40);
-        10 < fleet.plains[0].n_run() - before
+        10 < fleet.plains[0].n_executed() - before
     });
 }
 
--- a/crates/portfield-host/tests/fleet/mod.rs
+++ b/crates/portfield-host/tests/fleet/mod.rs
@@ -19,7 +19,7 @@
 };
 
 use portfield_net::rt::Runtime;
-use portfield_platform_standins::{UsersStore, UsersUpstream};
+use portfield_platform_standins::{FakeStore, FakeUpstream};
 use serde_json::{Value, json};
 
 /// Longest wait for a condition; far above what any takes.
@@ -108,9 +108,9 @@
 /// Hosts, a store and upstreams.
 pub struct Fleet {
     pub rt: Runtime,
-    pub store: UsersStore,
-    pub plains: Vec<UsersUpstream>,
-    pub engines: Vec<UsersUpstream>,
+    pub store: FakeStore,
+    pub plains: Vec<FakeUpstream>,
+    pub engines: Vec<FakeUpstream>,
     dir: PathBuf,
     n_hosts: u32,
     /// Data centre of the host started last.
@@ -127,12 +127,12 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let task = rt.clone();
         thread::spawn(move || task.block_on(1, stopped.recv()));
-        let start = |name: &str, n: usize| -> Vec<UsersUpstream> {
+        let start = |name: &str, n: usize| -> Vec<FakeUpstream> {
             let ids = (0..n).map(|it| format!("{name}-{it}"));
-            ids.map(|id| wait(UsersUpstream::start(&rt, &id, PACE))).collect()
+            ids.map(|id| wait(FakeUpstream::start(&rt, &id, PACE))).collect()
         };
         let (plains, engines) = (start("plain", n_plains), start("engine", n_engines));
-        let store = wait(UsersStore::start(&rt));
+        let store = wait(FakeStore::start(&rt));
         let number = N_FLEETS.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("pf-host-{}-{number}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
@@ -215,8 +215,8 @@
     }
 
     /// Returns how many requests ran at all upstreams together.
-    pub fn n_run(&self) -> usize {
-        self.plains.iter().chain(&self.engines).map(UsersUpstream::n_run).sum()
+    pub fn n_executed(&self) -> usize {
+        self.plains.iter().chain(&self.engines).map(FakeUpstream::n_executed).sum()
     }
 }
 
--- a/crates/portfield-host/tests/knowledge.rs
+++ b/crates/portfield-host/tests/knowledge.rs
@@ -12,7 +12,7 @@
 use async_net::TcpStream;
 use fleet::{Fleet, Host, config, request, until};
 use portfield_net::{http1, rpc};
-use portfield_platform_standins::{Harm, Proxy, StoreFault};
+use portfield_platform_standins::{FaultProxy, NetworkFault, StoreFault};
 use portfield_wire::{
     Digest, KnowledgeReply, KnowledgeRequest, ListedUpstream,
     peers_server::{Peers, PeersServer},
@@ -50,10 +50,10 @@
 #[test]
 fn requests_go_on_while_the_store_is_away() {
     for fault in [
-        StoreFault::Busy,
-        StoreFault::Many,
-        StoreFault::Reset,
-        StoreFault::Silent,
+        StoreFault::Unavailable,
+        StoreFault::TooManyRequests,
+        StoreFault::Close,
+        StoreFault::Hang,
         StoreFault::Slow(900),
     ] {
         let mut fleet = Fleet::new(1, 0);
@@ -74,10 +74,10 @@
 fn a_forgotten_history_is_read_anew() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Busy);
+    fleet.store.set_fault(StoreFault::Unavailable);
     until("the loss is logged", || !host.logged("store lost").is_empty());
     fleet.store.remove("servers", "plain-0");
-    fleet.store.forget_history();
+    fleet.store.compact_history();
     fleet.store.set_fault(StoreFault::None);
     until("the upstream is gone", || {
         host.logged("upstream gone").iter().any(|it| it["upstream"] == "plain-0")
@@ -112,7 +112,7 @@
     });
     drop(known);
     let seed = fleet.store.keys("portfield_hosts")[0].clone();
-    fleet.store.set_fault(StoreFault::Busy);
+    fleet.store.set_fault(StoreFault::Unavailable);
     let second = fleet.start(&format!("seeds = ['{seed}']"));
     until("the second host is ready", || second.is_ready());
     assert_eq!(second.send(&request("order", "r1")).status, 200);
@@ -129,7 +129,7 @@
     second.signal("-STOP");
     fleet.store.put("op", "config", &without_checks(5));
     until("the first host knows", || first.metric("portfield_config_version") == 5.0);
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     second.signal("-CONT");
     until("the second host knows", || second.metric("portfield_config_version") == 5.0);
     assert_eq!(second.send(&request("check", "r1")).status, 404);
@@ -194,7 +194,7 @@
 fn a_configuration_does_not_wait_for_a_long_list() {
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     until("the loss is logged", || !host.logged("store lost").is_empty());
     let config = config(NEWER).to_string().into_bytes();
     let socket = serve_peer(&fleet, FakePeer { config, list: Vec::new() });
@@ -376,15 +376,15 @@
 fn who_leaves_is_gone_at_once_for_a_host_that_alone_could_not_reach_the_store() {
     let mut fleet = Fleet::new(2, 0);
     let first = fleet.host();
-    let proxy = Proxy::start(&fleet.rt, fleet.store.address());
+    let proxy = FaultProxy::start(&fleet.rt, fleet.store.address());
     let proxy = futures_lite::future::block_on(proxy).unwrap();
     fleet.store_door = Some(proxy.address());
     let cut = fleet.host();
     until("it hears the first", || cut.metric("portfield_hosts") == 2.0);
-    proxy.set(Harm::Silence);
+    proxy.set_fault(NetworkFault::StallAll);
     // Longer than the silence after which entries may have lapsed.
     thread::sleep(Duration::from_millis(3800));
-    proxy.set(Harm::None);
+    proxy.set_fault(NetworkFault::None);
     until("it hears the store again", || !cut.logged("store regained").is_empty());
     // What it is told next comes from the store.
     first.signal("-STOP");
--- a/crates/portfield-host/tests/lethal.rs
+++ b/crates/portfield-host/tests/lethal.rs
@@ -28,7 +28,7 @@
 use fleet::{Answer, Fleet, Host, exchange, request, until};
 use futures_lite::future;
 use portfield_net::rt::Runtime;
-use portfield_platform_standins::{StoreFault, UpstreamFault, UsersStore, UsersUpstream};
+use portfield_platform_standins::{FakeStore, FakeUpstream, StoreFault, UpstreamFault};
 use serde_json::Value;
 
 /// What the body of a lethal request holds.
@@ -53,7 +53,7 @@
 
 /// Engines that end on lethal requests, and come back as new ones.
 struct Engines {
-    all: Arc<Mutex<Vec<UsersUpstream>>>,
+    all: Arc<Mutex<Vec<FakeUpstream>>>,
     is_over: Arc<AtomicBool>,
     keeper: Option<JoinHandle<()>>,
 }
@@ -61,7 +61,7 @@
 impl Engines {
     fn new(fleet: &Fleet) -> Self {
         for it in &fleet.engines {
-            it.set_fault(UpstreamFault::EndsOn(LETHAL));
+            it.set_fault(UpstreamFault::CrashOn(LETHAL));
         }
         let all = Arc::new(Mutex::new(fleet.engines.clone()));
         let is_over = Arc::new(AtomicBool::new(false));
@@ -78,19 +78,19 @@
     }
 
     fn n_ended(&self) -> usize {
-        self.all.lock().unwrap().iter().filter(|it| it.has_ended()).count()
+        self.all.lock().unwrap().iter().filter(|it| it.has_crashed()).count()
     }
 
     /// Returns how many lethal requests ran.
     fn n_lethal(&self) -> usize {
         let all = self.all.lock().unwrap();
-        let seen = all.iter().flat_map(UsersUpstream::seen);
-        seen.filter(|it| it.has_run && it.body == LETHAL.as_bytes()).count()
+        let seen = all.iter().flat_map(FakeUpstream::requests);
+        seen.filter(|it| it.is_executed && it.body == LETHAL.as_bytes()).count()
     }
 
     /// Returns how many other requests were cut by them.
     fn n_bystanders(&self) -> u32 {
-        self.all.lock().unwrap().iter().map(UsersUpstream::n_cut).sum()
+        self.all.lock().unwrap().iter().map(FakeUpstream::n_interrupted).sum()
     }
 }
 
@@ -104,12 +104,12 @@
 /// Starts a new engine for each that has ended since the last look; returns how many.
 fn bring_back(
     rt: &Runtime,
-    store: &UsersStore,
-    all: &Mutex<Vec<UsersUpstream>>,
+    store: &FakeStore,
+    all: &Mutex<Vec<FakeUpstream>>,
     n_back: usize,
 ) -> usize {
-    let mut ended: Vec<UsersUpstream> = all.lock().unwrap().clone();
-    ended.retain(UsersUpstream::has_ended);
+    let mut ended: Vec<FakeUpstream> = all.lock().unwrap().clone();
+    ended.retain(FakeUpstream::has_crashed);
     let n_new = ended.len().saturating_sub(n_back);
     if n_new == 0 {
         return 0;
@@ -120,8 +120,8 @@
     }
     for n in 0..n_new {
         let id = format!("engine-again-{}", n_back + n);
-        let it = future::block_on(UsersUpstream::start(rt, &id, PACE)).unwrap();
-        it.set_fault(UpstreamFault::EndsOn(LETHAL));
+        let it = future::block_on(FakeUpstream::start(rt, &id, PACE)).unwrap();
+        it.set_fault(UpstreamFault::CrashOn(LETHAL));
         store.put("servers", &id, &it.entry("model", "ready"));
         all.lock().unwrap().push(it);
     }
@@ -224,7 +224,7 @@
     let mut fleet = Fleet::new(0, 8);
     let mut hosts = hosts(&mut fleet, 4);
     let engines = Engines::new(&fleet);
-    fleet.store.set_fault(StoreFault::Busy);
+    fleet.store.set_fault(StoreFault::Unavailable);
     thread::scope(|scope| {
         for n in 0..3 {
             let hosts = &hosts;
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -23,8 +23,8 @@
     assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-0"));
     assert_eq!(answer.header("replica-signature"), Some("plain-0"));
     assert_eq!(answer.header("attempt-id"), Some("r1"));
-    let seen = &fleet.plains[0].seen()[0];
-    assert_eq!(seen.line, "POST /order/one?q=1 HTTP/1.1");
+    let seen = &fleet.plains[0].requests()[0];
+    assert_eq!(seen.request_line, "POST /order/one?q=1 HTTP/1.1");
     assert_eq!(seen.body, b"body");
     assert_eq!(seen.header("host"), Some("x.example"));
     assert_eq!(seen.header("tenant"), Some("a"));
@@ -43,7 +43,7 @@
         let forged = format!("{name}: 10.0.0.1:80/f\r\ndeadline-ms:");
         let text = request("digest", &format!("r{n}")).replace("deadline-ms:", &forged);
         assert_eq!(host.send(&text).status, 200, "{name}");
-        let seen = fleet.engines[0].seen();
+        let seen = fleet.engines[0].requests();
         assert!(seen[n].header(name.as_str()).is_none_or(|it| !it.contains("10.0.0.1")), "{name}");
     }
 }
@@ -68,10 +68,10 @@
     let long = good.replace("content-length: 4", "content-length: 2000");
     let answer = host.send(&long.replace("body", &"b".repeat(2000)));
     assert_eq!(answer.status, 413);
-    assert_eq!(fleet.n_run(), 0);
+    assert_eq!(fleet.n_executed(), 0);
     let open = good.replace("/check/", "/public/").replace("authorization: Token key-a\r\n", "");
     assert_eq!(host.send(&open).status, 200);
-    assert_eq!(fleet.plains[0].seen()[0].header("tenant"), None);
+    assert_eq!(fleet.plains[0].requests()[0].header("tenant"), None);
 }
 
 #[test]
@@ -87,20 +87,20 @@
 
 #[test]
 fn a_refusal_is_true_and_what_may_have_run_is_not_repeated() {
-    for (fault, status, n_run) in [
+    for (fault, status, n_executed) in [
         (UpstreamFault::Shed, 503, 0),
-        (UpstreamFault::CloseRun, 502, 1),
-        (UpstreamFault::Cut, 502, 1),
-        (UpstreamFault::WrongId, 502, 1),
-        (UpstreamFault::Unsigned, 502, 1),
-        (UpstreamFault::Error, 500, 1),
+        (UpstreamFault::NoResponse, 502, 1),
+        (UpstreamFault::TruncateBody, 502, 1),
+        (UpstreamFault::WrongAttemptId, 502, 1),
+        (UpstreamFault::MissingSignature, 502, 1),
+        (UpstreamFault::InternalError, 500, 1),
     ] {
         let mut fleet = Fleet::new(2, 0);
         let host = fleet.host();
         fleet.plains.iter().for_each(|it| it.set_fault(fault));
         let answer = host.send(&request("order", "r1"));
         assert_eq!(answer.status, status, "{fault:?}");
-        assert_eq!(fleet.n_run(), n_run, "{fault:?}");
+        assert_eq!(fleet.n_executed(), n_executed, "{fault:?}");
         assert!(answer.is_whole);
     }
 }
@@ -109,11 +109,11 @@
 fn a_safe_request_is_repeated_elsewhere() {
     for fault in [
         UpstreamFault::Shed,
-        UpstreamFault::CloseRun,
+        UpstreamFault::NoResponse,
         UpstreamFault::Hang,
-        UpstreamFault::Cut,
-        UpstreamFault::WrongId,
-        UpstreamFault::Error,
+        UpstreamFault::TruncateBody,
+        UpstreamFault::WrongAttemptId,
+        UpstreamFault::InternalError,
     ] {
         let mut fleet = Fleet::new(2, 0);
         let host = fleet.host();
@@ -130,7 +130,7 @@
 fn an_unframed_answer_is_passed_on_whole() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.host();
-    fleet.plains[0].set_fault(UpstreamFault::Unframed);
+    fleet.plains[0].set_fault(UpstreamFault::CloseDelimited);
     let answer = host.send(&request("order", "r1"));
     assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-0"));
 }
@@ -139,7 +139,7 @@
 fn an_answer_that_nobody_asked_for_reaches_nobody() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.host();
-    fleet.plains[0].set_fault(UpstreamFault::Extra);
+    fleet.plains[0].set_fault(UpstreamFault::ExtraResponse);
     for n in 0..5 {
         let id = format!("r{n}");
         let answer = host.send(&request("check", &id));
@@ -155,7 +155,7 @@
         assert_eq!(host.send(&request("order", &format!("r{n}"))).status, 200);
     }
     assert_eq!(fleet.plains[0].n_connections(), 1);
-    fleet.plains[0].set_fault(UpstreamFault::CloseKept);
+    fleet.plains[0].set_fault(UpstreamFault::CloseKeepAlive);
     assert_eq!(host.send(&request("check", "r9")).status, 200);
 }
 
@@ -168,7 +168,7 @@
     fleet.store.put("servers", "gone-0", &entry);
     let host = fleet.host();
     let answer = host.send(&request("order", "r1"));
-    assert_eq!((answer.status, fleet.n_run()), (503, 0));
+    assert_eq!((answer.status, fleet.n_executed()), (503, 0));
 }
 
 #[test]
@@ -187,28 +187,28 @@
 
 #[test]
 fn a_broken_stream_never_looks_whole() {
-    for fault in [UpstreamFault::Cut, UpstreamFault::Mute] {
+    for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
         let host = fleet.host();
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
         let answer = host.send(&request("draft", "r1"));
         assert!(!answer.is_whole, "{fault:?}");
         assert_eq!(answer.events(), [1, 2, 3], "{fault:?}");
-        assert_eq!(fleet.n_run(), 1, "{fault:?}");
+        assert_eq!(fleet.n_executed(), 1, "{fault:?}");
     }
 }
 
 #[test]
 fn a_resumable_stream_goes_on_elsewhere_with_nothing_missing() {
-    for fault in [UpstreamFault::Cut, UpstreamFault::Mute] {
+    for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
         let host = fleet.host();
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
         let addresses: Vec<_> = fleet.engines.clone();
         let watch = thread::spawn(move || {
             // The second engine asked is well.
-            until("a stream begins", || addresses.iter().any(|it| it.n_run() == 1));
-            for it in addresses.iter().filter(|it| it.n_run() == 0) {
+            until("a stream begins", || addresses.iter().any(|it| it.n_executed() == 1));
+            for it in addresses.iter().filter(|it| it.n_executed() == 0) {
                 it.set_fault(UpstreamFault::None);
             }
         });
@@ -216,7 +216,7 @@
         watch.join().unwrap();
         assert!(answer.is_whole, "{fault:?}");
         assert_eq!(answer.events(), (1..=8).collect::<Vec<_>>(), "{fault:?}");
-        let again = fleet.engines.iter().flat_map(|it| it.seen());
+        let again = fleet.engines.iter().flat_map(|it| it.requests());
         let last = again.filter_map(|it| it.header("last-event-id").map(str::to_owned));
         assert_eq!(last.collect::<Vec<_>>(), ["3"], "{fault:?}");
     }
@@ -227,11 +227,11 @@
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.host();
     // Longer than three of the route's pauses of 100 ms, after which it would be moved.
-    fleet.engines[0].set_fault(UpstreamFault::Pause(Duration::from_millis(700)));
+    fleet.engines[0].set_fault(UpstreamFault::PauseStream(Duration::from_millis(700)));
     let answer = host.send(&request("digest", "r1"));
     assert!(answer.is_whole);
     assert_eq!(answer.events(), (1..=8).collect::<Vec<_>>());
-    assert_eq!(fleet.n_run(), 1);
+    assert_eq!(fleet.n_executed(), 1);
 }
 
 #[test]
@@ -241,7 +241,7 @@
     let mut stream = TcpStream::connect(host.listen).unwrap();
     let long = request("draft", "r1").replace("30,24", "30,2400");
     stream.write_all(long.as_bytes()).unwrap();
-    until("the stream begins", || fleet.n_run() == 1);
+    until("the stream begins", || fleet.n_executed() == 1);
     drop(stream);
     let left = Instant::now();
     until("the engine is left", || fleet.engines[0].n_abandoned() == 1);
@@ -285,7 +285,7 @@
     let answer = read_answer(&mut stream).unwrap();
     assert_eq!(answer.status, 408);
     assert!(answer.text().contains("not-run"), "{}", answer.text());
-    assert_eq!(fleet.n_run(), 0);
+    assert_eq!(fleet.n_executed(), 0);
     until("nothing is held", || host.metric("portfield_active") == 0.0);
 }
 
@@ -354,7 +354,7 @@
     let mut stays = send("stays");
     host.signal("-CONT");
     assert_eq!(read_answer(&mut stays).unwrap().status, 200);
-    let seen = fleet.plains[0].seen();
+    let seen = fleet.plains[0].requests();
     let ids: Vec<_> = seen.iter().filter_map(|it| it.header("attempt-id")).collect();
     assert!(ids.contains(&"stays") && !ids.contains(&"left"), "{ids:?}");
 }
--- a/crates/portfield-host/tests/restore.rs
+++ b/crates/portfield-host/tests/restore.rs
@@ -21,12 +21,12 @@
 fn a_number_that_is_given_out_again_hides_no_change() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.host();
-    let before = fleet.store.copy();
+    let before = fleet.store.snapshot();
     for _ in 0..6 {
         fleet.store.put("op", "other", &Value::Null);
     }
     thread::sleep(Duration::from_millis(400));
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     fleet.store.restore(before);
     // The change has a number that the host believes it knows.
     fleet.store.put("servers", "plain-0", &fleet.plains[0].entry("desk", "draining"));
@@ -47,7 +47,7 @@
     fleet.store.put("op", "config", &config(2));
     let first = fleet.host();
     let second = fleet.host();
-    let before = fleet.store.copy();
+    let before = fleet.store.snapshot();
     fleet.store.put("op", "config", &without_key(3));
     fleet.store.remove("servers", "plain-0");
     for host in [&first, &second] {
@@ -70,7 +70,7 @@
 #[test]
 fn hosts_write_their_addresses_again_and_keep_what_upstreams_do_not_write() {
     let mut fleet = Fleet::new(1, 0);
-    let empty = fleet.store.copy();
+    let empty = fleet.store.snapshot();
     let host = fleet.host();
     until("its address is there", || fleet.store.keys("portfield_hosts").len() == 1);
     fleet.store.restore(empty);
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -14,7 +14,7 @@
 fn who_says_in_an_answer_that_it_drains_gets_nothing_more_while_the_store_is_away() {
     let mut fleet = Fleet::new(2, 2);
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     fleet.plains[0].set_draining(true);
     fleet.engines[0].set_draining(true);
     for route in ["order", "draft", "check", "digest"] {
@@ -31,17 +31,17 @@
 #[test]
 fn whatever_else_is_wrong_with_an_answer_it_tells_that_its_upstream_drains() {
     for fault in [
-        UpstreamFault::Error,
+        UpstreamFault::InternalError,
         UpstreamFault::Shed,
-        UpstreamFault::Unsigned,
-        UpstreamFault::WrongId,
-        UpstreamFault::Cut,
-        UpstreamFault::Extra,
-        UpstreamFault::Unframed,
+        UpstreamFault::MissingSignature,
+        UpstreamFault::WrongAttemptId,
+        UpstreamFault::TruncateBody,
+        UpstreamFault::ExtraResponse,
+        UpstreamFault::CloseDelimited,
     ] {
         let mut fleet = Fleet::new(2, 0);
         let host = fleet.host();
-        fleet.store.set_fault(StoreFault::Silent);
+        fleet.store.set_fault(StoreFault::Hang);
         let upstream = &fleet.plains[0];
         upstream.set_draining(true);
         upstream.set_fault(fault);
@@ -54,9 +54,9 @@
             send();
             !host.logged("upstream drains").is_empty()
         });
-        let n_seen = upstream.seen().len();
+        let n_seen = upstream.requests().len();
         (0..20).for_each(|_| assert_eq!(send().text(), "from plain-1"));
-        assert_eq!((n_seen, upstream.seen().len()), (1, 1), "{fault:?}");
+        assert_eq!((n_seen, upstream.requests().len()), (1, 1), "{fault:?}");
     }
 }
 
@@ -67,7 +67,7 @@
     for host in &hosts {
         until("it knows the others", || host.metric("portfield_hosts") == 3.0);
     }
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     fleet.plains[0].set_draining(true);
     let mut n = 0;
     until("one is told", || {
@@ -77,11 +77,11 @@
     for host in &hosts {
         until("it knows", || host.metric("portfield_draining_unlisted") == 1.0);
     }
-    let n_seen = fleet.plains[0].seen().len();
+    let n_seen = fleet.plains[0].requests().len();
     for (n, host) in hosts.iter().cycle().take(60).enumerate() {
         assert_eq!(host.send(&request("order", &format!("later-{n}"))).text(), "from plain-1");
     }
-    assert_eq!((n_seen, fleet.plains[0].seen().len()), (1, 1));
+    assert_eq!((n_seen, fleet.plains[0].requests().len()), (1, 1));
     let sources = |host: &Host| -> Vec<String> {
         let lines = host.logged("upstream drains");
         lines.iter().map(|it| it["source"].as_str().unwrap().to_owned()).collect()
@@ -99,14 +99,14 @@
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("servers", "former", &fleet.plains[0].entry("desk", "ready"));
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     let mut n = 0;
     let mut send = || {
         n += 1;
         host.send(&request("order", &format!("r{n}")))
     };
     let n_to_former = || {
-        let seen = fleet.plains[0].seen();
+        let seen = fleet.plains[0].requests();
         seen.iter().filter(|it| it.header("expect-replica") == Some("former")).count()
     };
     until("another one has answered in its place", || {
@@ -131,9 +131,9 @@
     fleet.store.put("servers", "former", &fleet.plains[0].entry("desk", "ready"));
     fleet.store.remove("servers", "plain-0");
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     (0..10).for_each(|n| assert_eq!(host.send(&request("order", &format!("r{n}"))).status, 503));
-    assert_eq!((fleet.plains[0].seen().len(), fleet.n_run()), (1, 0));
+    assert_eq!((fleet.plains[0].requests().len(), fleet.n_executed()), (1, 0));
 }
 
 /// Whoever is asked by mistake tells of itself all the same.
@@ -142,7 +142,7 @@
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("servers", "former", &fleet.plains[0].entry("desk", "ready"));
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     fleet.plains[0].set_draining(true);
     let mut n = 0;
     until("the host knows of both", || {
@@ -152,22 +152,22 @@
     });
     until("it is logged", || !host.logged("upstream drains").is_empty());
     assert_eq!(host.logged("upstream drains")[0]["upstream"], "plain-0");
-    let n_run = fleet.plains[0].n_run();
-    assert_eq!(fleet.plains[0].seen().len(), 1 + n_run, "asked once for itself at most");
-    assert!(n_run <= 1, "{n_run}");
+    let n_executed = fleet.plains[0].n_executed();
+    assert_eq!(fleet.plains[0].requests().len(), 1 + n_executed, "asked once for itself at most");
+    assert!(n_executed <= 1, "{n_executed}");
 }
 
 #[test]
 fn all_of_a_service_that_drain_are_asked_nothing_and_callers_hear_it_at_once() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     fleet.plains[0].set_draining(true);
     assert_eq!(host.send(&request("order", "r1")).status, 200);
     let asked = Instant::now();
     let refused = host.send(&request("order", "r2"));
     assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
-    assert_eq!((refused.status, fleet.n_run()), (503, 1));
+    assert_eq!((refused.status, fleet.n_executed()), (503, 1));
     let retry: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!((0.1..=1.2).contains(&retry), "within what the caller has left: {retry}");
 }
@@ -189,14 +189,14 @@
     };
     until("it has asked", || {
         send("order");
-        !upstream.seen().is_empty()
+        !upstream.requests().is_empty()
     });
     let asked = Instant::now();
     while asked.elapsed() < BACKOFF - Duration::from_millis(100) {
         assert_eq!((send("order").status, send("check").status), (503, 503));
         thread::sleep(Duration::from_millis(5));
     }
-    let n_seen = upstream.seen().len();
+    let n_seen = upstream.requests().len();
     assert_eq!(n_seen, 1, "it was asked again before the time was over");
     fleet.plains.iter().for_each(|it| it.set_fault(UpstreamFault::None));
     until("it takes its part again", || send("order").text() == "from plain-0");
@@ -207,7 +207,7 @@
 fn what_an_upstream_asked_for_holds_when_its_start_becomes_known_later() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.host();
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Hang);
     until("the store is lost", || !host.logged("store lost").is_empty());
     let upstream = &fleet.plains[0];
     let mut entry = upstream.entry("desk", "ready");
@@ -222,7 +222,7 @@
     };
     until("it has asked", || {
         send();
-        !upstream.seen().is_empty()
+        !upstream.requests().is_empty()
     });
     upstream.set_retry_after(None);
     upstream.set_fault(UpstreamFault::None);
@@ -231,5 +231,5 @@
         host.logged("upstream changed").iter().filter(|it| it["upstream"] == "plain-0").count() == 2
     });
     (0..20).for_each(|_| assert_eq!(send().status, 200));
-    assert_eq!(upstream.seen().len(), 1, "it is asked again before the time is over");
+    assert_eq!(upstream.requests().len(), 1, "it is asked again before the time is over");
 }
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -23,7 +23,7 @@
 use fleet::{Answer, Fleet, Host, config, read_answer, request, until};
 use portfield_net::clock;
 use portfield_platform_standins::{
-    Harm, Proxy, StoreCopy, StoreFault, UpstreamFault, UsersUpstream,
+    FakeUpstream, FaultProxy, NetworkFault, StoreFault, StoreSnapshot, UpstreamFault,
 };
 use serde_json::{Value, json};
 use words::{Events, Span};
@@ -58,7 +58,7 @@
 struct Soak {
     fleet: Fleet,
     hosts: Vec<Host>,
-    proxies: Vec<Proxy>,
+    proxies: Vec<FaultProxy>,
     doors: Doors,
     rng: fastrand::Rng,
     /// Draws what upstreams say of themselves, beside the other faults.
@@ -75,7 +75,7 @@
     /// What upstreams write to the store.
     entries: Vec<(String, Value)>,
     /// The store as it was some faults ago.
-    copy: StoreCopy,
+    copy: StoreSnapshot,
     /// Longest time for which a host is paused, in milliseconds: every third seed has standstills.
     longest_pause: u64,
 }
@@ -87,7 +87,7 @@
         let services = [("desk", &fleet.plains), ("model", &fleet.engines)];
         for (service, upstreams) in services {
             for it in upstreams {
-                let proxy = Proxy::start(&fleet.rt, it.address());
+                let proxy = FaultProxy::start(&fleet.rt, it.address());
                 let proxy = futures_lite::future::block_on(proxy).unwrap();
                 let entry = it.entry_at(proxy.address(), service, "ready");
                 fleet.store.put("servers", &it.id, &entry);
@@ -95,7 +95,7 @@
                 proxies.push(proxy);
             }
         }
-        let copy = fleet.store.copy();
+        let copy = fleet.store.snapshot();
         let mut res = Self {
             fleet,
             entries,
@@ -152,16 +152,16 @@
             }
             4..=6 => {
                 let harms = [
-                    Harm::Delay(self.rng.u64(5..80)),
-                    Harm::Reset,
-                    Harm::CutForward,
-                    Harm::CutBack,
-                    Harm::Silence,
+                    NetworkFault::Delay(self.rng.u64(5..80)),
+                    NetworkFault::Reset,
+                    NetworkFault::StallRequests,
+                    NetworkFault::StallResponses,
+                    NetworkFault::StallAll,
                 ];
                 let harm = harms[self.rng.usize(..harms.len())];
-                self.proxies[proxy].set(harm);
+                self.proxies[proxy].set_fault(harm);
                 match harm {
-                    Harm::Delay(_) => self.end_harm(proxy),
+                    NetworkFault::Delay(_) => self.end_harm(proxy),
                     _ => {
                         self.harmed.entry(proxy).or_insert_with(clock::now);
                     }
@@ -171,14 +171,14 @@
             7 | 8 => {
                 let faults = [
                     UpstreamFault::Shed,
-                    UpstreamFault::CloseRun,
+                    UpstreamFault::NoResponse,
                     UpstreamFault::Hang,
-                    UpstreamFault::Error,
-                    UpstreamFault::Cut,
-                    UpstreamFault::Mute,
-                    UpstreamFault::WrongId,
-                    UpstreamFault::Extra,
-                    UpstreamFault::CloseKept,
+                    UpstreamFault::InternalError,
+                    UpstreamFault::TruncateBody,
+                    UpstreamFault::StallStream,
+                    UpstreamFault::WrongAttemptId,
+                    UpstreamFault::ExtraResponse,
+                    UpstreamFault::CloseKeepAlive,
                 ];
                 let fault = faults[self.rng.usize(..faults.len())];
                 upstream.set_fault(fault);
@@ -186,10 +186,10 @@
             }
             9 => {
                 let faults = [
-                    StoreFault::Busy,
-                    StoreFault::Many,
-                    StoreFault::Reset,
-                    StoreFault::Silent,
+                    StoreFault::Unavailable,
+                    StoreFault::TooManyRequests,
+                    StoreFault::Close,
+                    StoreFault::Hang,
                     StoreFault::Slow(300),
                 ];
                 let fault = faults[self.rng.usize(..faults.len())];
@@ -203,7 +203,7 @@
             }
             11 | 12 => self.go_back(),
             _ => {
-                self.fleet.store.forget_history();
+                self.fleet.store.compact_history();
                 self.heal();
                 "all healed, history forgotten".to_owned()
             }
@@ -232,8 +232,11 @@
                 format!("{} drains", upstream.id)
             }
             2..=4 => {
-                let faults =
-                    [UpstreamFault::Shed, UpstreamFault::ShedMost, UpstreamFault::ShedAbove(2)];
+                let faults = [
+                    UpstreamFault::Shed,
+                    UpstreamFault::ShedTwoThirds,
+                    UpstreamFault::ShedAbove(2),
+                ];
                 let values = ["0.8", "1.5", "3", "2.25", "0", "soon", "-1"];
                 let fault = faults[self.words.usize(..faults.len())];
                 let value = values[self.words.usize(..values.len())];
@@ -264,7 +267,7 @@
     }
 
     /// Returns all upstreams, in the order of their entries and proxies.
-    fn upstreams(&self) -> Vec<&UsersUpstream> {
+    fn upstreams(&self) -> Vec<&FakeUpstream> {
         self.fleet.plains.iter().chain(&self.fleet.engines).collect()
     }
 
@@ -277,9 +280,9 @@
 
     /// Has the store come back from its last copy; what the operator and upstreams wrote since is written again.
     fn go_back(&mut self) -> String {
-        let now = self.fleet.store.copy();
+        let now = self.fleet.store.snapshot();
         let copy = std::mem::replace(&mut self.copy, now);
-        self.fleet.store.set_fault(StoreFault::Silent);
+        self.fleet.store.set_fault(StoreFault::Hang);
         thread::sleep(Duration::from_millis(self.rng.u64(20..600)));
         self.fleet.store.restore(copy);
         self.fleet.store.set_fault(StoreFault::None);
@@ -306,7 +309,7 @@
     }
 
     fn heal(&mut self) {
-        self.proxies.iter().for_each(|it| it.set(Harm::None));
+        self.proxies.iter().for_each(|it| it.set_fault(NetworkFault::None));
         (0..self.proxies.len()).for_each(|it| self.end_harm(it));
         let upstreams = self.fleet.plains.iter().chain(&self.fleet.engines);
         upstreams.for_each(|it| it.set_fault(UpstreamFault::None));
@@ -349,19 +352,21 @@
     let mut broken = Vec::new();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let known: HashMap<&str, &Outcome> = outcomes.iter().map(|it| (it.id.as_str(), it)).collect();
-    for seen in fleet.plains.iter().chain(&fleet.engines).flat_map(|it| it.seen()) {
+    for seen in fleet.plains.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
         let id = seen.header("attempt-id").unwrap_or_default().to_owned();
         let Some(outcome) = known.get(id.as_str()) else {
             broken.push(format!("{id} reached an upstream, and nobody sent it"));
             continue;
         };
-        if !seen.line.contains(&format!("/{}/one?q=1", outcome.route)) || seen.body != b"body" {
-            broken.push(format!("{id} was changed on its way: {}", seen.line));
+        if !seen.request_line.contains(&format!("/{}/one?q=1", outcome.route))
+            || seen.body != b"body"
+        {
+            broken.push(format!("{id} was changed on its way: {}", seen.request_line));
         }
         if seen.header("tenant") != Some("a") || seen.header("authorization").is_some() {
             broken.push(format!("{id} came with another workspace, or with its key"));
         }
-        *runs.entry(id).or_default() += u32::from(seen.has_run);
+        *runs.entry(id).or_default() += u32::from(seen.is_executed);
     }
     for it in outcomes {
         let n = runs.get(&it.id).copied().unwrap_or(0);
@@ -375,12 +380,12 @@
     broken
 }
 
-fn judge_answer(it: &Outcome, answer: &Answer, n_run: u32) -> Option<String> {
+fn judge_answer(it: &Outcome, answer: &Answer, n_executed: u32) -> Option<String> {
     let (id, status) = (&it.id, answer.status);
     if answer.header("attempt-id").is_some_and(|it| it != id) {
         return Some(format!("{id} got the answer to {:?}", answer.header("attempt-id")));
     }
-    if matches!(status, 429 | 503 | 408 | 421) && 0 < n_run && it.route != "digest" {
+    if matches!(status, 429 | 503 | 408 | 421) && 0 < n_executed && it.route != "digest" {
         return Some(format!("{id} on {} was refused with {status} and ran", it.route));
     }
     if matches!(status, 400..=428) && status != 408 && status != 421 {
--- a/crates/portfield-host/tests/standstill.rs
+++ b/crates/portfield-host/tests/standstill.rs
@@ -48,14 +48,14 @@
     let (host, _other) = (fleet.host(), fleet.host());
     let text = |n: u32| request("order", &format!("r{n}")).replace("key-a", "key-b");
     assert_eq!(host.send(&text(0)).status, 200);
-    let n_run = fleet.n_run();
+    let n_executed = fleet.n_executed();
     let requests: Vec<String> = (1..6).map(text).collect();
     let store = fleet.store.clone();
     let answers = stand_still(&host, &requests, || store.put("op", "config", &without_b(5)));
     for it in answers {
         assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
     }
-    assert_eq!(fleet.n_run(), n_run);
+    assert_eq!(fleet.n_executed(), n_executed);
     until("it serves again", || host.send(&request("order", "again")).status == 200);
 }
 
@@ -65,14 +65,14 @@
     fleet.store.remove("servers", "plain-1");
     let (host, _other) = (fleet.host(), fleet.host());
     assert_eq!(host.send(&request("order", "r0")).status, 200);
-    let n_run = fleet.plains[0].n_run();
+    let n_executed = fleet.plains[0].n_executed();
     let requests: Vec<String> = (1..6).map(|n| request("order", &format!("r{n}"))).collect();
     let (store, new) = (fleet.store.clone(), fleet.plains[1].entry("desk", "ready"));
     let answers = stand_still(&host, &requests, || {
         store.remove("servers", "plain-0");
         store.put("servers", "plain-1", &new);
     });
-    assert_eq!(fleet.plains[0].n_run(), n_run, "sent to one that has left");
+    assert_eq!(fleet.plains[0].n_executed(), n_executed, "sent to one that has left");
     assert!(answers.iter().all(|it| [200, 503].contains(&it.status)));
     until("it serves again", || host.send(&request("order", "again")).status == 200);
 }
@@ -84,7 +84,7 @@
     let host = fleet.host();
     let store = fleet.store.clone();
     let requests = [request("order", "r1")];
-    let answers = stand_still(&host, &requests, || store.set_fault(StoreFault::Silent));
+    let answers = stand_still(&host, &requests, || store.set_fault(StoreFault::Hang));
     assert_eq!(answers[0].status, 503);
     let away: f64 = answers[0].header("retry-after").unwrap().parse().unwrap();
     assert!(away < 1.0, "told to come back after {away} s");
--- a/crates/portfield-host/tests/stop.rs
+++ b/crates/portfield-host/tests/stop.rs
@@ -18,7 +18,7 @@
     // 120 events of 10 ms: longer than the time in which new ones are taken.
     let long = request("draft", "r1").replace("30,24", "30,360").replace("1200", "4500");
     stream.write_all(long.as_bytes()).unwrap();
-    until("the stream begins", || fleet.n_run() == 1);
+    until("the stream begins", || fleet.n_executed() == 1);
     host.signal("-TERM");
     until("the host is not ready", || !host.is_ready());
     let late = host.send(&request("order", "r2"));
@@ -39,7 +39,7 @@
     let host = fleet.host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
     stream.write_all(request("draft", "r1").replace("30,24", "30,150").as_bytes()).unwrap();
-    until("the stream begins", || fleet.n_run() == 1);
+    until("the stream begins", || fleet.n_executed() == 1);
     fleet.rewrite("retry_extra = 5");
     host.signal("-HUP");
     until("the reload is logged", || !host.logged("settings reloaded").is_empty());
--- a/crates/portfield-host/tests/words/mod.rs
+++ b/crates/portfield-host/tests/words/mod.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-use portfield_platform_standins::{Seen, UsersUpstream};
+use portfield_platform_standins::{FakeUpstream, ReceivedRequest};
 
 /// Time after an answer in which requests that were on their way still come.
 const SLACK: Duration = Duration::from_millis(500);
@@ -41,38 +41,40 @@
 
 /// Returns what reached upstreams against their word; `doors` tells which host a request came to.
 pub fn judge(
-    upstreams: &[&UsersUpstream],
+    upstreams: &[&FakeUpstream],
     doors: &HashMap<&str, SocketAddr>,
     events: &Events,
 ) -> Vec<String> {
-    let judge = |(place, it): (usize, &&UsersUpstream)| judge_one(place, it, doors, events);
+    let judge = |(place, it): (usize, &&FakeUpstream)| judge_one(place, it, doors, events);
     upstreams.iter().enumerate().flat_map(judge).collect()
 }
 
 fn judge_one(
     place: usize,
-    upstream: &UsersUpstream,
+    upstream: &FakeUpstream,
     doors: &HashMap<&str, SocketAddr>,
     events: &Events,
 ) -> Vec<String> {
-    let seen = upstream.seen();
-    let door = |it: &Seen| doors.get(it.header("attempt-id")?).copied();
+    let seen = upstream.requests();
+    let door = |it: &ReceivedRequest| doors.get(it.header("attempt-id")?).copied();
     let mut res = Vec::new();
-    for (told, host) in seen.iter().filter_map(|it| Some((it.told?, door(it)?))) {
-        if !events.was_read(place, told.at) {
+    for (told, host) in seen.iter().filter_map(|it| Some((it.report?, door(it)?))) {
+        if !events.was_read(place, told.sent_at) {
             continue;
         }
-        let until_end = told.backoff.map(|it| told.at.saturating_add(it));
-        let until = if told.draining { Some(Duration::MAX) } else { until_end };
+        let until_end = told.backoff.map(|it| told.sent_at.saturating_add(it));
+        let until = if told.is_draining { Some(Duration::MAX) } else { until_end };
         let Some(until) = until else { continue };
-        let until = until.min(events.next_start(place, told.at));
+        let until = until.min(events.next_start(place, told.sent_at));
         let late: Vec<&str> = seen
             .iter()
-            .filter(|it| told.at + SLACK < it.arrived && it.arrived < until)
-            .filter(|it| door(it) == Some(host) && !events.stood_still(host, told.at, it.arrived))
+            .filter(|it| told.sent_at + SLACK < it.received_at && it.received_at < until)
+            .filter(|it| {
+                door(it) == Some(host) && !events.stood_still(host, told.sent_at, it.received_at)
+            })
             .filter_map(|it| it.header("attempt-id"))
             .collect();
-        if events.n_allowed(place, told.at) < late.len() {
+        if events.n_allowed(place, told.sent_at) < late.len() {
             let id = &upstream.id;
             res.push(format!("{id} told {host} {told:?}, and got {late:?} from it"));
         }
