--- a/crates/portfield-host/src/answer.rs
+++ b/crates/portfield-host/src/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
-use portfield::balance::Answered;
+use portfield::balance::AnswerKind;
 use portfield_platform::request::ATTEMPT_ID;
 use serde::Serialize;
 
@@ -29,7 +29,7 @@
     /// When to come back.
     pub retry: Option<Duration>,
     /// Whether it is for want of processor time, which decides what becomes of the connection.
-    pub answered: Answered,
+    pub answered: AnswerKind,
 }
 
 #[derive(Debug, Serialize)]
@@ -44,7 +44,7 @@
 impl Failure {
     /// Builds the rejection of a bad request.
     pub(crate) fn bad(status: StatusCode, field: &'static str, reason: impl Into<String>) -> Self {
-        Self { status, field, reason: reason.into(), retry: None, answered: Answered::Served }
+        Self { status, field, reason: reason.into(), retry: None, answered: AnswerKind::Served }
     }
 
     /// Builds the refusal of a request that did not run and will not.
@@ -54,7 +54,7 @@
 
     /// Builds the refusal of a request that this host has no processor time for.
     pub(crate) fn overloaded(retry: Duration) -> Self {
-        Self { answered: Answered::Refused, ..Self::refused("this host is overloaded", retry) }
+        Self { answered: AnswerKind::Refused, ..Self::refused("this host is overloaded", retry) }
     }
 
     /// Builds the end of a request that may have run.
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Ending, Placed, RunId},
+    balance::{Assignment, Completion, RunId},
     catalog::Upstream,
 };
 use portfield_net::clock;
@@ -87,28 +87,28 @@
 }
 
 impl Run {
-    fn start(host: &Arc<Host>, call: &Call, placed: &Placed) -> Self {
-        let id = host.balancer().start(clock::now(), &call.job, placed);
+    fn start(host: &Arc<Host>, call: &Call, placed: &Assignment) -> Self {
+        let id = host.balancer().record_start(clock::now(), &call.job, placed);
         Self { host: host.clone(), id, is_over: false }
     }
 
     /// Notes the first event, or the answer.
     pub(crate) fn first(&self) {
-        self.host.balancer().first(clock::now(), self.id);
+        self.host.balancer().record_first_event(clock::now(), self.id);
     }
 
     /// Notes the end.
-    pub(crate) fn end(&mut self, ending: Ending) {
+    pub(crate) fn end(&mut self, ending: Completion) {
         if !self.is_over {
             self.is_over = true;
-            self.host.balancer().end(clock::now(), self.id, ending);
+            self.host.balancer().record_end(clock::now(), self.id, ending);
         }
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.end(Completion::Cancelled);
     }
 }
 
@@ -117,7 +117,7 @@
     host: &Arc<Host>,
     call: &Call,
     upstream: &Arc<Upstream>,
-    placed: &Placed,
+    placed: &Assignment,
     last_event: Option<&str>,
     patience: Duration,
 ) -> Sent {
@@ -138,7 +138,7 @@
         // Since the request was placed it may drain, be evacuated, or have asked to be left alone: opening a connection
         // takes time.
         if !host.admits(upstream) {
-            run.end(Ending::Cancelled);
+            run.end(Completion::Cancelled);
             let text = "nothing more may be sent there";
             return Sent::Failed(Outcome::NotSent, text.to_owned());
         }
@@ -149,22 +149,22 @@
             None => {
                 // An answer that did not come while this host stood still says nothing of the upstream.
                 let stood_still = host.woke_at().is_some_and(|it| sent <= it);
-                run.end(if stood_still { Ending::Cancelled } else { Ending::Broken });
+                run.end(if stood_still { Completion::Cancelled } else { Completion::Broken });
                 Sent::Failed(Outcome::Late, "no answer in time".to_owned())
             }
             Some(Ok(response)) => judge(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
-                run.end(Ending::Cancelled);
+                run.end(Completion::Cancelled);
                 Sent::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
             Some(Err(mut err)) => {
                 if err.take_message().is_none() {
-                    run.end(Ending::Broken);
+                    run.end(Completion::Broken);
                     return Sent::Failed(Outcome::Unknown, explain(err.error()));
                 }
                 // Nothing was sent; a kept connection may have ended since its last answer.
                 if !connection.reused {
-                    run.end(Ending::Unreachable);
+                    run.end(Completion::Unreachable);
                     let text = "the connection ended before the request";
                     return Sent::Failed(Outcome::NotSent, text.to_owned());
                 }
@@ -191,7 +191,7 @@
 #[derive(Debug)]
 struct NotOpen {
     /// What it says of the upstream.
-    ending: Ending,
+    ending: Completion,
     text: String,
 }
 
@@ -204,10 +204,10 @@
             // Says nothing of the upstream: with it blamed, a host without a descriptor left alone
             // one sound upstream after the other.
             host.lacks_descriptors(&err);
-            return NotOpen { ending: Ending::Cancelled, text };
+            return NotOpen { ending: Completion::Cancelled, text };
         }
         reach::start(host, upstream, &err);
-        NotOpen { ending: Ending::Unreachable, text }
+        NotOpen { ending: Completion::Unreachable, text }
     })
 }
 
@@ -248,7 +248,7 @@
     let head = answer::decode(parts.status, &parts.headers, &call.id);
     self_report::hear(host, call, upstream, parts.status, &head);
     if !head.belongs {
-        run.end(Ending::Broken);
+        run.end(Completion::Broken);
         let text = "the answer belongs to another request";
         return Sent::Failed(Outcome::Unknown, text.to_owned());
     }
@@ -258,12 +258,12 @@
     if head.not_run {
         let asks_time =
             head.backoff.as_ref().and_then(|it| it.time).is_some_and(|it| !it.is_zero());
-        run.end(if asks_time { Ending::BackedOff } else { Ending::Rejected });
+        run.end(if asks_time { Completion::BackoffRequested } else { Completion::Rejected });
         let text = format!("turned away with {}", parts.status.as_u16());
         return Sent::Failed(Outcome::NotRun, text);
     }
     if parts.status.is_success() && !head.signed {
-        run.end(Ending::Broken);
+        run.end(Completion::Broken);
         return Sent::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
     let upstream = upstream.clone();
--- a/crates/portfield-host/src/awake.rs
+++ b/crates/portfield-host/src/awake.rs
@@ -15,8 +15,8 @@
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
         clock::woke();
-        self.balancer().stood_still(still);
-        self.others().drop_passing();
+        self.balancer().record_pause(still);
+        self.others().clear_forwards();
         Some(still)
     }
 
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Job, Overload, Prompt, Stage},
+    balance::{Overload, PlacementRequest, Prompt, Stage},
     catalog::{Access, Catalog, EngineSpec, Kind, Route, Workspace},
     quarantine::{self, Fingerprint, Identity},
 };
@@ -49,7 +49,7 @@
     pub service: String,
     pub workspace: Option<Arc<Workspace>>,
     pub config_version: u64,
-    pub job: Job,
+    pub job: PlacementRequest,
     /// Names the request, whatever the attempt.
     pub fingerprint: Fingerprint,
     _held: Arc<()>,
@@ -87,20 +87,20 @@
         let owner = workspace.as_ref().map_or(0, |it| hash(&it.name));
         let n_messages = messages(head.prompt.as_ref(), engine);
         let draw = fastrand::f64();
-        let overload = host.governor().refuses(arrived, owner, n_messages, draw);
+        let overload = host.governor().shed(arrived, owner, n_messages, draw);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
-            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::cost);
-            host.balancer().refused(arrived, owner, tokens);
+            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::token_cost);
+            host.balancer().record_refusal(arrived, owner, tokens);
             let refused = Overloaded { owner, tokens, overload };
             log_overload(host, &head, &route, workspace.as_deref(), refused);
-            return Err(Failure::overloaded(host.governor().retry(fastrand::f64())));
+            return Err(Failure::overloaded(host.governor().retry_after(fastrand::f64())));
         }
         let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
         let reading = read_body(body, catalog.limits().body_bytes);
         let late = || Err(Failure::bad(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
         let body = clock::timeout(patience, reading).await.unwrap_or_else(late)?;
-        let job = Job {
+        let job = PlacementRequest {
             workspace: owner,
             service: hash(&service),
             prompt: head.prompt,
@@ -152,7 +152,7 @@
 
     /// Returns what the request counts in its workspace's share, in tokens.
     pub(crate) fn tokens(&self) -> f64 {
-        self.job.tokens()
+        self.job.token_cost()
     }
 
     /// Returns the time that is left.
@@ -180,13 +180,13 @@
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
     host.intake.refused(name);
-    let account = host.balancer().account(clock::now(), owner);
+    let account = host.balancer().share_snapshot(clock::now(), owner);
     log::info!(
         request = head.id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
-        offered_level = overload.map_or(0.0, |it| it.level),
-        late_ms = overload.map_or(0.0, |it| it.late), active = host.n_active(),
-        asked = account.asked, taken = account.taken, level = account.level, best = account.best;
+        offered_level = overload.map_or(0.0, |it| it.limit),
+        late_ms = overload.map_or(0.0, |it| it.lateness), active = host.n_active(),
+        asked = account.asked, taken = account.taken, level = account.fair_share, best = account.largest_usage;
         "not admitted"
     );
 }
@@ -194,7 +194,7 @@
 /// Returns how many messages a host passes on for a request: both ways once, and the events.
 fn messages(prompt: Option<&Prompt>, engine: Option<EngineSpec>) -> f64 {
     let n_events = match (prompt, engine) {
-        (Some(prompt), Some(engine)) => prompt.output / engine.event_tokens.max(1),
+        (Some(prompt), Some(engine)) => prompt.max_output_tokens / engine.event_tokens.max(1),
         _ => 0,
     };
     2.0 + f64::from(n_events)
--- a/crates/portfield-host/src/cold.rs
+++ b/crates/portfield-host/src/cold.rs
@@ -29,7 +29,7 @@
     /// Takes what upstreams say of themselves.
     pub(crate) fn note_cold(&self, told: &[Arc<Upstream>]) {
         let (warm, cold): (Vec<_>, Vec<_>) = told.iter().partition(|it| it.entry.cold.is_zero());
-        warm.iter().for_each(|it| self.balancer().warm(it.number()));
+        warm.iter().for_each(|it| self.balancer().mark_warm(it.number()));
         let n_cold =
             cold.iter().filter(|it| self.begin_cold(it, Some(it.entry.cold), cold.len())).count();
         if MAX_LINES < n_cold {
@@ -61,7 +61,7 @@
             (Start::Unknown, Some(told)) => (told, 0),
             (Start::Unknown, None) => return false,
             (Start::Warm, _) => {
-                self.balancer().warm(upstream.number());
+                self.balancer().mark_warm(upstream.number());
                 return false;
             }
         };
@@ -69,7 +69,7 @@
             let id = &upstream.entry.id;
             log::info!(upstream = id, cold_ms = time.as_millis() as u64, quota; "upstream cold");
         }
-        self.balancer().cold(upstream.number(), clock::now() + time, quota);
+        self.balancer().mark_cold(upstream.number(), clock::now() + time, quota);
         true
     }
 
@@ -86,7 +86,7 @@
         }
         let settings = self.settings();
         let most = warming.rate * settings.cold_overrun + settings.cold_slack;
-        let hosts = self.others().known_in(hash(&upstream.entry.data_centre));
+        let hosts = self.others().hosts_in(hash(&upstream.entry.data_centre));
         cold_quota(most, &hosts, self.own_hash(), upstream.number())
     }
 }
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, StatusCode};
 use portfield::{
-    balance::{Account, Placed, Stage},
+    balance::{Assignment, ShareSnapshot, Stage},
     catalog::{Kind, Upstream},
     quarantine::Verdict,
 };
@@ -94,7 +94,7 @@
     }
 
     /// Picks an upstream, or the refusal to give.
-    fn place(&mut self) -> Result<(Placed, Arc<Upstream>), Failure> {
+    fn place(&mut self) -> Result<(Assignment, Arc<Upstream>), Failure> {
         self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
         let is_last_try = self.host.quarantine().is_last_try(clock::now(), self.call.request());
         let room = if is_last_try { Room::Apart } else { Room::Any };
@@ -108,8 +108,8 @@
         log::info!(
             request = self.call.id, route = self.call.route.name, reason:?, share,
             workspace = self.call.workspace_name(), tokens = self.call.tokens(),
-            asked = account.asked, taken = account.taken, level = account.level,
-            best = account.best, level_age_ms = account.age.as_millis() as u64,
+            asked = account.asked, taken = account.taken, level = account.fair_share,
+            best = account.largest_usage, level_age_ms = account.age.as_millis() as u64,
             estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
             objective_ms = self.call.route.objective.as_millis() as u64,
             config = self.call.config_version,
@@ -120,17 +120,17 @@
         Err(self.failure(format!("refused: {reason:?}"), retry))
     }
 
-    fn account(&self) -> Account {
-        self.host.balancer().account(clock::now(), self.call.job.workspace)
+    fn account(&self) -> ShareSnapshot {
+        self.host.balancer().share_snapshot(clock::now(), self.call.job.workspace)
     }
 
-    fn log_placed(&self, placed: &Placed, upstream: &Upstream) {
+    fn log_placed(&self, placed: &Assignment, upstream: &Upstream) {
         log::info!(
             request = self.call.id, route = self.call.route.name, upstream = upstream.entry.id,
             workspace = self.call.workspace_name(),
             estimate_ms = placed.estimate.as_millis() as u64,
-            bias_ms = placed.bias.as_millis() as u64, unread = placed.unread,
-            ahead = placed.ahead, share = placed.share, attempt = self.tried.len() + 1,
+            bias_ms = placed.bias.as_millis() as u64, unread = placed.uncached_tokens,
+            ahead = placed.queued_tokens, share = placed.share_ratio, attempt = self.tried.len() + 1,
             tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_text(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
@@ -211,7 +211,7 @@
 
     /// Notes that the caller has the beginning of the answer.
     pub(crate) fn begin(&mut self) {
-        self.call.job.stage = Stage::Begun;
+        self.call.job.stage = Stage::Streaming;
     }
 
     /// Returns whether another upstream would go on with the request now.
--- a/crates/portfield-host/src/front.rs
+++ b/crates/portfield-host/src/front.rs
@@ -15,7 +15,7 @@
 use futures_lite::future;
 use http::{HeaderValue, Request, Response, header};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
-use portfield::balance::Answered;
+use portfield::balance::AnswerKind;
 use portfield_net::{
     clock, contain,
     rpc::HyperTimer,
@@ -121,7 +121,7 @@
     let id = request.headers().get(portfield_platform::request::ATTEMPT_ID);
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
     let (mut res, answered) = match read(&host, caller, request).await {
-        Ok(call) => (serve::run(host.clone(), call).await, Answered::Served),
+        Ok(call) => (serve::run(host.clone(), call).await, AnswerKind::Served),
         Err(it) => {
             log::info!(
                 request = id, status = it.status.as_u16(), field = it.field, reason = it.reason,
--- a/crates/portfield-host/src/life.rs
+++ b/crates/portfield-host/src/life.rs
@@ -96,7 +96,7 @@
             if !stood_still {
                 governor.observe(now, now.saturating_sub(due));
             }
-            (governor.is_busy(), governor.late())
+            (governor.is_overloaded(), governor.lateness())
         };
         if is_busy != was_busy {
             was_busy = is_busy;
--- a/crates/portfield-host/src/listed.rs
+++ b/crates/portfield-host/src/listed.rs
@@ -76,7 +76,7 @@
             group.candidates.push(Candidate {
                 upstream: it.number(),
                 slots: it.entry.slots,
-                near: it.entry.data_centre == here,
+                is_local: it.entry.data_centre == here,
             });
         }
         self.ready = ready.into_iter().map(|(service, it)| (service, Arc::new(it))).collect();
--- a/crates/portfield-host/src/meet.rs
+++ b/crates/portfield-host/src/meet.rs
@@ -87,5 +87,5 @@
         return;
     };
     let name = row.value.as_deref().and_then(|it| std::str::from_utf8(it).ok());
-    host.others().learn(address, name.map(hash));
+    host.others().add_host(address, name.map(hash));
 }
--- a/crates/portfield-host/src/pages.rs
+++ b/crates/portfield-host/src/pages.rs
@@ -23,7 +23,7 @@
         return http1::json(404, &"no such page");
     }
     let is_ready = host.is_ready();
-    host.governor().asked(is_ready);
+    host.governor().record_probe(is_ready);
     if is_ready { http1::json(200, &"ready") } else { http1::json(503, &"not ready") }
 }
 
@@ -99,7 +99,7 @@
     let (n_hosts, least_part, n_backing_off) = {
         let (mut balancer, now) = (host.balancer(), clock::now());
         let n_backing_off = balancer.n_backing_off(now);
-        (balancer.n_hosts(now) as f64, balancer.least_part(now), n_backing_off)
+        (balancer.n_hosts(now) as f64, balancer.min_fairness(now), n_backing_off)
     };
     let (list, n_evacuated, n_draining) = host.with_list(|it| {
         let n_draining = it.directory.drains_unlisted().count();
@@ -119,7 +119,7 @@
         ("store_age_ms", host.store_age().as_millis() as f64),
         ("hosts", n_hosts),
         ("least_part", least_part),
-        ("late_ms", host.governor().late()),
+        ("late_ms", host.governor().lateness()),
         ("active", host.n_active() as f64),
         ("quarantine_suspects", n_suspects as f64),
         ("quarantine_refused", n_refused as f64),
--- a/crates/portfield-host/src/peers/listen.rs
+++ b/crates/portfield-host/src/peers/listen.rs
@@ -7,7 +7,7 @@
 };
 
 use portfield::{
-    balance::{Audience, Follower, Way},
+    balance::{Delivery, GossipTopology, WatcherStatus},
     catalog::StoreVersion,
     waking::Knowledge,
 };
@@ -74,7 +74,7 @@
     news: &mut News,
 ) {
     let audience = host.audience();
-    if digest.seeks_hosts && audience.is_large() {
+    if digest.seeks_hosts && audience.is_hierarchical() {
         tell::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
@@ -87,13 +87,13 @@
         list: it.directory.version(),
         orders: it.evacuations.version(),
     });
-    let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Way::Relayed));
-    for (digest, way) in std::iter::once((digest, Way::Direct)).chain(relayed) {
+    let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
+    for (digest, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
         take_one(host, &audience, from, &digest);
         if digest.host != host.own_hash() {
             news.note(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let passed = host.others().pass_on(digest, way);
+        let passed = host.others().forward(digest, way);
         if let Some((speaker, digest)) = passed {
             tell::send(host, socket, &digest, [speaker]);
         }
@@ -105,35 +105,35 @@
     let mut others = host.others();
     for it in &digest.hosts {
         match it.address.parse() {
-            Ok(address) => others.learn(address, Some(it.data_centre)),
+            Ok(address) => others.add_host(address, Some(it.data_centre)),
             Err(_) => host.metrics.count("digests_malformed"),
         }
     }
 }
 
 /// Takes one digest.
-fn take_one(host: &Host, audience: &Audience, from: SocketAddr, digest: &Digest) {
+fn take_one(host: &Host, audience: &GossipTopology, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
     }
     let now = clock::now();
-    host.others().hear(now, from, digest);
+    host.others().record_digest(now, from, digest);
     if digest.n_summed == 0 {
         let store_age = Duration::from_millis(u64::from(digest.store_age));
         host.note_witness(now.saturating_sub(store_age));
-        host.hear(Follower {
+        host.hear(WatcherStatus {
             host: digest.host,
             data_centre: digest.data_centre,
             store_age,
-            heard: now,
+            last_heard: now,
         });
     } else {
         host.metrics.count("sums");
     }
     quarantine::take(host, &digest.suspects, Source::Host);
     self_report::take(host, digest);
-    if audience.counts(digest) {
-        host.balancer().merge(now, digest);
+    if audience.accepts(digest) {
+        host.balancer().merge_digest(now, digest);
     }
 }
 
@@ -185,7 +185,7 @@
 impl News {
     fn note(&mut self, host: &Host, known: Known, address: SocketAddr, digest: &Digest) {
         let hears_store =
-            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.fresh;
+            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.stale_after;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
         if known.orders < orders {
             self.orders.note(address);
--- a/crates/portfield-host/src/peers/tell.rs
+++ b/crates/portfield-host/src/peers/tell.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use async_io::Async;
-use portfield::balance::Audience;
+use portfield::balance::GossipTopology;
 use portfield_net::clock;
 use portfield_wire::Digest;
 use prost::Message;
@@ -33,11 +33,11 @@
         let digest = own_digest(&host, &audience, header.clone());
         let (told, passed) = {
             let mut others = host.others();
-            (others.told(sequence), others.take_passing())
+            (others.recipients(sequence), others.take_forwards())
         };
-        if audience.speaks() {
+        if audience.is_leader() {
             let sum = sum(&host, header);
-            let told = host.others().told_sum(clock::now(), sequence);
+            let told = host.others().summary_recipients(clock::now(), sequence);
             send(&host, &socket, &sum, told);
         }
         for digest in with_passed(digest, passed) {
@@ -71,15 +71,15 @@
 
 /// Introduces the hosts that this one knows to one that knows none of its data centre.
 pub(super) fn introduce(host: &Host, socket: &Async<std::net::UdpSocket>, to: SocketAddr) {
-    let digest = Digest { hosts: host.others().known(), ..header(host, 0) };
+    let digest = Digest { hosts: host.others().known_hosts(), ..header(host, 0) };
     send(host, socket, &digest, [to]);
 }
 
 /// Adds what this host did to its header.
-fn own_digest(host: &Host, audience: &Audience, header: Digest) -> Digest {
+fn own_digest(host: &Host, audience: &GossipTopology, header: Digest) -> Digest {
     let mut res = header;
-    res.seeks_hosts = !host.others().knows_near();
-    host.balancer().report(clock::now(), &mut res);
+    res.seeks_hosts = !host.others().knows_local_host();
+    host.balancer().fill_digest(clock::now(), &mut res);
     quarantine::report(host, audience, &mut res);
     self_report::report(host, audience, &mut res);
     res
@@ -108,7 +108,7 @@
 /// Adds what this host's data centre did to the host's header, in whose place the data centre stands.
 fn sum(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
-    host.balancer().summarize(clock::now(), &mut res);
+    host.balancer().fill_summary(clock::now(), &mut res);
     quarantine::summarize(host, &mut res);
     self_report::summarize(host, &mut res);
     res
@@ -133,7 +133,7 @@
 }
 
 fn log_heard(host: &Host) {
-    let n = host.others().take_heard();
+    let n = host.others().take_n_appeared();
     if 0 < n {
         log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts heard");
     }
--- a/crates/portfield-host/src/placing.rs
+++ b/crates/portfield-host/src/placing.rs
@@ -7,7 +7,7 @@
 };
 
 use portfield::{
-    balance::{Candidate, Placed, Placement, Refusal},
+    balance::{Assignment, Candidate, Placement, Refusal},
     catalog::{Regions, Upstream},
 };
 use portfield_net::clock;
@@ -53,7 +53,7 @@
         let is_reborn = |it: &&Arc<Upstream>| listed.directory.is_reborn(it);
         let reborn: Vec<Arc<Upstream>> = before.iter().filter(is_reborn).cloned().collect();
         drop(listed);
-        self.balancer().retain(|id| ids.contains(&id));
+        self.balancer().retain_upstreams(|id| ids.contains(&id));
         self.note_cold(&cold);
         reborn.iter().for_each(|it| quarantine::ended(self, it, End::Reborn));
         res
@@ -66,7 +66,7 @@
 
     /// Returns whether a request that was placed on an upstream may be written to it now.
     pub(crate) fn admits(&self, upstream: &Upstream) -> bool {
-        let backs_off = self.balancer().backs_off_until(clock::now(), upstream.number()).is_some();
+        let backs_off = self.balancer().backoff_until(clock::now(), upstream.number()).is_some();
         !backs_off && self.with_list(|it| it.offers(upstream))
     }
 
@@ -94,7 +94,7 @@
         call: &Call,
         tried: &[u32],
         room: Room,
-    ) -> Result<(Placed, Arc<Upstream>), Refused> {
+    ) -> Result<(Assignment, Arc<Upstream>), Refused> {
         let job = &call.job;
         let ready = self.candidates(call);
         let untried = || ready.candidates.iter().filter(|it| !tried.contains(&it.upstream));
@@ -111,14 +111,14 @@
         let res = match room {
             Room::Any => balancer.place(now, job, candidates),
             Room::Apart => {
-                let calmest = balancer.calmest(now, candidates);
+                let calmest = balancer.least_busy(now, candidates);
                 balancer.place(now, job, calmest.as_slice())
             }
         };
         drop(balancer);
         let placed = match res {
             Placement::Send(it) => it,
-            Placement::Refuse { reason, retry, estimate, share } => {
+            Placement::Refuse { reason, retry_after: retry, estimate, share_ratio: share } => {
                 return Err(Refused { reason, retry, estimate, share });
             }
         };
@@ -127,7 +127,7 @@
             reason: Refusal::NoUpstream,
             retry: placed.estimate,
             estimate: placed.estimate,
-            share: placed.share,
+            share: placed.share_ratio,
         })
     }
 }
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use portfield::{
-    balance::Audience,
+    balance::GossipTopology,
     catalog::Upstream,
     quarantine::{Fingerprint, Request, Verdict},
 };
@@ -105,7 +105,7 @@
 }
 
 /// Adds what this host knows to its own digest.
-pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn report(host: &Host, audience: &GossipTopology, digest: &mut Digest) {
     digest.suspects = host.quarantine().report(clock::now(), audience, digest.sequence);
 }
 
--- a/crates/portfield-host/src/reach.rs
+++ b/crates/portfield-host/src/reach.rs
@@ -107,7 +107,7 @@
             if has_ended {
                 host.presume_cold(upstream);
             }
-            host.balancer().reachable(upstream.number());
+            host.balancer().record_reachable(upstream.number());
             let lost_ms = (clock::now() - lost).as_millis() as u64;
             log::info!(upstream = upstream.entry.id, lost_ms; "upstream reachable");
             return;
--- a/crates/portfield-host/src/recall.rs
+++ b/crates/portfield-host/src/recall.rs
@@ -58,7 +58,7 @@
 
 /// Returns whether a data centre cannot be heard that may know of what is suspected here.
 fn may_know_less(host: &Host) -> bool {
-    let is_cut = host.others().misses_centre(clock::now());
+    let is_cut = host.others().has_unreachable_centre(clock::now());
     is_cut && 0 < host.quarantine().n_suspects()
 }
 
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -7,7 +7,7 @@
 use http::{Response, StatusCode};
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
-use portfield::balance::Ending;
+use portfield::balance::Completion;
 use portfield_net::{clock, events::Events};
 
 use crate::{
@@ -136,7 +136,7 @@
         let Some(live) = self.live.take() else { return };
         let Live { head, connection, mut run, upstream, .. } = *live;
         run.first();
-        run.end(Ending::Done);
+        run.end(Completion::Done);
         quarantine::succeeded(&self.exchange.host, &self.exchange.call);
         if head.keeps {
             self.exchange.host.pool.put(upstream.number(), connection, head.idle);
@@ -151,7 +151,7 @@
     async fn go_on(&mut self, cause: String) -> io::Result<()> {
         if let Some(mut live) = self.live.take() {
             let timed_out = self.exchange.call.left().is_zero();
-            live.run.end(if timed_out { Ending::Cancelled } else { Ending::Broken });
+            live.run.end(if timed_out { Completion::Cancelled } else { Completion::Broken });
             self.exchange.broke(&live.upstream, &cause);
         }
         self.events.take_partial();
--- a/crates/portfield-host/src/self_report.rs
+++ b/crates/portfield-host/src/self_report.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, PoisonError};
 
 use http::StatusCode;
-use portfield::{balance::Audience, catalog::Upstream};
+use portfield::{balance::GossipTopology, catalog::Upstream};
 use portfield_net::clock;
 use portfield_platform::{answer::Head, retry_after::RetryAfter};
 use portfield_wire::Digest;
@@ -48,13 +48,13 @@
 }
 
 /// Adds the upstreams that drain by their own word to this host's digest.
-pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn report(host: &Host, audience: &GossipTopology, digest: &mut Digest) {
     // Every request reads the list, and mostly there is none.
     if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
         return;
     }
     let mut listed = host.listed.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = listed.directory.report_draining(audience.telling(digest.sequence));
+    digest.draining = listed.directory.report_draining(audience.detail(digest.sequence));
 }
 
 /// Adds them to the sum of this host's data centre.
@@ -100,9 +100,9 @@
     let end = {
         let mut balancer = host.balancer();
         if let Some(time) = asked.time {
-            balancer.back_off(now, number, time);
+            balancer.start_backoff(now, number, time);
         }
-        balancer.backs_off_until(now, number)
+        balancer.backoff_until(now, number)
     };
     log::info!(
         request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.sent,
@@ -113,7 +113,7 @@
 
 /// Logs the upstreams whose time is over.
 pub(crate) fn log_backoffs_over(host: &Host) {
-    let over = host.balancer().take_backoffs_over(clock::now());
+    let over = host.balancer().take_expired_backoffs(clock::now());
     for number in over {
         log::info!(upstream = id_of(host, number), number; "upstream may be asked again");
     }
--- a/crates/portfield-host/src/serve.rs
+++ b/crates/portfield-host/src/serve.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full};
-use portfield::balance::Ending;
+use portfield::balance::Completion;
 use portfield_net::clock;
 
 use crate::{
@@ -51,7 +51,7 @@
                 Some(Err(err)) => attempt::explain(&err),
                 _ => "the answer did not end in time".to_owned(),
             };
-            run.end(Ending::Broken);
+            run.end(Completion::Broken);
             exchange.broke(&upstream, &cause);
             if exchange.may_repeat() {
                 return Err(exchange);
@@ -62,7 +62,7 @@
     let first = clock::now();
     run.first();
     let is_error = parts.status.is_server_error();
-    run.end(if is_error { Ending::Error } else { Ending::Done });
+    run.end(if is_error { Completion::Error } else { Completion::Done });
     if head.keeps {
         exchange.host.pool.put(upstream.number(), connection, head.idle);
     }
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, path::Path, time::Duration};
 
-use portfield::balance::StorePace;
+use portfield::balance::StoreTimeouts;
 use portfield_net::settings::{Error, Reader};
 
 /// What the process is told at its start and on each reload.
@@ -42,7 +42,7 @@
     /// Most log lines a second.
     pub log_lines: u64,
     /// How the store is followed.
-    pub pace: StorePace,
+    pub pace: StoreTimeouts,
     /// What all hosts together may send to a cold upstream in a second, as a multiple of the rate that its service
     /// names.
     pub cold_overrun: f64,
@@ -77,7 +77,7 @@
             active_limit: it.number("active_limit", 700, (1, 1_000_000)) as usize,
             direct_hosts: it.number("direct_hosts", 12, (1, 1_000)) as usize,
             log_lines: it.number("log_lines_s", 200, (1, 100_000)),
-            pace: StorePace::new(it.millis("contact_ms", 3000, (100, 600_000))),
+            pace: StoreTimeouts::new(it.millis("contact_ms", 3000, (100, 600_000))),
             cold_overrun: it.fraction("cold_overrun", 1.0, (0.0, 1000.0)),
             cold_slack: it.fraction("cold_slack", 0.0, (0.0, 1e6)),
             regions: it.text_table("regions"),
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -14,8 +14,8 @@
 use bytes::Bytes;
 use portfield::{
     balance::{
-        Answered, Audience, Balancer, Follower, Governor, Others, Place, Readers, RetryBudget,
-        Witness, host_hash,
+        AnswerKind, Balancer, GossipConfig, GossipTopology, LoadShedder, PeerTable, RetryBudget,
+        StoreAvailability, StoreWatchers, WatcherStatus, host_hash,
     },
     catalog::Catalog,
     quarantine::{Breaks, Quarantine, Request},
@@ -62,10 +62,10 @@
     pub listed: RwLock<Listed>,
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
-    others: Mutex<Others>,
-    readers: Mutex<Readers>,
-    witness: Mutex<Witness>,
-    governor: Mutex<Governor>,
+    others: Mutex<PeerTable>,
+    readers: Mutex<StoreWatchers>,
+    witness: Mutex<StoreAvailability>,
+    governor: Mutex<LoadShedder>,
     breaks: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
     waking: Mutex<Waking>,
@@ -92,14 +92,14 @@
     ///
     /// Returns with it the requests whose verdict the store is to keep, as they come.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
-        let place = Place {
+        let place = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash(&settings.data_centre),
-            direct: settings.direct_hosts,
+            direct_limit: settings.direct_hosts,
         };
         let incarnation = fastrand::u64(1..);
         let mut balancer = Balancer::new(settings.share_window);
-        balancer.seed(incarnation);
+        balancer.set_seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
         let (verdicts, kept) = async_channel::bounded(MAX_UNKEPT);
         let res = Arc::new(Self {
@@ -113,10 +113,10 @@
             listed: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            others: Mutex::new(Others::new(place, seeds)),
+            others: Mutex::new(PeerTable::new(place, seeds)),
             own_hash: place.host,
-            readers: Mutex::new(Readers::new(settings.pace)),
-            witness: Mutex::new(Witness::new(OUTAGE)),
+            readers: Mutex::new(StoreWatchers::new(settings.pace)),
+            witness: Mutex::new(StoreAvailability::new(OUTAGE)),
             governor: Mutex::default(),
             breaks: Mutex::default(),
             quarantine: Mutex::default(),
@@ -182,12 +182,12 @@
 
     /// Counts a request towards a service's retry budget.
     pub(crate) fn earn_retry(&self, service: u32) {
-        self.with_budget(service, |it, _| it.earn(clock::now()));
+        self.with_budget(service, |it, _| it.deposit(clock::now()));
     }
 
     /// Pays for sending a request a second time, if the budget allows it.
     pub(crate) fn spend_retry(&self, service: u32) -> bool {
-        self.with_budget(service, |it, n_hosts| it.spend(clock::now(), n_hosts))
+        self.with_budget(service, |it, n_hosts| it.withdraw(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
@@ -200,12 +200,12 @@
     }
 
     /// Returns the other hosts.
-    pub(crate) fn others(&self) -> MutexGuard<'_, Others> {
+    pub(crate) fn others(&self) -> MutexGuard<'_, PeerTable> {
         self.others.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns this host's own load.
-    pub(crate) fn governor(&self) -> MutexGuard<'_, Governor> {
+    pub(crate) fn governor(&self) -> MutexGuard<'_, LoadShedder> {
         self.governor.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -261,18 +261,18 @@
     }
 
     /// Returns whether a caller's connection is to be closed after an answer.
-    pub(crate) fn closes(&self, answered: Answered) -> bool {
-        self.is_stopping() || self.governor().closes(answered) || !self.accepts()
+    pub(crate) fn closes(&self, answered: AnswerKind) -> bool {
+        self.is_stopping() || self.governor().closes_connection(answered) || !self.accepts()
     }
 
     /// Looks anew at whom to tell what this host did.
-    pub(crate) fn look(&self) -> Audience {
-        self.others().look(clock::now())
+    pub(crate) fn look(&self) -> GossipTopology {
+        self.others().refresh_topology(clock::now())
     }
 
     /// Returns whom to tell what this host did, as of the last look.
-    pub(crate) fn audience(&self) -> Audience {
-        self.others().audience()
+    pub(crate) fn audience(&self) -> GossipTopology {
+        self.others().topology()
     }
 
     /// Returns the hash that names this host among the others.
@@ -281,19 +281,19 @@
     }
 
     /// Notes what another host said of itself.
-    pub(crate) fn hear(&self, it: Follower) {
-        self.readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
+    pub(crate) fn hear(&self, it: WatcherStatus) {
+        self.readers.lock().unwrap_or_else(PoisonError::into_inner).record(it);
     }
 
     /// Notes that another host heard the store at a time.
     pub(crate) fn note_witness(&self, at: Duration) {
-        self.witness.lock().unwrap_or_else(PoisonError::into_inner).note(at);
+        self.witness.lock().unwrap_or_else(PoisonError::into_inner).record(at);
     }
 
     /// Returns whether others have heard the store from a time on until now.
     pub(crate) fn is_witnessed(&self, from: Duration) -> bool {
         let witness = self.witness.lock().unwrap_or_else(PoisonError::into_inner);
-        witness.covers(from, clock::now())
+        witness.is_continuous(from, clock::now())
     }
 
     /// Returns whether this host is to follow the store itself.
@@ -302,7 +302,7 @@
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
         let readers = self.readers.lock().unwrap_or_else(PoisonError::into_inner);
-        readers.is_reader(now, self.own_hash, data_centre, n_others)
+        readers.is_watcher(now, self.own_hash, data_centre, n_others)
     }
 
     /// Notes that the store answered.
@@ -317,7 +317,7 @@
 
     /// Returns whether the list of upstreams is to be taken from other hosts.
     pub(crate) fn needs_list(&self) -> bool {
-        self.settings().pace.silent < self.store_age() || !self.is_reader()
+        self.settings().pace.fallback_after < self.store_age() || !self.is_reader()
     }
 
     /// Returns whether callers may be sent here.
@@ -328,7 +328,7 @@
             && is_recalled
             && self.trusts()
             && !self.is_stopping()
-            && !self.governor().is_busy()
+            && !self.governor().is_overloaded()
             && self.accepts()
     }
 
--- a/crates/portfield-host/src/watch.rs
+++ b/crates/portfield-host/src/watch.rs
@@ -5,7 +5,7 @@
 use async_channel::Receiver;
 use bytes::Bytes;
 use portfield::{
-    balance::CALL_TIMEOUT,
+    balance::STORE_CALL_TIMEOUT,
     catalog::{RETURN_GRACE, Source, StoreVersion},
     quarantine::Request,
     waking::Knowledge,
@@ -44,7 +44,7 @@
 
 /// Starts the tasks.
 pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
-    let store = Store::new(host.settings().store, CALL_TIMEOUT);
+    let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = Followed {
         table: store::OPERATOR,
         what: Knowledge::Config,
--- a/crates/portfield/src/balance/admission.rs
+++ b/crates/portfield/src/balance/admission.rs
@@ -12,8 +12,8 @@
 
 use super::{
     choice::Choice,
-    job::{Job, Stage},
-    shares::Standing,
+    job::{PlacementRequest, Stage},
+    shares::ShareStatus,
 };
 
 /// Part of the objective that a request may wait behind others even if it can only be late.
@@ -39,8 +39,8 @@
 /// Returns the longest wait, in milliseconds, with which a request is still sent.
 ///
 /// A stream that has begun is sent however long it waits: its caller has part of the answer.
-pub(super) fn longest_wait(job: &Job, standing: Standing, choice: &Choice) -> f64 {
-    if job.stage == Stage::Begun {
+pub(super) fn longest_wait(job: &PlacementRequest, standing: ShareStatus, choice: &Choice) -> f64 {
+    if job.stage == Stage::Streaming {
         return f64::INFINITY;
     }
     if job.engine.is_none() {
@@ -50,14 +50,18 @@
     let in_time = in_time(job) - choice.times.own;
     match standing {
         // An engine that is idle as far as any host knows is not refused for what nobody knows.
-        Standing::Share(it) if 1.0 < it => (in_time * over_part(it)).max(0.0) + choice.times.bias,
-        Standing::Behind(it) if 1.0 < it => (in_time * BEHIND_WAIT).max(0.0) + choice.times.bias,
+        ShareStatus::Served(it) if 1.0 < it => {
+            (in_time * over_part(it)).max(0.0) + choice.times.bias
+        }
+        ShareStatus::Underserved(it) if 1.0 < it => {
+            (in_time * BEHIND_WAIT).max(0.0) + choice.times.bias
+        }
         _ => in_time.max(LATE_WAIT * objective),
     }
 }
 
 /// Returns the time left, in milliseconds, until a request's objective has gone by.
-pub(super) fn in_time(job: &Job) -> f64 {
+pub(super) fn in_time(job: &PlacementRequest) -> f64 {
     let left = job.objective.as_secs_f64() - job.waited.as_secs_f64();
     left * 1000.0
 }
--- a/crates/portfield/src/balance/audience.rs
+++ b/crates/portfield/src/balance/audience.rs
@@ -40,24 +40,24 @@
 
 /// This host among the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct GossipConfig {
     /// Hash of its address.
     pub host: u64,
     /// Hash of its data centre's name.
     pub data_centre: u32,
     /// Up to so many other hosts tell each other everything.
-    pub direct: usize,
+    pub direct_limit: usize,
 }
 
 /// Another host, as far as this one hears it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listener {
+pub struct RemoteHost {
     /// Hash of its address.
     pub host: u64,
     /// Hash of its data centre's name, where that is known.
     pub data_centre: Option<u32>,
     /// When it was last heard, itself or through the speaker; zero for never.
-    pub heard: Duration,
+    pub last_heard: Duration,
 }
 
 /// The other hosts at one moment.
@@ -65,28 +65,28 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::{Audience, Listener, Place};
+/// use portfield::balance::{GossipTopology, RemoteHost, GossipConfig};
 /// use std::time::Duration;
 ///
 /// let now = Duration::from_secs(30);
-/// let place = Place { host: 30, data_centre: 0, direct: 12 };
-/// let listener = |host: u64| Listener {
+/// let config = GossipConfig { host: 30, data_centre: 0, direct_limit: 12 };
+/// let remote = |host: u64| RemoteHost {
 ///     host,
 ///     data_centre: Some((host % 3) as u32),
-///     heard: now,
+///     last_heard: now,
 /// };
-/// let few: Vec<_> = (1..9).map(listener).collect();
-/// assert!(few.iter().all(|it| Audience::new(now, place, &few, 0).is_told(it, 1)));
-/// let many: Vec<_> = (1..60).map(listener).collect();
-/// let audience = Audience::new(now, place, &many, 0);
-/// let told = many.iter().filter(|it| audience.is_told(it, 1)).map(|it| it.host);
-/// assert_eq!(told.collect::<Vec<_>>(), [3, 6], "the speaker, and the next in line");
+/// let few: Vec<_> = (1..9).map(remote).collect();
+/// assert!(few.iter().all(|it| GossipTopology::new(now, config, &few, 0).is_recipient(it, 1)));
+/// let many: Vec<_> = (1..60).map(remote).collect();
+/// let topology = GossipTopology::new(now, config, &many, 0);
+/// let told = many.iter().filter(|it| topology.is_recipient(it, 1)).map(|it| it.host);
+/// assert_eq!(told.collect::<Vec<_>>(), [3, 6], "the leader and its standby");
 /// ```
 #[derive(Debug, Clone, Copy)]
-pub struct Audience {
+pub struct GossipTopology {
     now: Duration,
-    place: Place,
-    is_large: bool,
+    place: GossipConfig,
+    is_hierarchical: bool,
     period: Duration,
     /// The speaker of this data centre and the next in line, as far as they are known.
     first: Option<u64>,
@@ -95,50 +95,51 @@
     newest: Duration,
 }
 
-impl Listener {
+impl RemoteHost {
     /// Returns whether it has not been heard for so long that its next word is news.
     pub fn is_silent(&self, now: Duration) -> bool {
-        self.heard.is_zero() || self.heard + SILENT < now
+        self.last_heard.is_zero() || self.last_heard + SILENT < now
     }
 
     /// Returns whether it was heard, and so late that it counts.
-    pub fn is_there(&self, now: Duration) -> bool {
-        !self.heard.is_zero() && now < self.heard + GONE
+    pub fn is_alive(&self, now: Duration) -> bool {
+        !self.last_heard.is_zero() && now < self.last_heard + GONE
     }
 }
 
-impl Audience {
+impl GossipTopology {
     /// Looks at the other hosts; `n_far` is how many hosts the sums of other data centres speak for.
-    pub fn new(now: Duration, place: Place, others: &[Listener], n_far: usize) -> Self {
-        let near = |it: &&Listener| it.data_centre == Some(place.data_centre);
-        let n_there = others.iter().filter(|it| it.is_there(now)).count();
-        let n_near = others.iter().filter(near).filter(|it| it.is_there(now)).count();
+    pub fn new(now: Duration, place: GossipConfig, others: &[RemoteHost], n_far: usize) -> Self {
+        let near = |it: &&RemoteHost| it.data_centre == Some(place.data_centre);
+        let n_there = others.iter().filter(|it| it.is_alive(now)).count();
+        let n_near = others.iter().filter(near).filter(|it| it.is_alive(now)).count();
         // A host that has just started has heard nobody: it goes by those that it knows of.
-        let has_started = now < STARTING && place.direct < others.len();
-        let is_large = place.direct < n_there.max(n_near + n_far) || has_started;
+        let has_started = now < STARTING && place.direct_limit < others.len();
+        let is_large = place.direct_limit < n_there.max(n_near + n_far) || has_started;
         let period = PERIOD.max(PERIOD_PER_HOST * n_near as u32);
-        let newest = others.iter().filter(near).map(|it| it.heard).max().unwrap_or_default();
+        let newest = others.iter().filter(near).map(|it| it.last_heard).max().unwrap_or_default();
         // Once no word comes at all, those heard last stay in line until others are found.
-        let is_fresh =
-            |it: &&Listener| !it.heard.is_zero() && newest <= it.heard + period * SPEAKER_PERIODS;
+        let is_fresh = |it: &&RemoteHost| {
+            !it.last_heard.is_zero() && newest <= it.last_heard + period * SPEAKER_PERIODS
+        };
         let mut line: Vec<u64> =
             others.iter().filter(near).filter(is_fresh).map(|it| it.host).collect();
         line.push(place.host);
         line.sort_unstable();
         let (first, second) = (line.first().copied(), line.get(1).copied());
-        Self { now, place, is_large, period, first, second, newest }
+        Self { now, place, is_hierarchical: is_large, period, first, second, newest }
     }
 
     /// Returns whether there are so many hosts that data centres have speakers.
-    pub fn is_large(&self) -> bool {
-        self.is_large
+    pub fn is_hierarchical(&self) -> bool {
+        self.is_hierarchical
     }
 
     /// Returns how much this host's digest of that number tells of what changes seldom.
     ///
     /// In a large data centre everybody hears its speaker, and only that one tells all of it.
-    pub fn telling(&self, sequence: u64) -> Telling {
-        let tells_all = !self.is_large() || self.speaks();
+    pub fn detail(&self, sequence: u64) -> Telling {
+        let tells_all = !self.is_hierarchical() || self.is_leader();
         if tells_all && sequence.is_multiple_of(WHOLE_EVERY) {
             return Telling::Whole;
         }
@@ -151,22 +152,22 @@
     }
 
     /// Returns whether a host gets this host's digest with that number.
-    pub fn is_told(&self, it: &Listener, sequence: u64) -> bool {
+    pub fn is_recipient(&self, it: &RemoteHost, sequence: u64) -> bool {
         let now_and_then = sequence.is_multiple_of(SILENT_EVERY);
-        if !self.is_large {
-            return self.now <= it.heard + SILENT || now_and_then;
+        if !self.is_hierarchical {
+            return self.now <= it.last_heard + SILENT || now_and_then;
         }
         let Some(data_centre) = it.data_centre else {
-            return now_and_then || self.is_search(sequence);
+            return now_and_then || self.is_discovery(sequence);
         };
         if data_centre != self.place.data_centre {
             return false;
         }
-        if self.speaks() && !it.is_silent(self.now) {
+        if self.is_leader() && !it.is_silent(self.now) {
             return true;
         }
         let is_in_line = Some(it.host) == self.first || Some(it.host) == self.second;
-        is_in_line || self.is_search(sequence) || (self.speaks() && now_and_then)
+        is_in_line || self.is_discovery(sequence) || (self.is_leader() && now_and_then)
     }
 
     /// Returns whether what a digest tells counts: of few hosts, and of those of this data centre,
@@ -174,35 +175,35 @@
     ///
     /// **NOTE:** The sum of this data centre never counts beside its hosts' own words: with one that
     /// came astray a workspace was believed to have had three times what it had.
-    pub fn counts(&self, digest: &wire::Digest) -> bool {
+    pub fn accepts(&self, digest: &wire::Digest) -> bool {
         let is_far = digest.data_centre != self.place.data_centre;
         if 0 < digest.n_summed {
-            return self.is_large && is_far;
+            return self.is_hierarchical && is_far;
         }
-        !self.is_large || !is_far
+        !self.is_hierarchical || !is_far
     }
 
     /// Returns whether this host speaks for its data centre: tells its hosts what they all did, and
     /// the other data centres the sum.
-    pub fn speaks(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         let is_alone = self.newest + self.period * ALONE_PERIODS <= self.now;
-        self.is_large && (self.first == Some(self.place.host) || is_alone)
+        self.is_hierarchical && (self.first == Some(self.place.host) || is_alone)
     }
 
     /// Returns the hash of the host that speaks for this data centre, `None` where this one does or
     /// each tells all.
-    pub fn speaker(&self) -> Option<u64> {
-        self.first.filter(|_| self.is_large && !self.speaks())
+    pub fn leader(&self) -> Option<u64> {
+        self.first.filter(|_| self.is_hierarchical && !self.is_leader())
     }
 
     /// Returns whether a host that stands in another data centre may be sent this one's sum.
-    pub fn is_far(&self, it: &Listener) -> bool {
+    pub fn is_remote(&self, it: &RemoteHost) -> bool {
         it.data_centre.is_some_and(|it| it != self.place.data_centre)
     }
 
     /// Returns whether the digest with that number goes to all hosts that may be near: none of this
     /// data centre is heard.
-    fn is_search(&self, sequence: u64) -> bool {
+    fn is_discovery(&self, sequence: u64) -> bool {
         let is_lost = self.newest + self.period * LOST_PERIODS <= self.now || self.newest.is_zero();
         is_lost && sequence.is_multiple_of(SEARCH_EVERY)
     }
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -8,11 +8,11 @@
     admission::{in_time, longest_wait},
     bias::Bias,
     choice::{Choice, Order, Scales, home, least, millis},
-    job::{Candidate, Ending, Job, Placed, Placement, Refusal},
+    job::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal},
     load::Loads,
     map::Map,
     prompt::Prompt,
-    shares::{Account, Shares, Standing, Usage},
+    shares::{ShareSnapshot, ShareStatus, Shares, Usage},
     speed::Speed,
 };
 use crate::wire;
@@ -89,7 +89,7 @@
     }
 
     /// Sets where the numbers drawn begin: two hosts that begin alike order upstreams alike.
-    pub fn seed(&mut self, seed: u64) {
+    pub fn set_seed(&mut self, seed: u64) {
         self.draws = seed;
     }
 
@@ -99,16 +99,21 @@
     }
 
     /// Forgets upstreams that are gone.
-    pub fn retain(&mut self, is_known: impl Fn(u32) -> bool) {
+    pub fn retain_upstreams(&mut self, is_known: impl Fn(u32) -> bool) {
         self.loads.retain(&is_known);
         self.memories.retain(|id, _| is_known(*id));
     }
 
     /// Picks an upstream for a request, or refuses it.
-    pub fn place(&mut self, now: Duration, job: &Job, candidates: &[Candidate]) -> Placement {
+    pub fn place(
+        &mut self,
+        now: Duration,
+        job: &PlacementRequest,
+        candidates: &[Candidate],
+    ) -> Placement {
         let standing = match job.engine {
             Some(_) => self.shares.standing(now, job.workspace),
-            None => Standing::Plenty,
+            None => ShareStatus::Uncontended,
         };
         let chain = job.prompt.as_ref().map(Prompt::chain).unwrap_or_default();
         let order = Order::of(&chain, self.draw());
@@ -129,7 +134,7 @@
         let Some(best) = least(options().filter(open), |it| it.cost) else {
             let refused = all_blocked(now, options());
             if matches!(refused, Placement::Refuse { reason: Refusal::Backoff, .. }) {
-                self.refused(now, job.workspace, job.tokens());
+                self.record_refusal(now, job.workspace, job.token_cost());
             }
             return refused;
         };
@@ -138,7 +143,7 @@
             return Placement::Send(best.placed(standing));
         }
         // Reading shared parts again takes from all: only for who has had far less than another.
-        if matches!(standing, Standing::FarBehind(_))
+        if matches!(standing, ShareStatus::Starved(_))
             && let Some(quick) = least(options().filter(open), |it| it.times.wait + it.times.own)
             && quick.times.wait <= longest_wait(job, standing, &quick)
         {
@@ -147,19 +152,24 @@
         if let Some(spare) = spare(candidates.len(), || options().filter(open), in_time(job)) {
             return Placement::Send(spare.placed(standing));
         }
-        let reason = if matches!(standing, Standing::Share(it) if 1.0 < it) {
+        let reason = if matches!(standing, ShareStatus::Served(it) if 1.0 < it) {
             Refusal::Share
         } else {
             Refusal::Busy
         };
         let retry = millis(best.times.wait - limit).clamp(AWAY.0, AWAY.1);
-        self.refused(now, job.workspace, job.tokens());
-        Placement::Refuse { reason, retry, estimate: best.estimate(), share: standing.share() }
+        self.record_refusal(now, job.workspace, job.token_cost());
+        Placement::Refuse {
+            reason,
+            retry_after: retry,
+            estimate: best.estimate(),
+            share_ratio: standing.share_ratio(),
+        }
     }
 
     /// Returns the upstream at which least runs, of those that are not left alone: if it ends, the fewest requests end
     /// with it.
-    pub fn calmest(&self, now: Duration, candidates: &[Candidate]) -> Option<Candidate> {
+    pub fn least_busy(&self, now: Duration, candidates: &[Candidate]) -> Option<Candidate> {
         let node = |it: &Candidate| self.loads.get(it.upstream);
         let is_open = |it: &&Candidate| !node(it).is_some_and(|it| it.is_closed(now));
         let running = |it: &Candidate| node(it).map_or(0.0, |it| it.total().running);
@@ -171,7 +181,7 @@
     ///
     /// **NOTE:** Also what a host refuses before it looks for an upstream: a workspace whose callers all come to hosts
     /// short of processor time would else seem to ask for little.
-    pub fn refused(&mut self, now: Duration, workspace: u32, tokens: f64) {
+    pub fn record_refusal(&mut self, now: Duration, workspace: u32, tokens: f64) {
         if 0.0 < tokens {
             self.shares.note(now, workspace, Usage { asked: tokens, taken: 0.0 });
         }
@@ -186,10 +196,10 @@
     /// use std::time::Duration;
     ///
     /// let balancer = Balancer::new(Duration::from_secs(4));
-    /// let account = balancer.account(Duration::from_secs(1), 7);
-    /// assert_eq!((account.asked, account.taken), (0.0, 0.0));
+    /// let snapshot = balancer.share_snapshot(Duration::from_secs(1), 7);
+    /// assert_eq!((snapshot.asked, snapshot.taken), (0.0, 0.0));
     /// ```
-    pub fn account(&self, now: Duration, workspace: u32) -> Account {
+    pub fn share_snapshot(&self, now: Duration, workspace: u32) -> ShareSnapshot {
         self.shares.account(now, workspace)
     }
 
@@ -203,20 +213,25 @@
     /// use std::time::Duration;
     ///
     /// let mut balancer = Balancer::new(Duration::from_secs(4));
-    /// assert_eq!(balancer.least_part(Duration::from_secs(1)), 1.0);
+    /// assert_eq!(balancer.min_fairness(Duration::from_secs(1)), 1.0);
     /// ```
-    pub fn least_part(&mut self, now: Duration) -> f64 {
+    pub fn min_fairness(&mut self, now: Duration) -> f64 {
         self.shares.least_part(now)
     }
 
     /// Notes that a request is sent to an upstream.
-    pub fn start(&mut self, now: Duration, job: &Job, placed: &Placed) -> RunId {
+    pub fn record_start(
+        &mut self,
+        now: Duration,
+        job: &PlacementRequest,
+        placed: &Assignment,
+    ) -> RunId {
         self.n_runs += 1;
-        let pending = f64::from(placed.unread);
+        let pending = f64::from(placed.uncached_tokens);
         let run = Run {
             upstream: placed.upstream,
             pending,
-            behind: f64::from(placed.ahead) + pending,
+            behind: f64::from(placed.queued_tokens) + pending,
             started: now,
             expected: placed.estimate.saturating_sub(placed.bias),
             due: now + placed.estimate * 2 + OVERDUE,
@@ -231,13 +246,13 @@
         node.own.pending += pending;
         if let (Some(prompt), Some(engine)) = (&job.prompt, job.engine) {
             let chain = prompt.chain();
-            node.note_read(pending + f64::from(prompt.output));
+            node.note_read(pending + f64::from(prompt.max_output_tokens));
             node.cache.touch(chain.iter().map(|it| it.hash), engine.memory);
             self.memories.insert(placed.upstream, engine.memory);
             let shared = chain.len().saturating_sub(1);
             let parts = chain.iter().take(shared).map(|it| it.hash).collect();
             self.loads.tell(placed.upstream, parts);
-            let taken = job.tokens();
+            let taken = job.token_cost();
             self.shares.note(now, job.workspace, Usage { asked: taken, taken });
         }
         self.runs.insert(self.n_runs, run);
@@ -245,7 +260,7 @@
     }
 
     /// Notes the first event, or the answer, of a request; later ones change nothing.
-    pub fn first(&mut self, now: Duration, id: RunId) {
+    pub fn record_first_event(&mut self, now: Duration, id: RunId) {
         let Some(run) = self.runs.get_mut(&id).filter(|it| !it.has_begun) else { return };
         run.has_begun = true;
         let pending = std::mem::take(&mut run.pending);
@@ -261,31 +276,31 @@
     }
 
     /// Notes the end of a request at its upstream.
-    pub fn end(&mut self, now: Duration, id: RunId, ending: Ending) {
+    pub fn record_end(&mut self, now: Duration, id: RunId, ending: Completion) {
         let Some(run) = self.runs.remove(&id) else { return };
         let node = self.loads.node(run.upstream);
         node.own.running -= 1.0;
         node.own.pending -= run.pending;
-        if matches!(ending, Ending::Done | Ending::Error) {
+        if matches!(ending, Completion::Done | Completion::Error) {
             node.backoff.taken(id);
         }
         node.backoff.ended(id);
         match ending {
-            Ending::Done => {
+            Completion::Done => {
                 node.health.succeed(now);
                 let time = now.saturating_sub(run.started).as_secs_f64() * 1000.0;
                 let mean = self.times.entry(run.service).or_insert(time);
                 *mean += SMOOTH * (time - *mean);
             }
-            Ending::Error | Ending::Rejected | Ending::Broken => node.health.fail(now),
-            Ending::Unreachable => node.health.unreachable(now),
+            Completion::Error | Completion::Rejected | Completion::Broken => node.health.fail(now),
+            Completion::Unreachable => node.health.unreachable(now),
             // What it asked for is granted; it has not failed.
-            Ending::BackedOff | Ending::Cancelled => {}
+            Completion::BackoffRequested | Completion::Cancelled => {}
         }
     }
 
     /// Writes what this host did into a digest for the others.
-    pub fn report(&mut self, now: Duration, digest: &mut wire::Digest) {
+    pub fn fill_digest(&mut self, now: Duration, digest: &mut wire::Digest) {
         self.loads.expire(now);
         self.count_overdue(now);
         (digest.loads, digest.prefixes) = self.loads.report();
@@ -304,7 +319,7 @@
     }
 
     /// Writes what the hosts of this data centre did into a digest for the other data centres.
-    pub fn summarize(&mut self, now: Duration, digest: &mut wire::Digest) {
+    pub fn fill_summary(&mut self, now: Duration, digest: &mut wire::Digest) {
         let mut sum = self.loads.summary(now, digest.data_centre);
         for (workspace, it) in self.shares.totals() {
             let new = wire::WorkspaceUsage { workspace, ..Default::default() };
@@ -319,7 +334,7 @@
     }
 
     /// Takes another host's digest, or the sum of a data centre's.
-    pub fn merge(&mut self, now: Duration, digest: &wire::Digest) {
+    pub fn merge_digest(&mut self, now: Duration, digest: &wire::Digest) {
         let memories = &self.memories;
         let memory = |id| memories.get(&id).copied().unwrap_or(u64::MAX);
         for it in self.loads.merge(now, digest, memory) {
@@ -329,7 +344,7 @@
     }
 
     /// Notes that this host stood still for a time: nothing that runs is overdue for it, and no engine was slow.
-    pub fn stood_still(&mut self, time: Duration) {
+    pub fn record_pause(&mut self, time: Duration) {
         for run in self.runs.values_mut().filter(|it| !it.has_begun) {
             run.started += time;
             run.due += time;
@@ -385,5 +400,5 @@
         Refusal::Backoff => opens,
         _ => opens.min(AWAY.1),
     };
-    Placement::Refuse { reason, retry, estimate: retry, share: 0.0 }
+    Placement::Refuse { reason, retry_after: retry, estimate: retry, share_ratio: 0.0 }
 }
--- a/crates/portfield/src/balance/budget.rs
+++ b/crates/portfield/src/balance/budget.rs
@@ -19,9 +19,9 @@
 /// use std::time::Duration;
 ///
 /// let mut budget = RetryBudget::new(0.0, 10.0, Duration::from_secs(10));
-/// assert!(budget.spend(Duration::ZERO, 6));
-/// assert!(!budget.spend(Duration::ZERO, 6));
-/// assert!(budget.spend(Duration::from_secs(11), 6));
+/// assert!(budget.withdraw(Duration::ZERO, 6));
+/// assert!(!budget.withdraw(Duration::ZERO, 6));
+/// assert!(budget.withdraw(Duration::from_secs(11), 6));
 /// ```
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
@@ -39,13 +39,13 @@
     }
 
     /// Counts a request.
-    pub fn earn(&mut self, now: Duration) {
+    pub fn deposit(&mut self, now: Duration) {
         self.requests.push_back(now);
         self.forget(now);
     }
 
     /// Pays for one repeat, if it can; `n_hosts` share the extra.
-    pub fn spend(&mut self, now: Duration, n_hosts: usize) -> bool {
+    pub fn withdraw(&mut self, now: Duration, n_hosts: usize) -> bool {
         self.forget(now);
         let extra = self.extra / n_hosts.max(1) as f64;
         let most = USED * (self.ratio * self.requests.len() as f64 + extra);
--- a/crates/portfield/src/balance/choice.rs
+++ b/crates/portfield/src/balance/choice.rs
@@ -5,10 +5,10 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    job::{Candidate, Job, Placed},
+    job::{Assignment, Candidate, PlacementRequest},
     load::{Load, Loads, Node},
     prompt::{Link, Prompt},
-    shares::Standing,
+    shares::ShareStatus,
     speed::Speed,
 };
 use crate::catalog::EngineSpec;
@@ -117,21 +117,21 @@
     }
 
     /// Returns the placement at this upstream.
-    pub(super) fn placed(&self, standing: Standing) -> Placed {
-        Placed {
+    pub(super) fn placed(&self, standing: ShareStatus) -> Assignment {
+        Assignment {
             upstream: self.upstream,
             estimate: self.estimate(),
             bias: millis(self.times.bias),
-            unread: self.times.unread,
-            ahead: self.ahead,
-            share: standing.share(),
+            uncached_tokens: self.times.unread,
+            queued_tokens: self.ahead,
+            share_ratio: standing.share_ratio(),
         }
     }
 }
 
 impl Scales<'_> {
     /// Weighs one upstream.
-    pub(super) fn weigh(&self, job: &Job, chain: &[Link], it: &Candidate) -> Choice {
+    pub(super) fn weigh(&self, job: &PlacementRequest, chain: &[Link], it: &Candidate) -> Choice {
         let empty = Node::default();
         let node = self.loads.get(it.upstream).unwrap_or(&empty);
         let times = match (&job.prompt, job.engine) {
@@ -143,7 +143,7 @@
         let reread = f64::from(times.unread.saturating_sub(last).min(self.shared)) * price;
         let failing =
             node.health.failing(self.now) * FAILING + f64::from(node.n_overdue) * OVERDUE_COST;
-        let far = if it.near { 0.0 } else { FAR };
+        let far = if it.is_local { 0.0 } else { FAR };
         let objective = job.objective.as_secs_f64() * 1000.0;
         Choice {
             upstream: it.upstream,
@@ -161,7 +161,8 @@
     fn engine(&self, prompt: &Prompt, chain: &[Link], engine: EngineSpec, node: &Node) -> Times {
         let load = node.total();
         let rate = self.speed.rate();
-        let unread = prompt.input.saturating_sub(node.cache.kept(chain, engine.memory)).max(1);
+        let unread =
+            prompt.input_tokens.saturating_sub(node.cache.kept(chain, engine.memory)).max(1);
         let slots = f64::from(engine.slots);
         let over = (load.running - slots + 1.0).max(0.0);
         let slot = over * self.mean_time.unwrap_or(0.0) / slots;
--- a/crates/portfield/src/balance/governor.rs
+++ b/crates/portfield/src/balance/governor.rs
@@ -35,23 +35,23 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::Governor;
+/// use portfield::balance::LoadShedder;
 /// use std::time::Duration;
 ///
-/// let mut governor = Governor::default();
+/// let mut shedder = LoadShedder::default();
 /// for n in 0..100 {
-///     governor.observe(Duration::from_millis(n * 125), Duration::from_millis(100));
+///     shedder.observe(Duration::from_millis(n * 125), Duration::from_millis(100));
 /// }
-/// assert!(governor.is_busy());
+/// assert!(shedder.is_overloaded());
 /// let now = Duration::from_secs(13);
-/// (0..100).for_each(|_| drop(governor.refuses(now, 1, 10.0, 0.5)));
-/// assert!(governor.refuses(now, 1, 10.0, 0.5).is_some(), "who sends nearly all");
-/// assert!(governor.refuses(now, 2, 10.0, 0.5).is_none(), "who sends little");
+/// (0..100).for_each(|_| drop(shedder.shed(now, 1, 10.0, 0.5)));
+/// assert!(shedder.shed(now, 1, 10.0, 0.5).is_some(), "who sends nearly all");
+/// assert!(shedder.shed(now, 2, 10.0, 0.5).is_none(), "who sends little");
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Governor {
+pub struct LoadShedder {
     /// Average lateness, in milliseconds.
-    late: f64,
+    lateness: f64,
     /// Since when callers are better served elsewhere, if they are.
     busy_since: Option<Duration>,
     /// Work that was admitted of late, in messages.
@@ -74,29 +74,29 @@
     /// Work that the workspace offered to this host of late, in messages.
     pub offered: f64,
     /// The most that a workspace gets of what this host can do, in messages.
-    pub level: f64,
+    pub limit: f64,
     /// Average lateness, in milliseconds.
-    pub late: f64,
+    pub lateness: f64,
 }
 
 /// How a request was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerKind {
     /// In whatever way, but for the host's own load.
     Served,
     /// This host has no processor time for it.
     Refused,
 }
 
-impl Governor {
+impl LoadShedder {
     /// Notes by how much a timer fired late.
     pub fn observe(&mut self, now: Duration, late: Duration) {
         let late = late.as_secs_f64() * 1000.0;
-        self.late += SMOOTH * (late - self.late);
-        if CALM < self.late {
+        self.lateness += SMOOTH * (late - self.lateness);
+        if CALM < self.lateness {
             self.last_late = now;
         }
-        if BUSY < self.late {
+        if BUSY < self.lateness {
             self.busy_since.get_or_insert(now);
         } else if self.last_late + CALM_TIME < now && self.has_room(now) {
             self.busy_since = None;
@@ -104,7 +104,7 @@
         }
         let admitted = self.admitted.sum(now);
         // Who was late for a moment refuses less than it admits, and has room at its usual load.
-        if self.is_busy() && (0.0 < self.most_admitted || admitted < self.refused.sum(now)) {
+        if self.is_overloaded() && (0.0 < self.most_admitted || admitted < self.refused.sum(now)) {
             self.most_admitted = self.most_admitted.max(admitted);
         }
     }
@@ -119,12 +119,12 @@
     }
 
     /// Returns whether callers are better served elsewhere.
-    pub fn is_busy(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.busy_since.is_some()
     }
 
     /// Notes that the platform asked whether callers may be sent here, and what it was told.
-    pub fn asked(&mut self, is_ready: bool) {
+    pub fn record_probe(&mut self, is_ready: bool) {
         self.n_not_ready = if is_ready { 0 } else { self.n_not_ready + 1 };
     }
 
@@ -133,25 +133,25 @@
     /// What was served says that this host can bear its connection; with those closed too, it loses its callers while it
     /// is out of rotation. A connection on which it refuses only brings the flood back: nothing is answered sooner than
     /// a refusal, and callers use the connection first that was answered last.
-    pub fn closes(&self, answered: Answered) -> bool {
-        answered == Answered::Refused
+    pub fn closes_connection(&self, answered: AnswerKind) -> bool {
+        answered == AnswerKind::Refused
     }
 
     /// Returns when a caller that is refused for want of processor time is to come back; `draw` is uniform from zero
     /// to one.
     ///
     /// It comes on a new connection. Where many are refused, that is when the platform opens them elsewhere.
-    pub fn retry(&self, draw: f64) -> Duration {
+    pub fn retry_after(&self, draw: f64) -> Duration {
         let spread = RETRY.0 + (RETRY.1 - RETRY.0).mul_f64(draw);
-        if !self.is_busy() {
+        if !self.is_overloaded() {
             return spread;
         }
         QUESTION_PERIOD * N_QUESTIONS.saturating_sub(self.n_not_ready) + spread
     }
 
     /// Returns the average lateness, in milliseconds.
-    pub fn late(&self) -> f64 {
-        self.late
+    pub fn lateness(&self) -> f64 {
+        self.lateness
     }
 
     /// Notes a new request and returns why it is refused, `None` if it is not: what this host can
@@ -159,7 +159,7 @@
     ///
     /// `work` is what the request costs this host, in messages to pass on; `draw` is uniform
     /// from zero to one.
-    pub fn refuses(
+    pub fn shed(
         &mut self,
         now: Duration,
         workspace: u32,
@@ -177,13 +177,17 @@
 
     /// Returns why a request is refused whose workspace offered `own` of late.
     fn share_out(&self, now: Duration, own: f64, draw: f64) -> Option<Overload> {
-        let part = (self.late - REFUSING.0) / (REFUSING.1 - REFUSING.0);
+        let part = (self.lateness - REFUSING.0) / (REFUSING.1 - REFUSING.0);
         if part <= 0.0 {
             return None;
         }
         let offered: Vec<f64> = self.offered.values().map(|it| it.sum(now)).collect();
         let left = offered.iter().sum::<f64>() * (1.0 - part.min(MOST));
         let level = max_min(offered, left)?;
-        (draw < 1.0 - level / own).then_some(Overload { offered: own, level, late: self.late })
+        (draw < 1.0 - level / own).then_some(Overload {
+            offered: own,
+            limit: level,
+            lateness: self.lateness,
+        })
     }
 }
--- a/crates/portfield/src/balance/job.rs
+++ b/crates/portfield/src/balance/job.rs
@@ -13,7 +13,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// It stands in this host's data centre.
-    pub near: bool,
+    pub is_local: bool,
 }
 
 /// How far a request has come when it is placed.
@@ -22,12 +22,12 @@
     /// Its caller has nothing of the answer yet.
     New,
     /// Its caller has the beginning of a stream: it goes on however long it waits.
-    Begun,
+    Streaming,
 }
 
 /// A request to be placed.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub struct PlacementRequest {
     /// Who asks: hash of the workspace's name.
     pub workspace: u32,
     /// Service that it goes to: hash of its name.
@@ -44,34 +44,34 @@
     pub engine: Option<EngineSpec>,
 }
 
-impl Job {
+impl PlacementRequest {
     /// Returns what the request counts in its workspace's share, in tokens; nothing without a prompt.
     ///
     /// # Examples
     ///
     /// ```
-    /// use portfield::balance::{Job, Prompt, Stage};
+    /// use portfield::balance::{PlacementRequest, Prompt, Stage};
     /// use std::time::Duration;
     ///
-    /// let job = Job {
+    /// let request = PlacementRequest {
     ///     workspace: 7,
     ///     service: 1,
-    ///     prompt: Some(Prompt { input: 1_000, output: 50, ..Prompt::default() }),
+    ///     prompt: Some(Prompt { input_tokens: 1_000, max_output_tokens: 50, ..Prompt::default() }),
     ///     objective: Duration::from_millis(800),
     ///     waited: Duration::ZERO,
     ///     stage: Stage::New,
     ///     engine: None,
     /// };
-    /// assert_eq!(job.tokens(), 1_100.0);
+    /// assert_eq!(request.token_cost(), 1_100.0);
     /// ```
-    pub fn tokens(&self) -> f64 {
-        self.prompt.as_ref().map_or(0.0, Prompt::cost)
+    pub fn token_cost(&self) -> f64 {
+        self.prompt.as_ref().map_or(0.0, Prompt::token_cost)
     }
 }
 
 /// Where a request goes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Placed {
+pub struct Assignment {
     /// The upstream.
     pub upstream: u32,
     /// Estimated time to the first event, or the answer.
@@ -79,11 +79,11 @@
     /// The part of it that no host's requests explain: what estimates fell short of lately.
     pub bias: Duration,
     /// Tokens that the upstream has to read.
-    pub unread: u32,
+    pub uncached_tokens: u32,
     /// Tokens ahead of them.
-    pub ahead: u32,
+    pub queued_tokens: u32,
     /// What its workspace has had, as a multiple of its share; zero where there is plenty.
-    pub share: f64,
+    pub share_ratio: f64,
 }
 
 /// Why a request is refused.
@@ -103,23 +103,23 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Placement {
     /// It goes there.
-    Send(Placed),
+    Send(Assignment),
     /// It is refused; worth asking again after the time given.
     Refuse {
         /// Why.
         reason: Refusal,
         /// When to come back.
-        retry: Duration,
+        retry_after: Duration,
         /// The estimate that decided.
         estimate: Duration,
         /// What its workspace has had, as a multiple of its share; zero where there is plenty.
-        share: f64,
+        share_ratio: f64,
     },
 }
 
 /// How a request ended at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum Completion {
     /// Answered.
     Done,
     /// Answered with an error of the upstream's own.
@@ -127,7 +127,7 @@
     /// Not run: the upstream was full or another one.
     Rejected,
     /// Not run: the upstream asked to be left alone for a while.
-    BackedOff,
+    BackoffRequested,
     /// Nothing could be sent.
     Unreachable,
     /// The connection broke, the answer was not one, or nothing came.
--- a/crates/portfield/src/balance/mod.rs
+++ b/crates/portfield/src/balance/mod.rs
@@ -13,11 +13,11 @@
 //! - `backoff`: upstreams that asked to be left alone
 //! - `warmup`: upstreams that are cold
 //! - `shares`: max-min shares of the workspaces
-//! - [`Governor`]: whether this host itself keeps up
-//! - [`Audience`]: whom a host tells what it did
-//! - [`Others`]: the other hosts, and what is passed on between them
-//! - [`Readers`]: which hosts follow the store
-//! - [`Witness`]: whether others heard the store while this host could not
+//! - [`LoadShedder`]: whether this host itself keeps up
+//! - [`GossipTopology`]: whom a host tells what it did
+//! - [`PeerTable`]: the other hosts, and what is passed on between them
+//! - [`StoreWatchers`]: which hosts follow the store
+//! - [`StoreAvailability`]: whether others heard the store while this host could not
 //! - `budget`: how many requests may be sent a second time
 //! - `told`: what upstreams say of themselves
 //! - [`Balancer`]: the decision
@@ -46,14 +46,14 @@
 mod warmup;
 mod witness;
 
-pub use audience::{Audience, Listener, Place};
+pub use audience::{GossipConfig, GossipTopology, RemoteHost};
 pub use balancer::{Balancer, RunId};
 pub use budget::RetryBudget;
-pub use governor::{Answered, Governor, Overload};
-pub use job::{Candidate, Ending, Job, Placed, Placement, Refusal, Stage};
-pub use others::{Others, Way, host_hash};
-pub use prompt::{Part, Prompt};
-pub use readers::{CALL_TIMEOUT, Follower, Readers, StorePace};
-pub use shares::{Account, Standing};
+pub use governor::{AnswerKind, LoadShedder, Overload};
+pub use job::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal, Stage};
+pub use others::{Delivery, PeerTable, host_hash};
+pub use prompt::{Prompt, PromptPart};
+pub use readers::{STORE_CALL_TIMEOUT, StoreTimeouts, StoreWatchers, WatcherStatus};
+pub use shares::{ShareSnapshot, ShareStatus};
 pub use warmup::cold_quota;
-pub use witness::Witness;
+pub use witness::StoreAvailability;
--- a/crates/portfield/src/balance/others.rs
+++ b/crates/portfield/src/balance/others.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    audience::{Audience, Listener, Place},
+    audience::{GossipConfig, GossipTopology, RemoteHost},
     map::Map,
 };
 use crate::wire::{Digest, KnownHost};
@@ -28,7 +28,7 @@
 
 /// How a digest came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Delivery {
     /// From whoever says it, or from a host that it was sent to by lot.
     Direct,
     /// From the speaker of this data centre.
@@ -50,26 +50,26 @@
 ///
 /// ```
 /// use portfield::{
-///     balance::{Others, Place},
+///     balance::{PeerTable, GossipConfig},
 ///     wire::Digest,
 /// };
 /// use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 ///
 /// let seed: SocketAddr = "10.1.0.1:7400".parse()?;
-/// let place = Place { host: 1, data_centre: 1, direct: 12 };
-/// let mut others = Others::new(place, [seed].into_iter());
+/// let config = GossipConfig { host: 1, data_centre: 1, direct_limit: 12 };
+/// let mut peers = PeerTable::new(config, [seed].into_iter());
 /// let now = Duration::from_secs(1);
-/// others.hear(now, seed, &Digest { host: 2, data_centre: 1, ..Digest::default() });
-/// others.look(now);
-/// assert_eq!(others.told(1), [seed]);
+/// peers.record_digest(now, seed, &Digest { host: 2, data_centre: 1, ..Digest::default() });
+/// peers.refresh_topology(now);
+/// assert_eq!(peers.recipients(1), [seed]);
 /// # Ok::<_, std::net::AddrParseError>(())
 /// ```
 #[derive(Debug)]
-pub struct Others {
-    place: Place,
+pub struct PeerTable {
+    place: GossipConfig,
     /// In order, so that who is told first is the same in each life of a process.
-    hosts: BTreeMap<SocketAddr, Listener>,
-    audience: Audience,
+    hosts: BTreeMap<SocketAddr, RemoteHost>,
+    audience: GossipTopology,
     /// What others said that the next digest passes on, by host or data centre.
     passing: BTreeMap<u64, Digest>,
     /// Who speaks for the other data centres.
@@ -78,11 +78,11 @@
     n_heard: u64,
 }
 
-impl Others {
+impl PeerTable {
     /// Builds the state of a host that has heard nobody.
-    pub fn new(place: Place, seeds: impl Iterator<Item = SocketAddr>) -> Self {
+    pub fn new(place: GossipConfig, seeds: impl Iterator<Item = SocketAddr>) -> Self {
         let hosts: BTreeMap<_, _> = seeds.map(|it| (it, stranger(it))).collect();
-        let audience = Audience::new(Duration::ZERO, place, &[], 0);
+        let audience = GossipTopology::new(Duration::ZERO, place, &[], 0);
         Self {
             place,
             hosts,
@@ -94,18 +94,18 @@
     }
 
     /// Looks anew at whom to tell.
-    pub fn look(&mut self, now: Duration) -> Audience {
-        let hosts: Vec<Listener> = self.hosts.values().copied().collect();
+    pub fn refresh_topology(&mut self, now: Duration) -> GossipTopology {
+        let hosts: Vec<RemoteHost> = self.hosts.values().copied().collect();
         // Sums count whether or not they are used: a host that has lost sight of some others for a
         // moment would else ignore the sums that tell it that they are there.
         let speakers = self.speakers.values().filter(|it| now < it.heard + SPEAKER_GONE);
         let n_far = speakers.map(|it| it.n_hosts).sum();
-        self.audience = Audience::new(now, self.place, &hosts, n_far);
+        self.audience = GossipTopology::new(now, self.place, &hosts, n_far);
         self.audience
     }
 
     /// Returns whom to tell, as of the last look.
-    pub fn audience(&self) -> Audience {
+    pub fn topology(&self) -> GossipTopology {
         self.audience
     }
 
@@ -115,15 +115,15 @@
     }
 
     /// Returns whether another host of this data centre is known.
-    pub fn knows_near(&self) -> bool {
+    pub fn knows_local_host(&self) -> bool {
         self.hosts.values().any(|it| it.data_centre == Some(self.place.data_centre))
     }
 
     /// Returns whether all hosts of some data centre that was heard within the last minute are silent: it is cut off, or
     /// ended.
-    pub fn misses_centre(&self, now: Duration) -> bool {
+    pub fn has_unreachable_centre(&self, now: Duration) -> bool {
         let mut heard: Map<u32, Duration> = Map::default();
-        let hosts = self.hosts.values().filter_map(|it| Some((it.data_centre?, it.heard)));
+        let hosts = self.hosts.values().filter_map(|it| Some((it.data_centre?, it.last_heard)));
         let speakers = self.speakers.iter().map(|(place, it)| (*place, it.heard));
         for (place, at) in hosts.chain(speakers).filter(|it| it.0 != self.place.data_centre) {
             let last = heard.entry(place).or_default();
@@ -137,21 +137,21 @@
     /// Returns whether this host is one of the first `n` of its data centre by hash, of those that are known, there
     /// or not.
     pub fn is_among_first(&self, n: usize) -> bool {
-        let is_near = |it: &&Listener| it.data_centre == Some(self.place.data_centre);
+        let is_near = |it: &&RemoteHost| it.data_centre == Some(self.place.data_centre);
         let near = self.hosts.values().filter(is_near);
         near.filter(|it| it.host < self.place.host).count() < n
     }
 
     /// Returns the hosts of a data centre that are known, there or not, this one included if it stands there; by hash
     /// of their addresses.
-    pub fn known_in(&self, data_centre: u32) -> Vec<u64> {
-        let is_in = |it: &&Listener| it.data_centre == Some(data_centre);
+    pub fn hosts_in(&self, data_centre: u32) -> Vec<u64> {
+        let is_in = |it: &&RemoteHost| it.data_centre == Some(data_centre);
         let own = (self.place.data_centre == data_centre).then_some(self.place.host);
         self.hosts.values().filter(is_in).map(|it| it.host).chain(own).collect()
     }
 
     /// Learns that there is a host, and where it stands if that is told.
-    pub fn learn(&mut self, address: SocketAddr, data_centre: Option<u32>) {
+    pub fn add_host(&mut self, address: SocketAddr, data_centre: Option<u32>) {
         let it = self.hosts.entry(address).or_insert_with(|| stranger(address));
         if it.host == self.place.host {
             self.hosts.remove(&address);
@@ -162,7 +162,7 @@
 
     /// Notes who said a digest: a host, or the speaker of another data centre. `from` is where it came
     /// from, `now` the time.
-    pub fn hear(&mut self, now: Duration, from: SocketAddr, digest: &Digest) {
+    pub fn record_digest(&mut self, now: Duration, from: SocketAddr, digest: &Digest) {
         if digest.host == self.place.host {
             return;
         }
@@ -176,7 +176,11 @@
             self.speakers.insert(digest.data_centre, speaker);
             return;
         }
-        let it = Listener { host: digest.host, data_centre: Some(digest.data_centre), heard: now };
+        let it = RemoteHost {
+            host: digest.host,
+            data_centre: Some(digest.data_centre),
+            last_heard: now,
+        };
         let before = self.hosts.insert(address, it);
         if before.is_none_or(|it| it.is_silent(now)) {
             self.n_heard += 1;
@@ -185,7 +189,7 @@
 
     /// Returns how many hosts were heard for the first time, or again after a silence, since the
     /// last call.
-    pub fn take_heard(&mut self) -> u64 {
+    pub fn take_n_appeared(&mut self) -> u64 {
         std::mem::take(&mut self.n_heard)
     }
 
@@ -194,14 +198,14 @@
     ///
     /// What comes from another speaker has been passed on already: two that speak at once would else
     /// send it back and forth.
-    pub fn pass_on(&mut self, digest: Digest, way: Way) -> Option<(SocketAddr, Digest)> {
+    pub fn forward(&mut self, digest: Digest, way: Delivery) -> Option<(SocketAddr, Digest)> {
         let is_own = digest.host == self.place.host;
-        if way == Way::Relayed || is_own || !self.audience.counts(&digest) {
+        if way == Delivery::Relayed || is_own || !self.audience.accepts(&digest) {
             return None;
         }
         let is_astray = digest.passed_on;
         let digest = Digest { passed_on: false, ..digest };
-        if self.audience.speaks() {
+        if self.audience.is_leader() {
             // A host's last word counts.
             self.passing.insert(digest.host, digest);
             return None;
@@ -211,32 +215,32 @@
     }
 
     /// Drops what is to be passed on: while this host stood still it has become old.
-    pub fn drop_passing(&mut self) {
+    pub fn clear_forwards(&mut self) {
         self.passing.clear();
     }
 
     /// Takes what is to be passed on.
-    pub fn take_passing(&mut self) -> Vec<Digest> {
+    pub fn take_forwards(&mut self) -> Vec<Digest> {
         std::mem::take(&mut self.passing).into_values().collect()
     }
 
     /// Returns who gets this host's digest with that number.
-    pub fn told(&self, sequence: u64) -> Vec<SocketAddr> {
-        let is_told = |it: &(&SocketAddr, &Listener)| self.audience.is_told(it.1, sequence);
+    pub fn recipients(&self, sequence: u64) -> Vec<SocketAddr> {
+        let is_told = |it: &(&SocketAddr, &RemoteHost)| self.audience.is_recipient(it.1, sequence);
         self.hosts.iter().filter(is_told).map(|it| *it.0).collect()
     }
 
     /// Returns where the host listens that speaks for this data centre, `None` where this one does.
     fn speaker(&self) -> Option<SocketAddr> {
-        let speaker = self.audience.speaker()?;
+        let speaker = self.audience.leader()?;
         self.hosts.iter().find(|it| it.1.host == speaker).map(|it| *it.0)
     }
 
     /// Returns who gets this data centre's sum with that number: the speaker of each other one, and
     /// now and then, or while that is silent, a host drawn by lot, who hands it to its speaker.
-    pub fn told_sum(&self, now: Duration, sequence: u64) -> Vec<SocketAddr> {
+    pub fn summary_recipients(&self, now: Duration, sequence: u64) -> Vec<SocketAddr> {
         let mut by_place: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
-        for (address, it) in self.hosts.iter().filter(|it| self.audience.is_far(it.1)) {
+        for (address, it) in self.hosts.iter().filter(|it| self.audience.is_remote(it.1)) {
             by_place.entry(it.data_centre.unwrap_or_default()).or_default().push(*address);
         }
         let is_lot = sequence.is_multiple_of(LOT_EVERY);
@@ -256,8 +260,8 @@
     }
 
     /// Returns the hosts whose place is known, for one that knows none of its data centre.
-    pub fn known(&self) -> Vec<KnownHost> {
-        let known = |(address, it): (&SocketAddr, &Listener)| {
+    pub fn known_hosts(&self) -> Vec<KnownHost> {
+        let known = |(address, it): (&SocketAddr, &RemoteHost)| {
             let data_centre = it.data_centre?;
             Some(KnownHost { address: address.to_string(), data_centre })
         };
@@ -266,8 +270,8 @@
 }
 
 /// Returns a host that was not heard yet.
-fn stranger(address: SocketAddr) -> Listener {
-    Listener { host: host_hash(address), data_centre: None, heard: Duration::ZERO }
+fn stranger(address: SocketAddr) -> RemoteHost {
+    RemoteHost { host: host_hash(address), data_centre: None, last_heard: Duration::ZERO }
 }
 
 /// Returns the hash that names a host among the others.
--- a/crates/portfield/src/balance/prompt.rs
+++ b/crates/portfield/src/balance/prompt.rs
@@ -4,7 +4,7 @@
 
 /// One part of a prompt; parts are shared between requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// What it holds.
     pub id: u64,
     /// Its length.
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Tokens to read.
-    pub input: u32,
+    pub input_tokens: u32,
     /// Most tokens to generate.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// Its parts in order; the last belongs to the request or its session.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
@@ -31,17 +31,17 @@
     /// ```
     /// use portfield::balance::Prompt;
     ///
-    /// let prompt = Prompt { input: 1_000, output: 50, ..Prompt::default() };
-    /// assert_eq!(prompt.cost(), 1_100.0);
+    /// let prompt = Prompt { input_tokens: 1_000, max_output_tokens: 50, ..Prompt::default() };
+    /// assert_eq!(prompt.token_cost(), 1_100.0);
     /// ```
-    pub fn cost(&self) -> f64 {
-        f64::from(self.input) + 2.0 * f64::from(self.output)
+    pub fn token_cost(&self) -> f64 {
+        f64::from(self.input_tokens) + 2.0 * f64::from(self.max_output_tokens)
     }
 
     /// Returns for each part the hash of the prompt up to its end, and its tokens.
     pub(crate) fn chain(&self) -> Vec<Link> {
         let mut hash = 0;
-        let link = |it: &Part| {
+        let link = |it: &PromptPart| {
             hash = xxh3_64_with_seed(&it.id.to_le_bytes(), hash);
             Link { hash: hash as u32, tokens: it.tokens }
         };
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -23,38 +23,38 @@
 
 /// How a workspace stands against its share.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum ShareStatus {
     /// There is enough for all.
-    Plenty,
+    Uncontended,
     /// What it has had, as a multiple of its share, where it was refused and another has had more.
-    Behind(f64),
+    Underserved(f64),
     /// The same, where it was refused much and another has had far more.
-    FarBehind(f64),
+    Starved(f64),
     /// What it has had, as a multiple of its share.
-    Share(f64),
+    Served(f64),
 }
 
-impl Standing {
+impl ShareStatus {
     /// Returns what the workspace has had as a multiple of its share, zero where there is plenty.
-    pub fn share(self) -> f64 {
+    pub fn share_ratio(self) -> f64 {
         match self {
-            Self::Plenty => 0.0,
-            Self::Behind(it) | Self::FarBehind(it) | Self::Share(it) => it,
+            Self::Uncontended => 0.0,
+            Self::Underserved(it) | Self::Starved(it) | Self::Served(it) => it,
         }
     }
 }
 
-/// Both sides of the comparison that a [`Standing`] comes from, in tokens of the window.
+/// Both sides of the comparison that a [`ShareStatus`] comes from, in tokens of the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Account {
+pub struct ShareSnapshot {
     /// What the workspace asked for.
     pub asked: f64,
     /// What it has had.
     pub taken: f64,
     /// The most that a workspace is owed; zero where there is plenty.
-    pub level: f64,
+    pub fair_share: f64,
     /// The most that one has had; zero where there is plenty.
-    pub best: f64,
+    pub largest_usage: f64,
     /// How old the last two are.
     pub age: Duration,
 }
@@ -175,30 +175,36 @@
     }
 
     /// Returns how a workspace stands.
-    pub(crate) fn standing(&mut self, now: Duration, workspace: u32) -> Standing {
+    pub(crate) fn standing(&mut self, now: Duration, workspace: u32) -> ShareStatus {
         if self.levelled + LEVEL_PERIOD <= now || self.levelled == Duration::ZERO {
             self.levelled = now;
             self.level = self.compute(now);
         }
-        let Some(level) = self.level else { return Standing::Plenty };
+        let Some(level) = self.level else { return ShareStatus::Uncontended };
         let usage = self.windows.get(&workspace).map(Window::sum).unwrap_or_default();
         let share = usage.taken / level.level.max(1.0);
         let owed = usage.asked.min(level.best);
         if usage.taken < owed * FAR_BEHIND {
-            return Standing::FarBehind(share);
+            return ShareStatus::Starved(share);
         }
         if usage.taken < owed * BEHIND {
-            return Standing::Behind(share);
+            return ShareStatus::Underserved(share);
         }
-        Standing::Share(share)
+        ShareStatus::Served(share)
     }
 
     /// Returns what a workspace's standing comes from, as of the last one computed.
-    pub(crate) fn account(&self, now: Duration, workspace: u32) -> Account {
+    pub(crate) fn account(&self, now: Duration, workspace: u32) -> ShareSnapshot {
         let usage = self.windows.get(&workspace).map(Window::sum).unwrap_or_default();
         let (level, best) = self.level.map_or((0.0, 0.0), |it| (it.level, it.best));
         let age = now.saturating_sub(self.levelled);
-        Account { asked: usage.asked, taken: usage.taken, level, best, age }
+        ShareSnapshot {
+            asked: usage.asked,
+            taken: usage.taken,
+            fair_share: level,
+            largest_usage: best,
+            age,
+        }
     }
 
     /// Returns the least part that a workspace has had of what it asked, or of what the best served one has had if that
--- a/crates/portfield/src/balance/told.rs
+++ b/crates/portfield/src/balance/told.rs
@@ -6,7 +6,7 @@
 
 impl Balancer {
     /// Notes that a connection to an upstream could be opened.
-    pub fn reachable(&mut self, upstream: u32) {
+    pub fn record_reachable(&mut self, upstream: u32) {
         self.loads.node(upstream).health.reachable();
     }
 
@@ -17,12 +17,12 @@
     /// # Examples
     ///
     /// ```
-    /// use portfield::balance::{Balancer, Candidate, Job, Placement, Refusal, Stage};
+    /// use portfield::balance::{Balancer, Candidate, PlacementRequest, Placement, Refusal, Stage};
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
     /// let mut balancer = Balancer::new(second * 4);
-    /// let job = Job {
+    /// let request = PlacementRequest {
     ///     workspace: 1,
     ///     service: 1,
     ///     prompt: None,
@@ -31,24 +31,24 @@
     ///     stage: Stage::New,
     ///     engine: None,
     /// };
-    /// let candidate = Candidate { upstream: 7, slots: 4, near: true };
-    /// balancer.back_off(second, 7, second * 3);
-    /// let placed = balancer.place(second * 2, &job, &[candidate]);
-    /// let Placement::Refuse { reason: Refusal::Backoff, retry, .. } = placed else { panic!() };
-    /// assert_eq!(retry, second * 2);
-    /// assert!(matches!(balancer.place(second * 4, &job, &[candidate]), Placement::Send(_)));
+    /// let candidate = Candidate { upstream: 7, slots: 4, is_local: true };
+    /// balancer.start_backoff(second, 7, second * 3);
+    /// let placed = balancer.place(second * 2, &request, &[candidate]);
+    /// let Placement::Refuse { reason: Refusal::Backoff, retry_after, .. } = placed else { panic!() };
+    /// assert_eq!(retry_after, second * 2);
+    /// assert!(matches!(balancer.place(second * 4, &request, &[candidate]), Placement::Send(_)));
     /// ```
-    pub fn back_off(&mut self, now: Duration, upstream: u32, time: Duration) {
+    pub fn start_backoff(&mut self, now: Duration, upstream: u32, time: Duration) {
         self.loads.node(upstream).backoff.begin(now, time);
     }
 
     /// Returns when the time is over for which an upstream asked to be left alone; `None` where none runs.
-    pub fn backs_off_until(&self, now: Duration, upstream: u32) -> Option<Duration> {
+    pub fn backoff_until(&self, now: Duration, upstream: u32) -> Option<Duration> {
         self.loads.get(upstream)?.backoff.until(now)
     }
 
     /// Returns the upstreams whose time is over since the last call.
-    pub fn take_backoffs_over(&mut self, now: Duration) -> Vec<u32> {
+    pub fn take_expired_backoffs(&mut self, now: Duration) -> Vec<u32> {
         let over = self
             .loads
             .numbered_mut()
@@ -66,12 +66,12 @@
     /// # Examples
     ///
     /// ```
-    /// use portfield::balance::{Balancer, Candidate, Job, Placement, Stage};
+    /// use portfield::balance::{Balancer, Candidate, PlacementRequest, Placement, Stage};
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
     /// let mut balancer = Balancer::new(second * 4);
-    /// let job = Job {
+    /// let request = PlacementRequest {
     ///     workspace: 1,
     ///     service: 1,
     ///     prompt: None,
@@ -80,18 +80,18 @@
     ///     stage: Stage::New,
     ///     engine: None,
     /// };
-    /// let candidate = Candidate { upstream: 7, slots: 4, near: true };
-    /// balancer.cold(7, second * 3, 0);
-    /// let placed = |it: &mut Balancer, now| matches!(it.place(now, &job, &[candidate]), Placement::Send(_));
+    /// let candidate = Candidate { upstream: 7, slots: 4, is_local: true };
+    /// balancer.mark_cold(7, second * 3, 0);
+    /// let placed = |it: &mut Balancer, now| matches!(it.place(now, &request, &[candidate]), Placement::Send(_));
     /// assert!(!placed(&mut balancer, second));
     /// assert!(placed(&mut balancer, second * 3));
     /// ```
-    pub fn cold(&mut self, upstream: u32, until: Duration, quota: u32) {
+    pub fn mark_cold(&mut self, upstream: u32, until: Duration, quota: u32) {
         self.loads.node(upstream).warmup.begin(until, quota);
     }
 
     /// Notes that an upstream is not cold.
-    pub fn warm(&mut self, upstream: u32) {
+    pub fn mark_warm(&mut self, upstream: u32) {
         self.loads.node(upstream).warmup.end();
     }
 }
--- a/crates/portfield/src/balance/witness.rs
+++ b/crates/portfield/src/balance/witness.rs
@@ -10,19 +10,19 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::Witness;
+/// use portfield::balance::StoreAvailability;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut it = Witness::new(second * 3);
-/// (1..=9).for_each(|n| it.note(second * n));
-/// assert!(it.covers(second * 2, second * 10));
+/// let mut it = StoreAvailability::new(second * 3);
+/// (1..=9).for_each(|n| it.record(second * n));
+/// assert!(it.is_continuous(second * 2, second * 10));
 /// // Nobody heard it from 9 to 14.
-/// it.note(second * 14);
-/// assert!(!it.covers(second * 2, second * 15));
+/// it.record(second * 14);
+/// assert!(!it.is_continuous(second * 2, second * 15));
 /// ```
 #[derive(Debug, Clone)]
-pub struct Witness {
+pub struct StoreAvailability {
     /// Longest time between two words of the store that is no outage.
     gap: Duration,
     /// Since when it was heard without such a time.
@@ -31,14 +31,14 @@
     last: Duration,
 }
 
-impl Witness {
+impl StoreAvailability {
     /// Builds what a host knows that has heard of nobody; `gap` is the longest time without a word that is no outage.
     pub fn new(gap: Duration) -> Self {
         Self { gap, since: Duration::MAX, last: Duration::ZERO }
     }
 
     /// Notes that some host heard the store at a time; an earlier one than the last is no news.
-    pub fn note(&mut self, at: Duration) {
+    pub fn record(&mut self, at: Duration) {
         if at <= self.last {
             return;
         }
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether there was no outage between a time at which this host heard the store and now.
-    pub fn covers(&self, from: Duration, now: Duration) -> bool {
+    pub fn is_continuous(&self, from: Duration, now: Duration) -> bool {
         self.since <= from + self.gap && now <= self.last + self.gap
     }
 }
--- a/crates/portfield/src/quarantine/register.rs
+++ b/crates/portfield/src/quarantine/register.rs
@@ -11,7 +11,7 @@
     case::{Case, LETHAL_ENDS, Scope},
     fingerprint::Fingerprint,
 };
-use crate::{balance::Audience, telling::Telling, wire};
+use crate::{balance::GossipTopology, telling::Telling, wire};
 
 /// Requests told in one digest, of some 50 bytes each: what runs at an engine breaks with it, some twenty
 /// requests at nine hosts.
@@ -141,10 +141,10 @@
     pub fn report(
         &mut self,
         now: Duration,
-        audience: &Audience,
+        audience: &GossipTopology,
         sequence: u64,
     ) -> Vec<wire::Suspect> {
-        let scope = match audience.telling(sequence) {
+        let scope = match audience.detail(sequence) {
             Telling::News => Scope::Own,
             Telling::Whole => Scope::Whole,
         };
--- a/crates/portfield/tests/backoff.rs
+++ b/crates/portfield/tests/backoff.rs
@@ -4,7 +4,8 @@
 
 use portfield::{
     balance::{
-        Balancer, Candidate, Ending, Job, Part, Placed, Placement, Prompt, Refusal, RunId, Stage,
+        Assignment, Balancer, Candidate, Completion, Placement, PlacementRequest, Prompt,
+        PromptPart, Refusal, RunId, Stage,
     },
     catalog::EngineSpec,
 };
@@ -18,8 +19,8 @@
     Duration::from_millis(10_000 + millis)
 }
 
-fn plain() -> Job {
-    Job {
+fn plain() -> PlacementRequest {
+    PlacementRequest {
         workspace: 1,
         service: 1,
         prompt: None,
@@ -30,10 +31,11 @@
     }
 }
 
-fn prompt(shared: u64) -> Job {
-    let parts = vec![Part { id: shared, tokens: 5_000 }, Part { id: !shared, tokens: 400 }];
-    Job {
-        prompt: Some(Prompt { input: 5_400, output: 100, parts }),
+fn prompt(shared: u64) -> PlacementRequest {
+    let parts =
+        vec![PromptPart { id: shared, tokens: 5_000 }, PromptPart { id: !shared, tokens: 400 }];
+    PlacementRequest {
+        prompt: Some(Prompt { input_tokens: 5_400, max_output_tokens: 100, parts }),
         engine: Some(EngineSpec { slots: 16, memory: 500_000, event_tokens: 3 }),
         objective: SECOND,
         ..plain()
@@ -41,10 +43,10 @@
 }
 
 fn upstreams(n: u32) -> Vec<Candidate> {
-    (1..=n).map(|it| Candidate { upstream: it, slots: 16, near: true }).collect()
+    (1..=n).map(|it| Candidate { upstream: it, slots: 16, is_local: true }).collect()
 }
 
-fn sent(it: Placement) -> Placed {
+fn sent(it: Placement) -> Assignment {
     match it {
         Placement::Send(it) => it,
         Placement::Refuse { reason, .. } => panic!("refused: {reason:?}"),
@@ -52,9 +54,9 @@
 }
 
 /// Sends a request; returns where, if anywhere.
-fn send(it: &mut Balancer, now: Duration, job: &Job, n: u32) -> Option<(u32, RunId)> {
+fn send(it: &mut Balancer, now: Duration, job: &PlacementRequest, n: u32) -> Option<(u32, RunId)> {
     match it.place(now, job, &upstreams(n)) {
-        Placement::Send(placed) => Some((placed.upstream, it.start(now, job, &placed))),
+        Placement::Send(placed) => Some((placed.upstream, it.record_start(now, job, &placed))),
         Placement::Refuse { .. } => None,
     }
 }
@@ -63,14 +65,14 @@
 fn nothing_goes_to_who_asked_until_the_time_is_over() {
     for job in [plain(), prompt(7)] {
         let mut it = Balancer::new(WINDOW);
-        it.back_off(at(0), 1, SECOND * 3);
+        it.start_backoff(at(0), 1, SECOND * 3);
         for n in 0..60 {
             let (upstream, run) = send(&mut it, at(n * 50), &job, 2).unwrap();
             assert_eq!(upstream, 2, "after {} ms", n * 50);
-            it.end(at(n * 50 + 30), run, Ending::Done);
+            it.record_end(at(n * 50 + 30), run, Completion::Done);
         }
-        assert_eq!(it.backs_off_until(at(2_999), 1), Some(at(3_000)));
-        assert_eq!(it.backs_off_until(at(3_000), 1), None);
+        assert_eq!(it.backoff_until(at(2_999), 1), Some(at(3_000)));
+        assert_eq!(it.backoff_until(at(3_000), 1), None);
         assert!(send(&mut it, at(3_000), &job, 1).is_some());
     }
 }
@@ -79,75 +81,81 @@
 fn the_time_is_not_shortened_by_what_comes_later() {
     let mut it = Balancer::new(WINDOW);
     let (_, late) = send(&mut it, at(0), &plain(), 1).unwrap();
-    it.back_off(at(0), 1, SECOND * 3);
-    it.back_off(at(100), 1, SECOND);
-    it.back_off(at(150), 1, Duration::ZERO);
-    it.end(at(200), late, Ending::Done);
-    it.reachable(1);
-    it.warm(1);
-    it.retain(|_| false);
-    assert_eq!(it.backs_off_until(at(300), 1), Some(at(3_000)));
-    it.back_off(at(2_000), 1, SECOND * 3);
-    assert_eq!(it.backs_off_until(at(3_500), 1), Some(at(5_000)), "a later one is longer");
+    it.start_backoff(at(0), 1, SECOND * 3);
+    it.start_backoff(at(100), 1, SECOND);
+    it.start_backoff(at(150), 1, Duration::ZERO);
+    it.record_end(at(200), late, Completion::Done);
+    it.record_reachable(1);
+    it.mark_warm(1);
+    it.retain_upstreams(|_| false);
+    assert_eq!(it.backoff_until(at(300), 1), Some(at(3_000)));
+    it.start_backoff(at(2_000), 1, SECOND * 3);
+    assert_eq!(it.backoff_until(at(3_500), 1), Some(at(5_000)), "a later one is longer");
 }
 
 #[test]
 fn another_incarnation_is_asked() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, SECOND * 3);
-    let anew = [Candidate { upstream: 9, slots: 16, near: true }];
+    it.start_backoff(at(0), 1, SECOND * 3);
+    let anew = [Candidate { upstream: 9, slots: 16, is_local: true }];
     sent(it.place(at(1), &plain(), &anew));
 }
 
 #[test]
 fn a_time_that_nobody_can_mean_is_bounded() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, Duration::ZERO);
-    assert_eq!(it.backs_off_until(at(0), 1), None);
-    it.back_off(at(0), 1, Duration::MAX);
-    assert_eq!(it.backs_off_until(at(1), 1), Some(at(600_000)));
+    it.start_backoff(at(0), 1, Duration::ZERO);
+    assert_eq!(it.backoff_until(at(0), 1), None);
+    it.start_backoff(at(0), 1, Duration::MAX);
+    assert_eq!(it.backoff_until(at(1), 1), Some(at(600_000)));
 }
 
 #[test]
 fn where_all_asked_callers_hear_at_once_when_the_first_time_is_over() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, SECOND * 5);
-    it.back_off(at(0), 2, SECOND * 3);
+    it.start_backoff(at(0), 1, SECOND * 5);
+    it.start_backoff(at(0), 2, SECOND * 3);
     let job = prompt(7);
     let refused = it.place(at(500), &job, &upstreams(2));
-    let Placement::Refuse { reason, retry, .. } = refused else { panic!("{refused:?}") };
+    let Placement::Refuse { reason, retry_after: retry, .. } = refused else {
+        panic!("{refused:?}")
+    };
     assert_eq!((reason, retry), (Refusal::Backoff, Duration::from_millis(2_500)));
-    let begun = Job { stage: Stage::Begun, ..prompt(7) };
+    let begun = PlacementRequest { stage: Stage::Streaming, ..prompt(7) };
     assert!(matches!(it.place(at(500), &begun, &upstreams(2)), Placement::Refuse { .. }));
-    assert_eq!(it.calmest(at(500), &upstreams(2)), None);
-    assert_eq!(it.account(at(500), job.workspace).asked, 2.0 * job.tokens(), "it counts as asked");
+    assert_eq!(it.least_busy(at(500), &upstreams(2)), None);
+    assert_eq!(
+        it.share_snapshot(at(500), job.workspace).asked,
+        2.0 * job.token_cost(),
+        "it counts as asked"
+    );
 }
 
 #[test]
 fn who_could_not_be_reached_either_is_told_apart_from_who_asked() {
     let mut it = Balancer::new(WINDOW);
     while let Some((_, run)) = send(&mut it, at(0), &plain(), 2) {
-        it.end(at(0), run, Ending::Unreachable);
+        it.record_end(at(0), run, Completion::Unreachable);
     }
     let reason = |it: &mut Balancer| match it.place(at(1), &plain(), &upstreams(2)) {
         Placement::Refuse { reason, .. } => Some(reason),
         Placement::Send(_) => None,
     };
     assert_eq!(reason(&mut it), Some(Refusal::NoUpstream));
-    it.back_off(at(1), 1, SECOND * 3);
+    it.start_backoff(at(1), 1, SECOND * 3);
     assert_eq!(reason(&mut it), Some(Refusal::Backoff));
 }
 
 #[test]
 fn when_the_time_is_over_one_request_goes_first() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, SECOND);
+    it.start_backoff(at(0), 1, SECOND);
     let (_, first) = send(&mut it, at(1_000), &plain(), 1).unwrap();
     assert_eq!(send(&mut it, at(1_001), &plain(), 1), None, "until it is known what became of it");
-    it.end(at(1_010), first, Ending::Rejected);
+    it.record_end(at(1_010), first, Completion::Rejected);
     let (_, second) = send(&mut it, at(1_020), &plain(), 1).unwrap();
     assert_eq!(send(&mut it, at(1_021), &plain(), 1), None);
-    it.first(at(1_030), second);
+    it.record_first_event(at(1_030), second);
     assert!(send(&mut it, at(1_031), &plain(), 1).is_some());
     assert!(send(&mut it, at(1_032), &plain(), 1).is_some(), "it was taken");
 }
@@ -155,12 +163,12 @@
 #[test]
 fn a_first_request_whose_caller_leaves_or_that_is_turned_away_again_holds_up_nothing() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, SECOND);
+    it.start_backoff(at(0), 1, SECOND);
     let (_, first) = send(&mut it, at(1_000), &plain(), 1).unwrap();
-    it.end(at(1_010), first, Ending::Cancelled);
+    it.record_end(at(1_010), first, Completion::Cancelled);
     let (_, second) = send(&mut it, at(1_020), &plain(), 1).unwrap();
-    it.back_off(at(1_030), 1, SECOND);
-    it.end(at(1_030), second, Ending::BackedOff);
+    it.start_backoff(at(1_030), 1, SECOND);
+    it.record_end(at(1_030), second, Completion::BackoffRequested);
     assert_eq!(send(&mut it, at(2_029), &plain(), 1), None);
     assert!(send(&mut it, at(2_030), &plain(), 1).is_some());
 }
@@ -170,13 +178,13 @@
 fn who_asked_counts_as_sound_once_the_time_is_over() {
     let mut it = Balancer::new(WINDOW);
     let (home, run) = send(&mut it, at(0), &prompt(7), 2).unwrap();
-    it.first(at(100), run);
-    it.end(at(300), run, Ending::Done);
+    it.record_first_event(at(100), run);
+    it.record_end(at(300), run, Completion::Done);
     let (again, turned) = send(&mut it, at(400), &prompt(7), 2).unwrap();
-    it.back_off(at(401), again, SECOND);
-    it.end(at(401), turned, Ending::BackedOff);
+    it.start_backoff(at(401), again, SECOND);
+    it.record_end(at(401), turned, Completion::BackoffRequested);
     let (other, run) = send(&mut it, at(402), &prompt(8), 2).unwrap();
-    it.end(at(500), run, Ending::Done);
+    it.record_end(at(500), run, Completion::Done);
     assert_eq!((again == home, other == home), (true, false));
     assert_eq!(sent(it.place(at(1_500), &prompt(7), &upstreams(2))).upstream, home);
 }
@@ -184,11 +192,11 @@
 #[test]
 fn that_a_time_is_over_is_told_once() {
     let mut it = Balancer::new(WINDOW);
-    it.back_off(at(0), 1, SECOND);
+    it.start_backoff(at(0), 1, SECOND);
     assert_eq!(it.n_backing_off(at(500)), 1);
-    assert!(it.take_backoffs_over(at(500)).is_empty());
-    assert_eq!(it.take_backoffs_over(at(1_050)), [1]);
-    assert!(it.take_backoffs_over(at(1_150)).is_empty());
+    assert!(it.take_expired_backoffs(at(500)).is_empty());
+    assert_eq!(it.take_expired_backoffs(at(1_050)), [1]);
+    assert!(it.take_expired_backoffs(at(1_150)).is_empty());
     assert_eq!(it.n_backing_off(at(1_150)), 0);
 }
 
@@ -209,7 +217,7 @@
     let asked = SECOND * 3;
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut hosts: Vec<Balancer> = (0..N_HOSTS).map(|_| Balancer::new(WINDOW)).collect();
-    hosts.iter_mut().zip(seed..).for_each(|(it, seed)| it.seed(seed));
+    hosts.iter_mut().zip(seed..).for_each(|(it, seed)| it.set_seed(seed));
     let mut running: Vec<(Duration, usize, RunId)> = Vec::new();
     let mut windows: Vec<(Duration, usize, u32, usize)> = Vec::new();
     let mut got = Got::default();
@@ -218,7 +226,7 @@
         running.retain(|(end, host, run)| {
             let is_over = *end <= now;
             if is_over {
-                hosts[*host].end(*end, *run, Ending::Done);
+                hosts[*host].record_end(*end, *run, Completion::Done);
             }
             !is_over
         });
@@ -236,8 +244,8 @@
                 got.n_served += 1;
                 break;
             }
-            hosts[host].back_off(now, upstream, asked);
-            hosts[host].end(now, run, Ending::BackedOff);
+            hosts[host].start_backoff(now, upstream, asked);
+            hosts[host].record_end(now, run, Completion::BackoffRequested);
             windows.push((now, host, upstream, 0));
             got.n_turned += 1;
         }
--- a/crates/portfield/tests/emulator/mod.rs
+++ b/crates/portfield/tests/emulator/mod.rs
@@ -11,7 +11,10 @@
 };
 
 use portfield::{
-    balance::{Balancer, Candidate, Ending, Job, Part, Placement, Prompt, RunId, Stage},
+    balance::{
+        Balancer, Candidate, Completion, Placement, PlacementRequest, Prompt, PromptPart, RunId,
+        Stage,
+    },
     catalog::EngineSpec,
     wire::Digest,
 };
@@ -115,7 +118,7 @@
 /// A request of a caller, at one of its tries.
 #[derive(Debug, Clone)]
 struct Ask {
-    job: Job,
+    job: PlacementRequest,
     asked: Duration,
     has_come_back: bool,
 }
@@ -149,7 +152,7 @@
 
 impl World {
     fn new(fleet: Fleet, demands: &[Demand], seed: u64) -> Self {
-        let candidate = |it: usize| Candidate { upstream: it as u32, slots: 128, near: true };
+        let candidate = |it: usize| Candidate { upstream: it as u32, slots: 128, is_local: true };
         let new_host = |_| {
             let mut host = Balancer::new(WINDOW);
             host.set_capacity(fleet.capacity);
@@ -186,18 +189,18 @@
         }
     }
 
-    fn job(&mut self, demand: &Demand) -> Job {
+    fn job(&mut self, demand: &Demand) -> PlacementRequest {
         let (n_shared, shared) = demand.shared;
         let own = 1 + self.draws.u32(0..2 * demand.tokens);
         let parts = vec![
-            Part {
+            PromptPart {
                 id: u64::from(demand.workspace) << 32 | self.draws.u64(0..n_shared),
                 tokens: shared,
             },
-            Part { id: self.draws.u64(1 << 50..), tokens: own },
+            PromptPart { id: self.draws.u64(1 << 50..), tokens: own },
         ];
-        let prompt = Prompt { input: shared + own, output: demand.output, parts };
-        Job {
+        let prompt = Prompt { input_tokens: shared + own, max_output_tokens: demand.output, parts };
+        PlacementRequest {
             workspace: demand.workspace,
             service: 1,
             prompt: Some(prompt),
@@ -213,7 +216,7 @@
             match event {
                 Event::Ask(ask) => self.ask(now, ask),
                 Event::First { host, run, ask } => self.first(now, host, run, &ask),
-                Event::End { host, run } => self.hosts[host].end(now, run, Ending::Done),
+                Event::End { host, run } => self.hosts[host].record_end(now, run, Completion::Done),
                 Event::Digest => self.exchange(now),
             }
         }
@@ -221,21 +224,21 @@
 
     fn ask(&mut self, now: Duration, ask: Ask) {
         let host = self.draws.usize(0..self.hosts.len());
-        let cost = ask.job.prompt.as_ref().map_or(0.0, Prompt::cost);
+        let cost = ask.job.prompt.as_ref().map_or(0.0, Prompt::token_cost);
         self.note_tokens(now, &ask, Tokens { asked: cost, got: 0.0 });
         match self.hosts[host].place(now, &ask.job, &self.candidates) {
             Placement::Send(placed) => {
                 self.note_tokens(now, &ask, Tokens { asked: 0.0, got: cost });
-                let run = self.hosts[host].start(now, &ask.job, &placed);
+                let run = self.hosts[host].record_start(now, &ask.job, &placed);
                 let read =
                     self.engines[placed.upstream as usize].read(now, &ask.job, self.fleet.rate);
                 let prompt = ask.job.prompt.as_ref().expect("engines' requests have prompts");
                 let first = read + FIRST;
-                let end = first + EVENT * (prompt.output / EVENT_TOKENS);
+                let end = first + EVENT * (prompt.max_output_tokens / EVENT_TOKENS);
                 self.agenda.push(first, Event::First { host, run, ask });
                 self.agenda.push(end, Event::End { host, run });
             }
-            Placement::Refuse { retry, .. } if !ask.has_come_back => {
+            Placement::Refuse { retry_after: retry, .. } if !ask.has_come_back => {
                 self.agenda.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
             }
             Placement::Refuse { .. } => self.got(&ask).refused += 1,
@@ -254,7 +257,7 @@
     }
 
     fn first(&mut self, now: Duration, host: usize, run: RunId, ask: &Ask) {
-        self.hosts[host].first(now, run);
+        self.hosts[host].record_first_event(now, run);
         let is_late = ask.asked + ask.job.objective < now;
         let got = self.got(ask);
         if is_late { got.late += 1 } else { got.in_time += 1 }
@@ -270,13 +273,13 @@
         let report = |(id, host): (usize, &mut Balancer)| {
             let id = id as u64 + 1;
             let mut res = Digest { host: id, incarnation: id, sequence, ..Digest::default() };
-            host.report(now, &mut res);
+            host.fill_digest(now, &mut res);
             res
         };
         let digests: Vec<Digest> = self.hosts.iter_mut().enumerate().map(report).collect();
         for (id, host) in self.hosts.iter_mut().enumerate() {
             let others = digests.iter().filter(|it| it.host != id as u64 + 1);
-            others.for_each(|it| host.merge(now, it));
+            others.for_each(|it| host.merge_digest(now, it));
         }
         if now < START + self.fleet.length {
             self.agenda.push(now + PERIOD, Event::Digest);
@@ -286,7 +289,7 @@
 
 impl Engine {
     /// Returns when it has read a prompt that comes now.
-    fn read(&mut self, now: Duration, job: &Job, rate: f64) -> Duration {
+    fn read(&mut self, now: Duration, job: &PlacementRequest, rate: f64) -> Duration {
         let parts = job.prompt.iter().flat_map(|it| &it.parts);
         let unread: u32 = parts.filter(|it| self.kept.insert(it.id)).map(|it| it.tokens).sum();
         let time = Duration::from_secs_f64(f64::from(unread) / rate / 1000.0);
--- a/crates/portfield/tests/fleet/mod.rs
+++ b/crates/portfield/tests/fleet/mod.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use portfield::{
-    balance::{Balancer, Others, Place, Way, host_hash},
+    balance::{Balancer, Delivery, GossipConfig, PeerTable, host_hash},
     catalog::DrainMarks,
     quarantine::Quarantine,
     wire::Digest,
@@ -22,7 +22,7 @@
 pub struct Host {
     pub address: SocketAddr,
     pub data_centre: u32,
-    pub others: Others,
+    pub others: PeerTable,
     pub balancer: Balancer,
     pub quarantine: Quarantine,
     pub drains: DrainMarks,
@@ -69,12 +69,12 @@
 
     pub fn add(&mut self, data_centre: u32, number: u32) {
         let address = SocketAddr::from(([10, data_centre as u8, 0, 0], 7000 + number as u16));
-        let place = Place { host: host_hash(address), data_centre, direct: DIRECT };
+        let place = GossipConfig { host: host_hash(address), data_centre, direct_limit: DIRECT };
         let jitter = Duration::from_millis(self.rng.u64(0..300));
         self.hosts.push(Host {
             address,
             data_centre,
-            others: Others::new(place, std::iter::empty()),
+            others: PeerTable::new(place, std::iter::empty()),
             balancer: Balancer::new(Duration::from_secs(4)),
             quarantine: Quarantine::default(),
             drains: DrainMarks::default(),
@@ -97,8 +97,8 @@
         let all: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         for host in &mut self.hosts {
             match n_seeds {
-                None => all.iter().for_each(|it| host.others.learn(it.0, Some(it.1))),
-                Some(n) => all.iter().take(n).for_each(|it| host.others.learn(it.0, None)),
+                None => all.iter().for_each(|it| host.others.add_host(it.0, Some(it.1))),
+                Some(n) => all.iter().take(n).for_each(|it| host.others.add_host(it.0, None)),
             }
         }
     }
@@ -108,10 +108,13 @@
         let known: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         let now = self.now;
         let host = &mut self.hosts[i];
-        let place =
-            Place { host: host_hash(host.address), data_centre: host.data_centre, direct: DIRECT };
-        host.others = Others::new(place, std::iter::empty());
-        known.iter().for_each(|it| host.others.learn(it.0, Some(it.1)));
+        let place = GossipConfig {
+            host: host_hash(host.address),
+            data_centre: host.data_centre,
+            direct_limit: DIRECT,
+        };
+        host.others = PeerTable::new(place, std::iter::empty());
+        known.iter().for_each(|it| host.others.add_host(it.0, Some(it.1)));
         host.balancer = Balancer::new(Duration::from_secs(4));
         host.quarantine = Quarantine::default();
         host.drains = DrainMarks::default();
@@ -141,7 +144,7 @@
         let now = self.now;
         let host = &mut self.hosts[i];
         let own = now - host.started;
-        let audience = host.others.look(own);
+        let audience = host.others.refresh_topology(own);
         host.sequence += 1;
         let mut digest = Digest {
             host: host_hash(host.address),
@@ -149,29 +152,31 @@
             sequence: host.sequence,
             data_centre: host.data_centre,
             address: host.address.to_string(),
-            seeks_hosts: !host.others.knows_near(),
+            seeks_hosts: !host.others.knows_local_host(),
             orders_version: host.orders,
             ..Digest::default()
         };
-        host.balancer.report(own, &mut digest);
+        host.balancer.fill_digest(own, &mut digest);
         digest.suspects = host.quarantine.report(own, &audience, host.sequence);
-        digest.draining = host.drains.report(audience.telling(host.sequence), |_| true);
+        digest.draining = host.drains.report(audience.detail(host.sequence), |_| true);
         let mut out = Vec::new();
-        if audience.speaks() {
+        if audience.is_leader() {
             let mut sum = Digest {
                 host: u64::from(host.data_centre),
                 passed_on: true,
                 seeks_hosts: false,
                 ..digest.clone()
             };
-            host.balancer.summarize(own, &mut sum);
+            host.balancer.fill_summary(own, &mut sum);
             sum.suspects = host.quarantine.summarize(own);
             sum.draining = host.drains.summarize(|_| true);
-            let told = host.others.told_sum(own, host.sequence);
+            let told = host.others.summary_recipients(own, host.sequence);
             out.extend(told.into_iter().map(|it| (it, sum.clone())));
         }
-        digest.relayed = host.others.take_passing();
-        out.extend(host.others.told(host.sequence).into_iter().map(|it| (it, digest.clone())));
+        digest.relayed = host.others.take_forwards();
+        out.extend(
+            host.others.recipients(host.sequence).into_iter().map(|it| (it, digest.clone())),
+        );
         host.next = now + audience.period();
         self.send(i, out);
     }
@@ -204,24 +209,25 @@
         let host = &mut self.hosts[i];
         host.n_received += 1;
         let now = self.now - host.started;
-        let audience = host.others.audience();
+        let audience = host.others.topology();
         let mut out = Vec::new();
-        if digest.seeks_hosts && audience.is_large() {
-            out.push((from, Digest { hosts: host.others.known(), ..Digest::default() }));
+        if digest.seeks_hosts && audience.is_hierarchical() {
+            out.push((from, Digest { hosts: host.others.known_hosts(), ..Digest::default() }));
         }
         if !digest.hosts.is_empty() {
             let hosts = digest.hosts.iter();
             hosts.for_each(|it| {
-                host.others.learn(it.address.parse().unwrap(), Some(it.data_centre));
+                host.others.add_host(it.address.parse().unwrap(), Some(it.data_centre));
             });
             return;
         }
-        let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Way::Relayed));
-        for (it, way) in std::iter::once((digest, Way::Direct)).chain(relayed) {
+        let relayed =
+            std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
+        for (it, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
             if it.host == host_hash(host.address) {
                 continue;
             }
-            host.others.hear(now, from, &it);
+            host.others.record_digest(now, from, &it);
             host.quarantine.take(now, &it.suspects);
             it.draining.iter().for_each(|it| {
                 host.drains.note(*it);
@@ -234,17 +240,17 @@
             } else {
                 host.sums.insert(it.data_centre, (self.now, it.n_summed));
             }
-            if audience.counts(&it) {
-                host.balancer.merge(now, &it);
+            if audience.accepts(&it) {
+                host.balancer.merge_digest(now, &it);
             }
-            out.extend(host.others.pass_on(it, way));
+            out.extend(host.others.forward(it, way));
         }
         self.send(i, out);
     }
 
     /// Returns the hosts that live and speak for a data centre.
     pub fn speakers(&self, data_centre: u32) -> Vec<usize> {
-        let speaks = |it: &&usize| self.hosts[**it].others.audience().speaks();
+        let speaks = |it: &&usize| self.hosts[**it].others.topology().is_leader();
         let there =
             |it: &usize| self.hosts[*it].is_alive && self.hosts[*it].data_centre == data_centre;
         let all: Vec<usize> = (0..self.hosts.len()).filter(there).collect();
--- a/crates/portfield/tests/host_load.rs
+++ b/crates/portfield/tests/host_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use portfield::balance::{Follower, Governor, Readers, RetryBudget};
+use portfield::balance::{LoadShedder, RetryBudget, StoreWatchers, WatcherStatus};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(1_000 + millis)
@@ -17,8 +17,8 @@
     for step in 0..900_u64 {
         let now = Duration::from_millis(step * 10);
         let it = &mut budgets[(step % n_hosts as u64) as usize];
-        it.earn(now);
-        repeats += usize::from(it.spend(now, n_hosts));
+        it.deposit(now);
+        repeats += usize::from(it.withdraw(now, n_hosts));
     }
     assert!(0 < repeats && repeats as f64 <= ratio * 900.0 + extra, "{repeats}");
 }
@@ -27,52 +27,52 @@
 /// the others were idle.
 #[test]
 fn a_host_that_falls_behind_sheds_and_takes_callers_again_once_calm() {
-    let mut it = Governor::default();
-    let step = |it: &mut Governor, n: u64, late: u64| {
+    let mut it = LoadShedder::default();
+    let step = |it: &mut LoadShedder, n: u64, late: u64| {
         it.observe(at(n * 25), Duration::from_millis(late));
     };
     (0..40).for_each(|n| step(&mut it, n, 1));
-    assert!(!it.is_busy() && it.refuses(at(1_000), 1, 1.0, 0.0).is_none());
+    assert!(!it.is_overloaded() && it.shed(at(1_000), 1, 1.0, 0.0).is_none());
     (40..60).for_each(|n| step(&mut it, n, 18));
-    let mut refuses = |draw| it.refuses(at(1_500), 1, 1.0, draw).is_some();
+    let mut refuses = |draw| it.shed(at(1_500), 1, 1.0, draw).is_some();
     assert!(refuses(0.2) && !refuses(0.9));
-    assert!(it.is_busy());
+    assert!(it.is_overloaded());
     (60..100).for_each(|n| step(&mut it, n, 0));
-    assert!(it.is_busy(), "one calm second is not enough");
+    assert!(it.is_overloaded(), "one calm second is not enough");
     (100..150).for_each(|n| step(&mut it, n, 0));
-    assert!(!it.is_busy());
+    assert!(!it.is_overloaded());
 }
 
 /// A host that is late for a moment, as when a large configuration is read, bears the same load as before.
 #[test]
 fn a_host_that_was_late_for_a_moment_takes_callers_again_at_its_usual_load() {
-    let mut it = Governor::default();
+    let mut it = LoadShedder::default();
     // Sixty requests a second, and timers that are late for a fifth of one.
     for n in 0..200_u64 {
         let now = n * 25;
         it.observe(at(now), Duration::from_millis(if (40..48).contains(&n) { 40 } else { 1 }));
         if n == 50 {
-            assert!(it.is_busy());
+            assert!(it.is_overloaded());
         }
         let draw = (n * 37 % 100) as f64 / 100.0;
         for _ in 0..1 + n % 2 {
-            let _ = it.refuses(at(now), 1, 10.0, draw);
+            let _ = it.shed(at(now), 1, 10.0, draw);
         }
     }
-    assert!(!it.is_busy(), "after three and a half calm seconds");
+    assert!(!it.is_overloaded(), "after three and a half calm seconds");
 }
 
 /// Grown Craigmhor, scale-1: a host short of processor time refused whoever came, and a workspace
 /// whose callers all came there got under half of what it asked for.
 #[test]
 fn a_flood_at_a_host_takes_from_no_other_workspace() {
-    let mut it = Governor::default();
+    let mut it = LoadShedder::default();
     (0..40).for_each(|n| it.observe(at(n * 25), Duration::from_millis(18)));
     let mut n_refused = [0; 2];
     for n in 0..1_000 {
         let workspace = u32::from(n % 10 == 0);
         let draw = f64::from(n % 97) / 97.0;
-        let refused = it.refuses(at(1_000 + n as u64), workspace, 10.0, draw).is_some();
+        let refused = it.shed(at(1_000 + n as u64), workspace, 10.0, draw).is_some();
         n_refused[workspace as usize] += u32::from(refused);
     }
     assert!(400 < n_refused[0], "{n_refused:?}");
@@ -81,36 +81,36 @@
 
 #[test]
 fn one_late_timer_sends_nobody_away() {
-    let mut it = Governor::default();
+    let mut it = LoadShedder::default();
     it.observe(at(0), Duration::from_millis(50));
-    assert!(!it.is_busy());
+    assert!(!it.is_overloaded());
 }
 
 /// Calls to the store were the largest price of the grown deployments.
 #[test]
 fn few_hosts_follow_the_store_and_others_take_over_from_those_it_turns_away() {
-    let follower = |host: u64, store_age: u64, heard: u64| Follower {
+    let follower = |host: u64, store_age: u64, heard: u64| WatcherStatus {
         host,
         data_centre: (host % 3) as u32,
         store_age: Duration::from_millis(store_age),
-        heard: at(heard),
+        last_heard: at(heard),
     };
     let readers = |silent: &[u64], now: u64| -> Vec<u64> {
         let is_reader = |me: &u64| {
-            let mut it = Readers::default();
+            let mut it = StoreWatchers::default();
             for host in (0..60).filter(|it| it != me) {
                 let age = if silent.contains(&host) { 3_000 } else { 900 };
-                it.hear(follower(host, age, now));
+                it.record(follower(host, age, now));
             }
-            it.is_reader(at(now + 100), *me, (*me % 3) as u32, 59)
+            it.is_watcher(at(now + 100), *me, (*me % 3) as u32, 59)
         };
         (0..60).filter(is_reader).collect()
     };
     assert_eq!(readers(&[], 0), [0, 1, 2, 3, 4, 5]);
     assert_eq!(readers(&[0, 4], 0), [0, 1, 2, 3, 4, 5, 6, 7]);
-    let mut alone = Readers::default();
-    (0..60).for_each(|host| alone.hear(follower(host, 100, 0)));
-    assert!(alone.is_reader(at(5_000), 61, 1, 0), "who hears nobody follows the store itself");
+    let mut alone = StoreWatchers::default();
+    (0..60).for_each(|host| alone.record(follower(host, 100, 0)));
+    assert!(alone.is_watcher(at(5_000), 61, 1, 0), "who hears nobody follows the store itself");
 }
 
 /// While the store was down for all, every host asked it twice a second for each table: 295 of them 1,200
@@ -119,12 +119,17 @@
 fn few_hosts_ask_a_store_that_is_down() {
     let n_readers = |age: u64| {
         let is_reader = |me: &u64| {
-            let mut it = Readers::default();
+            let mut it = StoreWatchers::default();
             for host in (0..295).filter(|it| it != me) {
                 let store_age = Duration::from_millis(age);
-                it.hear(Follower { host, data_centre: (host % 5) as u32, store_age, heard: at(0) });
+                it.record(WatcherStatus {
+                    host,
+                    data_centre: (host % 5) as u32,
+                    store_age,
+                    last_heard: at(0),
+                });
             }
-            it.is_reader(at(0), *me, (*me % 5) as u32, 294)
+            it.is_watcher(at(0), *me, (*me % 5) as u32, 294)
         };
         (0..295).filter(is_reader).count()
     };
--- a/crates/portfield/tests/quarantine.rs
+++ b/crates/portfield/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use portfield::quarantine::{Breaks, Identity, LETHAL_ENDS, MEMORY, Quarantine, Request, Verdict};
 use portfield::{
-    balance::{Audience, Place},
+    balance::{GossipConfig, GossipTopology},
     wire::Suspect,
 };
 
@@ -20,9 +20,9 @@
 }
 
 /// The fan-out of a host among few.
-fn audience() -> Audience {
-    let place = Place { host: 1, data_centre: 1, direct: 12 };
-    Audience::new(Duration::ZERO, place, &[], 0)
+fn audience() -> GossipTopology {
+    let place = GossipConfig { host: 1, data_centre: 1, direct_limit: 12 };
+    GossipTopology::new(Duration::ZERO, place, &[], 0)
 }
 
 /// Returns what a host tells in its next digest.
--- a/crates/portfield/tests/rationed/mod.rs
+++ b/crates/portfield/tests/rationed/mod.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use portfield::balance::{Answered, Governor};
+use portfield::balance::{AnswerKind, LoadShedder};
 
 use crate::agenda::Agenda;
 
@@ -107,7 +107,7 @@
 
 #[derive(Debug, Default)]
 struct Host {
-    governor: Governor,
+    governor: LoadShedder,
     queue: VecDeque<Work>,
     is_running: bool,
     misses: u32,
@@ -219,7 +219,7 @@
                 opening + self.read(now, host, ask)
             }
             Work::Event { n_left: 0 } => {
-                let closes = self.hosts[host].governor.closes(Answered::Served);
+                let closes = self.hosts[host].governor.closes_connection(AnswerKind::Served);
                 self.keep(host, closes);
                 EVENT
             }
@@ -246,7 +246,7 @@
     fn read(&mut self, now: Duration, host: usize, ask: Ask) -> Duration {
         let (decision, back) = (self.draws.f64(), self.draws.f64());
         let governor = &mut self.hosts[host].governor;
-        let refused = governor.refuses(now, 1, WORK, decision).is_some();
+        let refused = governor.shed(now, 1, WORK, decision).is_some();
         let is_late = ask.sent + OBJECTIVE < now;
         if !refused && !is_late {
             self.count(now, |it| &mut it.served, 1);
@@ -254,8 +254,8 @@
                 .push(now + PACE, Event::Work { host, work: Work::Event { n_left: N_EVENTS } });
             return PLACING;
         }
-        let answered = if refused { Answered::Refused } else { Answered::Served };
-        let (closes, retry) = (governor.closes(answered), governor.retry(back));
+        let answered = if refused { AnswerKind::Refused } else { AnswerKind::Served };
+        let (closes, retry) = (governor.closes_connection(answered), governor.retry_after(back));
         self.keep(host, closes);
         self.count(now, |it| &mut it.refused, 1);
         let left = (ask.asked + DEADLINE).saturating_sub(now);
@@ -279,8 +279,8 @@
 
     fn answer_ready(&mut self, host: usize, number: u64) {
         let it = &mut self.hosts[host];
-        let is_ready = !it.governor.is_busy();
-        it.governor.asked(is_ready);
+        let is_ready = !it.governor.is_overloaded();
+        it.governor.record_probe(is_ready);
         if it.question.take_if(|it| *it == number).is_some() {
             it.misses = if is_ready { 0 } else { it.misses + 1 };
         }
--- a/crates/portfield/tests/speakers.rs
+++ b/crates/portfield/tests/speakers.rs
@@ -179,7 +179,7 @@
     fn go_on(&mut self, hosts: &[usize]) {
         for i in hosts {
             let host = &mut self.hosts[*i];
-            host.others.drop_passing();
+            host.others.clear_forwards();
             host.next = self.now;
             host.is_alive = true;
         }
@@ -239,7 +239,7 @@
         world.run(Duration::from_secs(5));
         let misses = |world: &World, i: usize| {
             let host = &world.hosts[i];
-            host.others.misses_centre(world.now - host.started)
+            host.others.has_unreachable_centre(world.now - host.started)
         };
         let near = world.line(0)[0];
         assert!(!misses(&world, near));
--- a/crates/portfield/tests/warmup.rs
+++ b/crates/portfield/tests/warmup.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use portfield::balance::{
-    Balancer, Candidate, Job, Placement, RunId, Stage, cold_quota, host_hash,
+    Balancer, Candidate, Placement, PlacementRequest, RunId, Stage, cold_quota, host_hash,
 };
 
 const MOST: f64 = 14.15;
@@ -50,8 +50,8 @@
     mean: f64,
 }
 
-fn job() -> Job {
-    Job {
+fn job() -> PlacementRequest {
+    PlacementRequest {
         workspace: 1,
         service: 1,
         prompt: None,
@@ -82,7 +82,7 @@
                 Way::Even => (MOST / fleet.n_hosts as f64) as u32,
                 Way::Told(_) => u32::MAX,
             };
-            res.cold(upstream, start + COLD, quota);
+            res.mark_cold(upstream, start + COLD, quota);
         }
         res
     };
@@ -96,7 +96,7 @@
         if view == View::Restarts && n.is_multiple_of(100) && idx.is_multiple_of(10) {
             // For its first seconds a host sends cold upstreams nothing.
             hosts[idx] = Balancer::new(Duration::from_secs(4));
-            (0..N_UPSTREAMS).for_each(|it| hosts[idx].cold(it, start + COLD, 0));
+            (0..N_UPSTREAMS).for_each(|it| hosts[idx].mark_cold(it, start + COLD, 0));
             runs.retain(|it| it.0 != idx);
         }
         let is_left = |upstream: &u32| {
@@ -106,10 +106,10 @@
             let known = recent.filter(|it| it.1 == idx || it.0 + age <= now).count();
             (known as f64) < MOST - 1.0
         };
-        let candidate = |upstream| Candidate { upstream, slots: 1000, near: true };
+        let candidate = |upstream| Candidate { upstream, slots: 1000, is_local: true };
         let candidates: Vec<_> = (0..N_UPSTREAMS).filter(is_left).map(candidate).collect();
         if let Placement::Send(placed) = hosts[idx].place(now, &job(), &candidates) {
-            runs.push((idx, hosts[idx].start(now, &job(), &placed)));
+            runs.push((idx, hosts[idx].record_start(now, &job(), &placed)));
             sent[placed.upstream as usize].push((now, idx));
         }
     }
