--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -8,9 +8,9 @@
     admission::{in_time, longest_wait},
     bias::Bias,
     choice::{Choice, Order, Scales, home, least, millis},
+    fast_map::FastMap,
     job::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal},
     load::Loads,
-    map::Map,
     prompt::Prompt,
     shares::{ShareSnapshot, ShareStatus, Shares, Usage},
     speed::Speed,
@@ -33,7 +33,7 @@
 const SPARE_PART: f64 = 0.5;
 /// How many digests tell only the usage that is new, for each that tells all of it: a host that has just
 /// begun to listen knows all within a second.
-pub(crate) const WHOLE_EVERY: u64 = 8;
+pub(crate) const FULL_DIGEST_EVERY: u64 = 8;
 /// Weight of one more observation in an average.
 const SMOOTH: f64 = 0.05;
 
@@ -60,14 +60,14 @@
 pub struct Balancer {
     pub(super) loads: Loads,
     shares: Shares,
-    speeds: Map<u32, Speed>,
+    speeds: FastMap<u32, Speed>,
     /// What estimates fell short of, by service.
-    biases: Map<u32, Bias>,
+    biases: FastMap<u32, Bias>,
     /// Average time of a request, in milliseconds, by service.
-    times: Map<u32, f64>,
-    runs: Map<RunId, Run>,
+    times: FastMap<u32, f64>,
+    runs: FastMap<RunId, Run>,
     n_runs: RunId,
-    memories: Map<u32, u64>,
+    memories: FastMap<u32, u64>,
     /// The last number drawn.
     draws: u64,
 }
@@ -78,12 +78,12 @@
         Self {
             loads: Loads::default(),
             shares: Shares::new(window),
-            speeds: Map::default(),
-            biases: Map::default(),
-            times: Map::default(),
-            runs: Map::default(),
+            speeds: FastMap::default(),
+            biases: FastMap::default(),
+            times: FastMap::default(),
+            runs: FastMap::default(),
             n_runs: 0,
-            memories: Map::default(),
+            memories: FastMap::default(),
             draws: 0,
         }
     }
@@ -309,7 +309,7 @@
             asked: it.asked as u64,
             taken: it.taken as u64,
         };
-        let is_whole = digest.sequence.is_multiple_of(WHOLE_EVERY);
+        let is_whole = digest.sequence.is_multiple_of(FULL_DIGEST_EVERY);
         let told = self.shares.take_told().into_iter();
         digest.usage = if is_whole {
             self.shares.totals().map(usage).collect()
--- a/crates/portfield/src/balance/cache.rs
+++ b/crates/portfield/src/balance/cache.rs
@@ -1,6 +1,6 @@
 //! Which parts of prompts an engine keeps, as far as the hosts know.
 
-use super::{map::Map, prompt::Link};
+use super::{fast_map::FastMap, prompt::Link};
 
 /// Part of an engine's memory that parts survive in; the rest is what runs.
 ///
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     odometer: f64,
-    used: Map<u32, f64>,
+    used: FastMap<u32, f64>,
 }
 
 impl Cache {
--- a/crates/portfield/src/balance/map.rs
+++ b/crates/portfield/src/balance/fast_map.rs
@@ -7,4 +7,4 @@
 /// What other hosts say goes through some hundred thousand entries a second at 295 hosts, and the standard
 /// hash is made to withstand chosen keys. Without it, and without a list of choices for each request,
 /// 295 hosts took 255 s of processor time for 55 s of heavy load in place of 289 (one play each).
-pub(crate) type Map<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
+pub(crate) type FastMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
--- a/crates/portfield/src/balance/load.rs
+++ b/crates/portfield/src/balance/load.rs
@@ -5,9 +5,9 @@
 use super::{
     backoff::Backoff,
     cache::Cache,
+    fast_map::FastMap,
     health::Health,
-    map::Map,
-    peer::{Peer, STALE},
+    peer_state::{PEER_TIMEOUT, PeerState},
     warmup::Warmup,
 };
 use crate::{telling::REPEATS, wire};
@@ -94,8 +94,8 @@
 /// All upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
-    nodes: Map<u32, Node>,
-    peers: Map<u64, Peer>,
+    nodes: FastMap<u32, Node>,
+    peers: FastMap<u64, PeerState>,
     told: VecDeque<Told>,
     /// What other hosts of the data centre told, for sums.
     heard: VecDeque<Told>,
@@ -109,7 +109,7 @@
     pub n_hosts: u32,
     pub loads: Vec<wire::UpstreamLoad>,
     pub prefixes: Vec<wire::PrefixUse>,
-    pub usage: Map<u32, wire::WorkspaceUsage>,
+    pub usage: FastMap<u32, wire::WorkspaceUsage>,
 }
 
 impl Loads {
@@ -169,23 +169,23 @@
     pub(crate) fn summary(&mut self, now: Duration, data_centre: u32) -> Summary {
         let members =
             || self.peers.values().filter(|it| it.data_centre == data_centre && it.n_summed == 0);
-        let mut loads: Map<u32, wire::UpstreamLoad> = Map::default();
+        let mut loads: FastMap<u32, wire::UpstreamLoad> = FastMap::default();
         let own = self.nodes.iter().map(|(id, it)| it.report(*id));
-        for it in own.chain(members().flat_map(Peer::loads_since_heard)) {
+        for it in own.chain(members().flat_map(PeerState::observed_loads)) {
             let new = wire::UpstreamLoad { upstream: it.upstream, ..Default::default() };
             let sum = loads.entry(it.upstream).or_insert(new);
             sum.running += it.running;
             sum.pending += it.pending;
             sum.read += it.read;
         }
-        let mut usage: Map<u32, wire::WorkspaceUsage> = Map::default();
-        for it in members().flat_map(Peer::usage_since_heard) {
+        let mut usage: FastMap<u32, wire::WorkspaceUsage> = FastMap::default();
+        for it in members().flat_map(PeerState::observed_usage) {
             let new = wire::WorkspaceUsage { workspace: it.workspace, ..Default::default() };
             let sum = usage.entry(it.workspace).or_insert(new);
             sum.asked += it.asked;
             sum.taken += it.taken;
         }
-        let n_hosts = 1 + members().filter(|it| now < it.heard + STALE).count() as u32;
+        let n_hosts = 1 + members().filter(|it| now < it.last_heard + PEER_TIMEOUT).count() as u32;
         let loads = loads.into_values().filter(|it| 0 < it.read || 0 < it.running).collect();
         // This host's own parts are among those it tells; they go along once.
         let mut prefixes = take_told(&mut self.heard);
@@ -196,7 +196,7 @@
 
     /// Keeps what another host told, once, while this host sums up its data centre.
     fn keep_told(&mut self, now: Duration, digest: &wire::Digest) {
-        if digest.n_summed != 0 || self.summed.is_none_or(|it| it + STALE < now) {
+        if digest.n_summed != 0 || self.summed.is_none_or(|it| it + PEER_TIMEOUT < now) {
             return;
         }
         for it in &digest.prefixes {
@@ -216,30 +216,30 @@
         memory: impl Fn(u32) -> u64,
     ) -> Vec<wire::WorkspaceUsage> {
         let peer = self.peers.entry(digest.host).or_default();
-        if !peer.is_news(digest) {
+        if !peer.is_newer(digest) {
             return Vec::new();
         }
         withdraw(peer, &mut self.nodes);
-        peer.begin(now, digest);
+        peer.begin_digest(now, digest);
         for it in &digest.loads {
             add(&mut self.nodes, it, 1.0);
-            let grown = peer.take_load(it);
+            let grown = peer.record_load(it);
             self.nodes.entry(it.upstream).or_default().cache.read(grown as f64);
         }
         for it in &digest.prefixes {
             let node = self.nodes.entry(it.upstream).or_default();
             node.cache.touch(it.parts.iter().copied(), memory(it.upstream));
         }
-        let usage = digest.usage.iter().map(|it| peer.take_usage(it)).collect();
+        let usage = digest.usage.iter().map(|it| peer.record_usage(it)).collect();
         self.keep_told(now, digest);
         usage
     }
 
-    /// Drops what hosts said that have been silent for [`STALE`], and what upstreams asked for long ago.
+    /// Drops what hosts said that have been silent for [`PEER_TIMEOUT`], and what upstreams asked for long ago.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.nodes.values_mut().for_each(|it| it.backoff.expire(now));
         for peer in self.peers.values_mut() {
-            if peer.heard + STALE <= now {
+            if peer.last_heard + PEER_TIMEOUT <= now {
                 withdraw(peer, &mut self.nodes);
             }
         }
@@ -247,7 +247,7 @@
 
     /// Returns how many other hosts were heard of late.
     pub(crate) fn n_peers(&self, now: Duration) -> usize {
-        let alive = self.peers.values().filter(|it| now < it.heard + STALE);
+        let alive = self.peers.values().filter(|it| now < it.last_heard + PEER_TIMEOUT);
         alive.map(|it| it.n_summed.max(1) as usize).sum()
     }
 }
@@ -261,12 +261,12 @@
 }
 
 /// Takes another host's requests away from the upstreams; its totals stay known.
-fn withdraw(peer: &mut Peer, nodes: &mut Map<u32, Node>) {
+fn withdraw(peer: &mut PeerState, nodes: &mut FastMap<u32, Node>) {
     peer.loads.drain(..).for_each(|it| add(nodes, &it, -1.0));
 }
 
 /// Adds another host's requests to an upstream's, or takes them away with `sign` -1.
-fn add(nodes: &mut Map<u32, Node>, it: &wire::UpstreamLoad, sign: f64) {
+fn add(nodes: &mut FastMap<u32, Node>, it: &wire::UpstreamLoad, sign: f64) {
     let others = &mut nodes.entry(it.upstream).or_default().others;
     others.running = (others.running + sign * f64::from(it.running)).max(0.0);
     others.pending = (others.pending + sign * f64::from(it.pending)).max(0.0);
--- a/crates/portfield/src/balance/mod.rs
+++ b/crates/portfield/src/balance/mod.rs
@@ -23,37 +23,37 @@
 //! - [`Balancer`]: the decision
 
 mod admission;
-mod audience;
 mod backoff;
 mod balancer;
 mod bias;
 mod budget;
 mod cache;
 mod choice;
+mod fast_map;
 mod flow;
 mod governor;
 mod health;
 mod job;
 mod load;
-mod map;
-mod others;
-mod peer;
+mod peer_state;
+mod peer_table;
 mod prompt;
 mod readers;
 mod shares;
 mod speed;
 mod told;
+mod topology;
 mod warmup;
 mod witness;
 
-pub use audience::{GossipConfig, GossipTopology, RemoteHost};
 pub use balancer::{Balancer, RunId};
 pub use budget::RetryBudget;
 pub use governor::{AnswerKind, LoadShedder, Overload};
 pub use job::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal, Stage};
-pub use others::{Delivery, PeerTable, host_hash};
+pub use peer_table::{Delivery, PeerTable, host_hash};
 pub use prompt::{Prompt, PromptPart};
 pub use readers::{STORE_CALL_TIMEOUT, StoreTimeouts, StoreWatchers, WatcherStatus};
 pub use shares::{ShareSnapshot, ShareStatus};
+pub use topology::{GossipConfig, GossipTopology, RemoteHost};
 pub use warmup::cold_quota;
 pub use witness::StoreAvailability;
--- a/crates/portfield/src/balance/peer.rs
+++ b/crates/portfield/src/balance/peer_state.rs
@@ -10,91 +10,91 @@
 
 use std::time::Duration;
 
-use super::map::Map;
+use super::fast_map::FastMap;
 use crate::wire;
 
 /// Time after which another host's last word no longer counts.
 ///
 /// Its requests end with it, or its words are lost; ten digests in a row are not lost by chance.
-pub(crate) const STALE: Duration = Duration::from_millis(1500);
+pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Digests from a host's start within which all that it did counts as done just now: a second or
 /// two, of the four over which shares are kept. Without them what a host did before its first word
 /// is lost after each of its starts.
-const YOUNG: u64 = 20;
+const NEW_PEER_DIGESTS: u64 = 20;
 
 /// What another host last said.
 #[derive(Debug, Default)]
-pub(crate) struct Peer {
+pub(crate) struct PeerState {
     pub data_centre: u32,
     /// Hosts that it speaks for, where it sums up a data centre.
     pub n_summed: u32,
     /// When it was last heard.
-    pub heard: Duration,
+    pub last_heard: Duration,
     /// What it has at each upstream that it named last.
     pub loads: Vec<wire::UpstreamLoad>,
-    done: Done,
+    observed: ObservedTotals,
     incarnation: u64,
     sequence: u64,
     /// Tokens that it brought into the memory of each upstream, as it last told.
-    read: Map<u32, u64>,
-    usage: Map<u32, wire::WorkspaceUsage>,
+    read: FastMap<u32, u64>,
+    usage: FastMap<u32, wire::WorkspaceUsage>,
     /// A total that it tells for the first time has grown from zero since this host heard it.
-    is_whole: bool,
-    /// It had been silent for [`STALE`] before its last word.
+    starts_at_zero: bool,
+    /// It had been silent for [`PEER_TIMEOUT`] before its last word.
     was_silent: bool,
 }
 
 /// What a host did since it was first heard, through all its lives: it only grows.
 #[derive(Debug, Default)]
-struct Done {
+struct ObservedTotals {
     /// Tokens brought into the memory of each upstream.
-    read: Map<u32, u64>,
-    usage: Map<u32, wire::WorkspaceUsage>,
+    read: FastMap<u32, u64>,
+    usage: FastMap<u32, wire::WorkspaceUsage>,
 }
 
-impl Peer {
+impl PeerState {
     /// Returns whether a digest is newer than the last one taken.
-    pub(crate) fn is_news(&self, digest: &wire::Digest) -> bool {
+    pub(crate) fn is_newer(&self, digest: &wire::Digest) -> bool {
         self.incarnation != digest.incarnation || self.sequence < digest.sequence
     }
 
     /// Begins to take a newer digest.
-    pub(crate) fn begin(&mut self, now: Duration, digest: &wire::Digest) {
-        let was_silent = self.heard + STALE < now;
+    pub(crate) fn begin_digest(&mut self, now: Duration, digest: &wire::Digest) {
+        let was_silent = self.last_heard + PEER_TIMEOUT < now;
         if self.incarnation != digest.incarnation {
             // Requests of its earlier life ended with it, and its totals.
-            *self = Self { done: std::mem::take(&mut self.done), ..Self::default() };
-            self.is_whole = digest.n_summed == 0 && digest.sequence <= YOUNG;
+            *self = Self { observed: std::mem::take(&mut self.observed), ..Self::default() };
+            self.starts_at_zero = digest.n_summed == 0 && digest.sequence <= NEW_PEER_DIGESTS;
         } else if 0 < digest.n_summed {
-            self.is_whole = true;
+            self.starts_at_zero = true;
         }
         self.incarnation = digest.incarnation;
         self.sequence = digest.sequence;
         self.was_silent = was_silent;
-        self.heard = now;
+        self.last_heard = now;
         self.data_centre = digest.data_centre;
         self.n_summed = digest.n_summed;
     }
 
     /// Takes what it has at an upstream; returns the tokens that it read there since its last word.
-    pub(crate) fn take_load(&mut self, it: &wire::UpstreamLoad) -> u64 {
+    pub(crate) fn record_load(&mut self, it: &wire::UpstreamLoad) -> u64 {
         self.loads.push(*it);
         let before = self.read.insert(it.upstream, it.read);
         // An upstream is left out while nothing goes on there: its total may be an old one.
-        let grown = it.read.saturating_sub(before.unwrap_or(self.unknown(it.read)));
+        let grown = it.read.saturating_sub(before.unwrap_or(self.baseline(it.read)));
         if self.n_summed == 0 && 0 < grown {
-            *self.done.read.entry(it.upstream).or_default() += grown;
+            *self.observed.read.entry(it.upstream).or_default() += grown;
         }
         grown
     }
 
     /// Takes a workspace's totals; returns what was asked and taken since its last word, nothing if
     /// that was long ago: it says nothing of the last seconds.
-    pub(crate) fn take_usage(&mut self, it: &wire::WorkspaceUsage) -> wire::WorkspaceUsage {
+    pub(crate) fn record_usage(&mut self, it: &wire::WorkspaceUsage) -> wire::WorkspaceUsage {
         let before = self.usage.insert(it.workspace, *it);
         let before = if self.was_silent && before.is_some() { Some(*it) } else { before };
         let (asked, taken) = before.map_or_else(
-            || (self.unknown(it.asked), self.unknown(it.taken)),
+            || (self.baseline(it.asked), self.baseline(it.taken)),
             |it| (it.asked, it.taken),
         );
         let grown = wire::WorkspaceUsage {
@@ -102,32 +102,32 @@
             asked: it.asked.saturating_sub(asked),
             taken: it.taken.saturating_sub(taken),
         };
-        let done = self.done.usage.entry(it.workspace).or_default();
-        done.workspace = it.workspace;
-        done.asked += grown.asked;
-        done.taken += grown.taken;
+        let observed = self.observed.usage.entry(it.workspace).or_default();
+        observed.workspace = it.workspace;
+        observed.asked += grown.asked;
+        observed.taken += grown.taken;
         grown
     }
 
     /// Returns what it has at upstreams, and what it read there since it was first heard; an upstream
     /// may come twice.
-    pub(crate) fn loads_since_heard(&self) -> impl Iterator<Item = wire::UpstreamLoad> {
+    pub(crate) fn observed_loads(&self) -> impl Iterator<Item = wire::UpstreamLoad> {
         let read = |(&upstream, &read): (&u32, &u64)| wire::UpstreamLoad {
             upstream,
             read,
             ..Default::default()
         };
         let now = self.loads.iter().map(|it| wire::UpstreamLoad { read: 0, ..*it });
-        self.done.read.iter().map(read).chain(now)
+        self.observed.read.iter().map(read).chain(now)
     }
 
     /// Returns what its workspaces asked and took since it was first heard.
-    pub(crate) fn usage_since_heard(&self) -> impl Iterator<Item = &wire::WorkspaceUsage> {
-        self.done.usage.values()
+    pub(crate) fn observed_usage(&self) -> impl Iterator<Item = &wire::WorkspaceUsage> {
+        self.observed.usage.values()
     }
 
     /// Returns what a total counts as having been that is told for the first time.
-    fn unknown(&self, total: u64) -> u64 {
-        if self.is_whole { 0 } else { total }
+    fn baseline(&self, total: u64) -> u64 {
+        if self.starts_at_zero { 0 } else { total }
     }
 }
--- a/crates/portfield/src/balance/readers.rs
+++ b/crates/portfield/src/balance/readers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{map::Map, peer::STALE};
+use super::{fast_map::FastMap, peer_state::PEER_TIMEOUT};
 
 /// Up to so many hosts all of them follow the store: what they would save is under a hundredth of
 /// what they earn, and each learns of a change by itself.
@@ -99,14 +99,14 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreWatchers {
-    others: Map<u64, WatcherStatus>,
+    others: FastMap<u64, WatcherStatus>,
     pace: StoreTimeouts,
 }
 
 impl StoreWatchers {
     /// Builds the state of a host that has heard nobody.
     pub fn new(pace: StoreTimeouts) -> Self {
-        Self { others: Map::default(), pace }
+        Self { others: FastMap::default(), pace }
     }
 
     /// Notes what another host said.
@@ -133,7 +133,7 @@
 }
 
 fn is_alive(it: &WatcherStatus, now: Duration) -> bool {
-    now < it.last_heard + STALE
+    now < it.last_heard + PEER_TIMEOUT
 }
 
 /// Returns how many more hosts try the store where the last word from it has that age.
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::map::Map;
+use super::fast_map::FastMap;
 use crate::telling::REPEATS;
 
 /// Buckets of the window.
@@ -110,11 +110,11 @@
 #[derive(Debug)]
 pub(crate) struct Shares {
     window: Duration,
-    windows: Map<u32, Window>,
+    windows: FastMap<u32, Window>,
     /// What this host's own requests came to since its start.
-    totals: Map<u32, Usage>,
+    totals: FastMap<u32, Usage>,
     /// In how many digests each total is still to be told.
-    n_untold: Map<u32, u32>,
+    n_untold: FastMap<u32, u32>,
     /// What there is by the configuration, in tokens a second; zero is unknown.
     capacity: f64,
     level: Option<Level>,
@@ -129,9 +129,9 @@
     pub(crate) fn new(window: Duration) -> Self {
         Self {
             window,
-            windows: Map::default(),
-            totals: Map::default(),
-            n_untold: Map::default(),
+            windows: FastMap::default(),
+            totals: FastMap::default(),
+            n_untold: FastMap::default(),
             capacity: 0.0,
             level: None,
             levelled: Duration::ZERO,
--- a/crates/portfield/src/balance/audience.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use super::balancer::WHOLE_EVERY;
+use super::balancer::FULL_DIGEST_EVERY;
 use crate::{telling::Telling, wire};
 
 /// Time between two digests with few hosts; fresher ones gained callers
@@ -21,22 +21,22 @@
 /// datagrams a second each way, a sixth of the smallest host's processor.
 const PERIOD_PER_HOST: Duration = Duration::from_millis(2);
 /// Silence after which a host is told only now and then.
-const SILENT: Duration = Duration::from_secs(5);
+const SILENT_AFTER: Duration = Duration::from_secs(5);
 /// How many digests a silent host is left out of, for each that it is sent.
 const SILENT_EVERY: u64 = 20;
 /// Silence after which a host no longer counts: above [`SILENT_EVERY`] of the longest periods.
-const GONE: Duration = Duration::from_secs(10);
+const DEAD_AFTER: Duration = Duration::from_secs(10);
 /// Time from a host's start in which it goes by how many others it knows of, some of them gone.
-const STARTING: Duration = Duration::from_secs(2);
+const STARTUP_TIME: Duration = Duration::from_secs(2);
 /// Periods of silence after which the next host speaks for the data centre: three lost in a row.
-const SPEAKER_PERIODS: u32 = 4;
+const LEADER_PERIODS: u32 = 4;
 /// Periods in which no host of the data centre is heard, after which this one looks for them all: the
 /// next in line has had time to take over.
-const LOST_PERIODS: u32 = 8;
+const ISOLATED_PERIODS: u32 = 8;
 /// The same, after which it is alone and speaks for itself.
 const ALONE_PERIODS: u32 = 16;
 /// How many digests a host that looks for the others leaves them out of, for each that it sends.
-const SEARCH_EVERY: u64 = 4;
+const DISCOVERY_EVERY: u64 = 4;
 
 /// This host among the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,49 +85,50 @@
 #[derive(Debug, Clone, Copy)]
 pub struct GossipTopology {
     now: Duration,
-    place: GossipConfig,
+    config: GossipConfig,
     is_hierarchical: bool,
     period: Duration,
     /// The speaker of this data centre and the next in line, as far as they are known.
-    first: Option<u64>,
-    second: Option<u64>,
+    leader: Option<u64>,
+    standby: Option<u64>,
     /// When a host of this data centre was last heard; zero for never.
-    newest: Duration,
+    last_local: Duration,
 }
 
 impl RemoteHost {
     /// Returns whether it has not been heard for so long that its next word is news.
     pub fn is_silent(&self, now: Duration) -> bool {
-        self.last_heard.is_zero() || self.last_heard + SILENT < now
+        self.last_heard.is_zero() || self.last_heard + SILENT_AFTER < now
     }
 
     /// Returns whether it was heard, and so late that it counts.
     pub fn is_alive(&self, now: Duration) -> bool {
-        !self.last_heard.is_zero() && now < self.last_heard + GONE
+        !self.last_heard.is_zero() && now < self.last_heard + DEAD_AFTER
     }
 }
 
 impl GossipTopology {
     /// Looks at the other hosts; `n_far` is how many hosts the sums of other data centres speak for.
-    pub fn new(now: Duration, place: GossipConfig, others: &[RemoteHost], n_far: usize) -> Self {
-        let near = |it: &&RemoteHost| it.data_centre == Some(place.data_centre);
-        let n_there = others.iter().filter(|it| it.is_alive(now)).count();
-        let n_near = others.iter().filter(near).filter(|it| it.is_alive(now)).count();
+    pub fn new(now: Duration, config: GossipConfig, peers: &[RemoteHost], n_remote: usize) -> Self {
+        let is_local = |it: &&RemoteHost| it.data_centre == Some(config.data_centre);
+        let n_alive = peers.iter().filter(|it| it.is_alive(now)).count();
+        let n_local = peers.iter().filter(is_local).filter(|it| it.is_alive(now)).count();
         // A host that has just started has heard nobody: it goes by those that it knows of.
-        let has_started = now < STARTING && place.direct_limit < others.len();
-        let is_large = place.direct_limit < n_there.max(n_near + n_far) || has_started;
-        let period = PERIOD.max(PERIOD_PER_HOST * n_near as u32);
-        let newest = others.iter().filter(near).map(|it| it.last_heard).max().unwrap_or_default();
+        let is_starting = now < STARTUP_TIME && config.direct_limit < peers.len();
+        let is_hierarchical = config.direct_limit < n_alive.max(n_local + n_remote) || is_starting;
+        let period = PERIOD.max(PERIOD_PER_HOST * n_local as u32);
+        let last_local =
+            peers.iter().filter(is_local).map(|it| it.last_heard).max().unwrap_or_default();
         // Once no word comes at all, those heard last stay in line until others are found.
         let is_fresh = |it: &&RemoteHost| {
-            !it.last_heard.is_zero() && newest <= it.last_heard + period * SPEAKER_PERIODS
+            !it.last_heard.is_zero() && last_local <= it.last_heard + period * LEADER_PERIODS
         };
-        let mut line: Vec<u64> =
-            others.iter().filter(near).filter(is_fresh).map(|it| it.host).collect();
-        line.push(place.host);
-        line.sort_unstable();
-        let (first, second) = (line.first().copied(), line.get(1).copied());
-        Self { now, place, is_hierarchical: is_large, period, first, second, newest }
+        let mut by_hash: Vec<u64> =
+            peers.iter().filter(is_local).filter(is_fresh).map(|it| it.host).collect();
+        by_hash.push(config.host);
+        by_hash.sort_unstable();
+        let (leader, standby) = (by_hash.first().copied(), by_hash.get(1).copied());
+        Self { now, config, is_hierarchical, period, leader, standby, last_local }
     }
 
     /// Returns whether there are so many hosts that data centres have speakers.
@@ -140,7 +141,7 @@
     /// In a large data centre everybody hears its speaker, and only that one tells all of it.
     pub fn detail(&self, sequence: u64) -> Telling {
         let tells_all = !self.is_hierarchical() || self.is_leader();
-        if tells_all && sequence.is_multiple_of(WHOLE_EVERY) {
+        if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
             return Telling::Whole;
         }
         Telling::News
@@ -153,21 +154,21 @@
 
     /// Returns whether a host gets this host's digest with that number.
     pub fn is_recipient(&self, it: &RemoteHost, sequence: u64) -> bool {
-        let now_and_then = sequence.is_multiple_of(SILENT_EVERY);
+        let is_occasional = sequence.is_multiple_of(SILENT_EVERY);
         if !self.is_hierarchical {
-            return self.now <= it.last_heard + SILENT || now_and_then;
+            return self.now <= it.last_heard + SILENT_AFTER || is_occasional;
         }
         let Some(data_centre) = it.data_centre else {
-            return now_and_then || self.is_discovery(sequence);
+            return is_occasional || self.is_discovery(sequence);
         };
-        if data_centre != self.place.data_centre {
+        if data_centre != self.config.data_centre {
             return false;
         }
         if self.is_leader() && !it.is_silent(self.now) {
             return true;
         }
-        let is_in_line = Some(it.host) == self.first || Some(it.host) == self.second;
-        is_in_line || self.is_discovery(sequence) || (self.is_leader() && now_and_then)
+        let is_leading = Some(it.host) == self.leader || Some(it.host) == self.standby;
+        is_leading || self.is_discovery(sequence) || (self.is_leader() && is_occasional)
     }
 
     /// Returns whether what a digest tells counts: of few hosts, and of those of this data centre,
@@ -176,35 +177,36 @@
     /// **NOTE:** The sum of this data centre never counts beside its hosts' own words: with one that
     /// came astray a workspace was believed to have had three times what it had.
     pub fn accepts(&self, digest: &wire::Digest) -> bool {
-        let is_far = digest.data_centre != self.place.data_centre;
+        let is_remote = digest.data_centre != self.config.data_centre;
         if 0 < digest.n_summed {
-            return self.is_hierarchical && is_far;
+            return self.is_hierarchical && is_remote;
         }
-        !self.is_hierarchical || !is_far
+        !self.is_hierarchical || !is_remote
     }
 
     /// Returns whether this host speaks for its data centre: tells its hosts what they all did, and
     /// the other data centres the sum.
     pub fn is_leader(&self) -> bool {
-        let is_alone = self.newest + self.period * ALONE_PERIODS <= self.now;
-        self.is_hierarchical && (self.first == Some(self.place.host) || is_alone)
+        let is_alone = self.last_local + self.period * ALONE_PERIODS <= self.now;
+        self.is_hierarchical && (self.leader == Some(self.config.host) || is_alone)
     }
 
     /// Returns the hash of the host that speaks for this data centre, `None` where this one does or
     /// each tells all.
     pub fn leader(&self) -> Option<u64> {
-        self.first.filter(|_| self.is_hierarchical && !self.is_leader())
+        self.leader.filter(|_| self.is_hierarchical && !self.is_leader())
     }
 
     /// Returns whether a host that stands in another data centre may be sent this one's sum.
     pub fn is_remote(&self, it: &RemoteHost) -> bool {
-        it.data_centre.is_some_and(|it| it != self.place.data_centre)
+        it.data_centre.is_some_and(|it| it != self.config.data_centre)
     }
 
     /// Returns whether the digest with that number goes to all hosts that may be near: none of this
     /// data centre is heard.
     fn is_discovery(&self, sequence: u64) -> bool {
-        let is_lost = self.newest + self.period * LOST_PERIODS <= self.now || self.newest.is_zero();
-        is_lost && sequence.is_multiple_of(SEARCH_EVERY)
+        let is_isolated = self.last_local + self.period * ISOLATED_PERIODS <= self.now
+            || self.last_local.is_zero();
+        is_isolated && sequence.is_multiple_of(DISCOVERY_EVERY)
     }
 }
