--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Ending, Placed, RunId},
+    balance::{Assignment, Completion, RunId},
     catalog::Upstream,
 };
 use portfield_net::clock;
@@ -85,28 +85,28 @@
 }
 
 impl RunGuard {
-    fn start(host: &Arc<Host>, call: &Call, placed: &Placed) -> Self {
-        let id = host.balancer().start(clock::now(), &call.job, placed);
+    fn start(host: &Arc<Host>, call: &Call, placed: &Assignment) -> Self {
+        let id = host.balancer().record_start(clock::now(), &call.job, placed);
         Self { host: host.clone(), id, is_over: false }
     }
 
     /// Notes the first event, or the answer.
     pub(crate) fn first(&self) {
-        self.host.balancer().first(clock::now(), self.id);
+        self.host.balancer().record_first_event(clock::now(), self.id);
     }
 
     /// Notes the end.
-    pub(crate) fn end(&mut self, ending: Ending) {
+    pub(crate) fn end(&mut self, ending: Completion) {
         if !self.is_over {
             self.is_over = true;
-            self.host.balancer().end(clock::now(), self.id, ending);
+            self.host.balancer().record_end(clock::now(), self.id, ending);
         }
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.end(Completion::Cancelled);
     }
 }
 
@@ -115,7 +115,7 @@
     host: &Arc<Host>,
     call: &Call,
     upstream: &Arc<Upstream>,
-    placed: &Placed,
+    placed: &Assignment,
     last_event: Option<&str>,
     patience: Duration,
 ) -> AttemptResult {
@@ -136,7 +136,7 @@
         // Since the request was placed it may drain, be evacuated, or have asked to be left alone: opening a connection
         // takes time.
         if !host.may_send_to(upstream) {
-            run.end(Ending::Cancelled);
+            run.end(Completion::Cancelled);
             let text = "nothing more may be sent there";
             return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
@@ -147,22 +147,22 @@
             None => {
                 // An answer that did not come while this host stood still says nothing of the upstream.
                 let stood_still = host.resumed_at().is_some_and(|it| sent <= it);
-                run.end(if stood_still { Ending::Cancelled } else { Ending::Broken });
+                run.end(if stood_still { Completion::Cancelled } else { Completion::Broken });
                 AttemptResult::Failed(Outcome::Late, "no answer in time".to_owned())
             }
             Some(Ok(response)) => judge(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
-                run.end(Ending::Cancelled);
+                run.end(Completion::Cancelled);
                 AttemptResult::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
             Some(Err(mut err)) => {
                 if err.take_message().is_none() {
-                    run.end(Ending::Broken);
+                    run.end(Completion::Broken);
                     return AttemptResult::Failed(Outcome::Unknown, error_chain(err.error()));
                 }
                 // Nothing was sent; a kept connection may have ended since its last answer.
                 if !connection.reused {
-                    run.end(Ending::Unreachable);
+                    run.end(Completion::Unreachable);
                     let text = "the connection ended before the request";
                     return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
                 }
@@ -189,7 +189,7 @@
 #[derive(Debug)]
 struct ConnectError {
     /// What it says of the upstream.
-    ending: Ending,
+    ending: Completion,
     text: String,
 }
 
@@ -202,10 +202,10 @@
             // Says nothing of the upstream: with it blamed, a host without a descriptor left alone
             // one sound upstream after the other.
             host.handle_fd_exhaustion(&err);
-            return ConnectError { ending: Ending::Cancelled, text };
+            return ConnectError { ending: Completion::Cancelled, text };
         }
         probe::start_reconnect(host, upstream, &err);
-        ConnectError { ending: Ending::Unreachable, text }
+        ConnectError { ending: Completion::Unreachable, text }
     })
 }
 
@@ -246,7 +246,7 @@
     let head = portfield_platform::response::decode(parts.status, &parts.headers, &call.id);
     upstream_signals::handle_response_head(host, call, upstream, parts.status, &head);
     if !head.id_matches {
-        run.end(Ending::Broken);
+        run.end(Completion::Broken);
         let text = "the answer belongs to another request";
         return AttemptResult::Failed(Outcome::Unknown, text.to_owned());
     }
@@ -256,12 +256,12 @@
     if head.not_run {
         let asks_time =
             head.retry_after.as_ref().and_then(|it| it.delay).is_some_and(|it| !it.is_zero());
-        run.end(if asks_time { Ending::BackedOff } else { Ending::Rejected });
+        run.end(if asks_time { Completion::BackoffRequested } else { Completion::Rejected });
         let text = format!("turned away with {}", parts.status.as_u16());
         return AttemptResult::Failed(Outcome::NotRun, text);
     }
     if parts.status.is_success() && !head.is_signed {
-        run.end(Ending::Broken);
+        run.end(Completion::Broken);
         return AttemptResult::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
     let upstream = upstream.clone();
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -87,5 +87,5 @@
         return;
     };
     let name = row.value.as_deref().and_then(|it| std::str::from_utf8(it).ok());
-    host.peers().learn(address, name.map(hash_name));
+    host.peers().add_host(address, name.map(hash_name));
 }
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use async_io::Async;
-use portfield::balance::Audience;
+use portfield::balance::GossipTopology;
 use portfield_net::clock;
 use portfield_wire::Digest;
 use prost::Message;
@@ -34,11 +34,11 @@
         let digest = own_digest(&host, &audience, header.clone());
         let (told, relayed) = {
             let mut others = host.peers();
-            (others.told(sequence), others.take_passing())
+            (others.recipients(sequence), others.take_forwards())
         };
-        if audience.speaks() {
+        if audience.is_leader() {
             let summary = summary(&host, header);
-            let told = host.peers().told_sum(clock::now(), sequence);
+            let told = host.peers().summary_recipients(clock::now(), sequence);
             send(&host, &socket, &summary, told);
         }
         for digest in split_relayed(digest, relayed) {
@@ -72,15 +72,15 @@
 
 /// Introduces the hosts that this one knows to one that knows none of its data centre.
 pub(super) fn introduce(host: &Host, socket: &Async<std::net::UdpSocket>, to: SocketAddr) {
-    let digest = Digest { hosts: host.peers().known(), ..header(host, 0) };
+    let digest = Digest { hosts: host.peers().known_hosts(), ..header(host, 0) };
     send(host, socket, &digest, [to]);
 }
 
 /// Adds what this host did to its header.
-fn own_digest(host: &Host, audience: &Audience, header: Digest) -> Digest {
+fn own_digest(host: &Host, audience: &GossipTopology, header: Digest) -> Digest {
     let mut res = header;
-    res.seeks_hosts = !host.peers().knows_near();
-    host.balancer().report(clock::now(), &mut res);
+    res.seeks_hosts = !host.peers().knows_local_host();
+    host.balancer().fill_digest(clock::now(), &mut res);
     quarantine::fill_digest(host, audience, &mut res);
     upstream_signals::fill_digest(host, audience, &mut res);
     res
@@ -109,7 +109,7 @@
 /// Adds what this host's data centre did to the host's header, in whose place the data centre stands.
 fn summary(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
-    host.balancer().summarize(clock::now(), &mut res);
+    host.balancer().fill_summary(clock::now(), &mut res);
     quarantine::fill_summary(host, &mut res);
     upstream_signals::fill_summary(host, &mut res);
     res
@@ -134,7 +134,7 @@
 }
 
 fn log_hosts_heard(host: &Host) {
-    let n = host.peers().take_heard();
+    let n = host.peers().take_n_appeared();
     if 0 < n {
         log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts heard");
     }
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use portfield::{
-    balance::Audience,
+    balance::GossipTopology,
     catalog::Upstream,
     quarantine::{Fingerprint, Request, Verdict},
 };
@@ -105,7 +105,7 @@
 }
 
 /// Adds what this host knows to its own digest.
-pub(crate) fn fill_digest(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, audience: &GossipTopology, digest: &mut Digest) {
     digest.suspects = host.quarantine().report(clock::now(), audience, digest.sequence);
 }
 
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -58,7 +58,7 @@
 
 /// Returns whether a data centre cannot be heard that may know of what is suspected here.
 fn peers_may_know_more(host: &Host) -> bool {
-    let is_cut = host.peers().misses_centre(clock::now());
+    let is_cut = host.peers().has_unreachable_centre(clock::now());
     is_cut && 0 < host.quarantine().n_suspects()
 }
 
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -14,8 +14,8 @@
 use bytes::Bytes;
 use portfield::{
     balance::{
-        Answered, Audience, Balancer, Follower, Governor, Others, Place, Readers, RetryBudget,
-        Witness, host_hash,
+        AnswerKind, Balancer, GossipConfig, GossipTopology, LoadShedder, PeerTable, RetryBudget,
+        StoreAvailability, StoreWatchers, WatcherStatus, host_hash,
     },
     catalog::Catalog,
     quarantine::{Breaks, Quarantine, Request},
@@ -63,10 +63,10 @@
     pub listed: RwLock<UpstreamList>,
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
-    peers: Mutex<Others>,
-    store_readers: Mutex<Readers>,
-    store_contacts: Mutex<Witness>,
-    governor: Mutex<Governor>,
+    peers: Mutex<PeerTable>,
+    store_readers: Mutex<StoreWatchers>,
+    store_contacts: Mutex<StoreAvailability>,
+    governor: Mutex<LoadShedder>,
     broken_runs: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
     suspension: Mutex<Waking>,
@@ -93,14 +93,14 @@
     ///
     /// Returns with it the requests whose verdict the store is to keep, as they come.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
-        let place = Place {
+        let place = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash_name(&settings.data_centre),
-            direct: settings.direct_hosts,
+            direct_limit: settings.direct_hosts,
         };
         let incarnation = fastrand::u64(1..);
         let mut balancer = Balancer::new(settings.share_window);
-        balancer.seed(incarnation);
+        balancer.set_seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
         let (verdict_queue, pending) = async_channel::bounded(MAX_PENDING_VERDICTS);
         let res = Arc::new(Self {
@@ -114,10 +114,10 @@
             listed: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            peers: Mutex::new(Others::new(place, seeds)),
+            peers: Mutex::new(PeerTable::new(place, seeds)),
             own_hash: place.host,
-            store_readers: Mutex::new(Readers::new(settings.pace)),
-            store_contacts: Mutex::new(Witness::new(OUTAGE)),
+            store_readers: Mutex::new(StoreWatchers::new(settings.pace)),
+            store_contacts: Mutex::new(StoreAvailability::new(OUTAGE)),
             governor: Mutex::default(),
             broken_runs: Mutex::default(),
             quarantine: Mutex::default(),
@@ -183,12 +183,12 @@
 
     /// Counts a request towards a service's retry budget.
     pub(crate) fn deposit_retry(&self, service: u32) {
-        self.with_budget(service, |it, _| it.earn(clock::now()));
+        self.with_budget(service, |it, _| it.deposit(clock::now()));
     }
 
     /// Pays for sending a request a second time, if the budget allows it.
     pub(crate) fn withdraw_retry(&self, service: u32) -> bool {
-        self.with_budget(service, |it, n_hosts| it.spend(clock::now(), n_hosts))
+        self.with_budget(service, |it, n_hosts| it.withdraw(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
@@ -201,12 +201,12 @@
     }
 
     /// Returns the other hosts.
-    pub(crate) fn peers(&self) -> MutexGuard<'_, Others> {
+    pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns this host's own load.
-    pub(crate) fn governor(&self) -> MutexGuard<'_, Governor> {
+    pub(crate) fn governor(&self) -> MutexGuard<'_, LoadShedder> {
         self.governor.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -262,18 +262,18 @@
     }
 
     /// Returns whether a caller's connection is to be closed after an answer.
-    pub(crate) fn should_close(&self, answered: Answered) -> bool {
-        self.is_stopping() || self.governor().closes(answered) || !self.can_accept()
+    pub(crate) fn should_close(&self, answered: AnswerKind) -> bool {
+        self.is_stopping() || self.governor().closes_connection(answered) || !self.can_accept()
     }
 
     /// Looks anew at whom to tell what this host did.
-    pub(crate) fn refresh_audience(&self) -> Audience {
-        self.peers().look(clock::now())
+    pub(crate) fn refresh_audience(&self) -> GossipTopology {
+        self.peers().refresh_topology(clock::now())
     }
 
     /// Returns whom to tell what this host did, as of the last look.
-    pub(crate) fn audience(&self) -> Audience {
-        self.peers().audience()
+    pub(crate) fn audience(&self) -> GossipTopology {
+        self.peers().topology()
     }
 
     /// Returns the hash that names this host among the others.
@@ -282,19 +282,19 @@
     }
 
     /// Notes what another host said of itself.
-    pub(crate) fn record_follower(&self, it: Follower) {
-        self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
+    pub(crate) fn record_follower(&self, it: WatcherStatus) {
+        self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).record(it);
     }
 
     /// Notes that another host heard the store at a time.
     pub(crate) fn record_store_contact(&self, at: Duration) {
-        self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).note(at);
+        self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).record(at);
     }
 
     /// Returns whether others have heard the store from a time on until now.
     pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
         let witness = self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner);
-        witness.covers(from, clock::now())
+        witness.is_continuous(from, clock::now())
     }
 
     /// Returns whether this host is to follow the store itself.
@@ -303,7 +303,7 @@
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
         let readers = self.store_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        readers.is_reader(now, self.own_hash, data_centre, n_others)
+        readers.is_watcher(now, self.own_hash, data_centre, n_others)
     }
 
     /// Notes that the store answered.
@@ -318,7 +318,7 @@
 
     /// Returns whether the list of upstreams is to be taken from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
-        self.settings().pace.silent < self.store_age() || !self.is_store_reader()
+        self.settings().pace.fallback_after < self.store_age() || !self.is_store_reader()
     }
 
     /// Returns whether callers may be sent here.
@@ -329,7 +329,7 @@
             && is_recalled
             && self.has_fresh_state()
             && !self.is_stopping()
-            && !self.governor().is_busy()
+            && !self.governor().is_overloaded()
             && self.can_accept()
     }
 
