--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -58,7 +58,10 @@
 
     /// Builds the refusal of a request that this host has no processor time for.
     pub(crate) fn overloaded(retry: Duration) -> Self {
-        Self { answered: AnswerKind::Refused, ..Self::unavailable("this host is overloaded", retry) }
+        Self {
+            answered: AnswerKind::Refused,
+            ..Self::unavailable("this host is overloaded", retry)
+        }
     }
 
     /// Builds the end of a request that may have run.
