--- a/crates/portfield-burn/src/html.rs
+++ b/crates/portfield-burn/src/html.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use portfield::burn::{Alert, FAST_BURN, SLOW_BURN};
+use portfield::slo::{Alert, FAST_BURN_RATE, SLOW_BURN_RATE};
 
 use crate::report::{Report, Row};
 
@@ -52,8 +52,8 @@
     );
     for burn in it.burns {
         let class = match burn {
-            it if FAST_BURN <= it => "hot",
-            it if SLOW_BURN <= it => "warm",
+            it if FAST_BURN_RATE <= it => "hot",
+            it if SLOW_BURN_RATE <= it => "warm",
             _ => "",
         };
         let _ = write!(res, "<td class=\"{class}\">{burn:.2}");
--- a/crates/portfield-burn/src/report.rs
+++ b/crates/portfield-burn/src/report.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, fmt::Write};
 
 use hdrhistogram::Histogram;
-use portfield::burn::{Alert, Tally, WINDOWS, alert};
+use portfield::slo::{Alert, Tally, WINDOW_MINUTES, burn_alert};
 use serde::{Deserialize, Serialize};
 
 /// What one router tells.
@@ -18,7 +18,7 @@
 struct AnswerRow {
     workspace: String,
     service: String,
-    tallies: [Tally; WINDOWS.len()],
+    tallies: [Tally; WINDOW_MINUTES.len()],
 }
 
 /// One workspace's use of one service.
@@ -26,8 +26,8 @@
 pub(crate) struct Row {
     pub workspace: String,
     pub service: String,
-    pub tallies: [Tally; WINDOWS.len()],
-    pub burns: [f64; WINDOWS.len()],
+    pub tallies: [Tally; WINDOW_MINUTES.len()],
+    pub burns: [f64; WINDOW_MINUTES.len()],
     pub alert: Alert,
 }
 
@@ -49,7 +49,7 @@
     pub silent: Vec<String>,
     pub n_routers: usize,
     #[serde(skip)]
-    merged: BTreeMap<(String, String), [Tally; WINDOWS.len()]>,
+    merged: BTreeMap<(String, String), [Tally; WINDOW_MINUTES.len()]>,
     #[serde(skip)]
     histograms: BTreeMap<String, Histogram<u64>>,
 }
@@ -71,8 +71,8 @@
     /// Judges and orders what was added.
     pub(crate) fn finish(mut self) -> Self {
         for ((workspace, service), tallies) in std::mem::take(&mut self.merged) {
-            let burns = tallies.map(|it| it.burn());
-            let alert = alert(&tallies);
+            let burns = tallies.map(|it| it.burn_rate());
+            let alert = burn_alert(&tallies);
             self.rows.push(Row { workspace, service, tallies, burns, alert });
         }
         let worst = |it: &Row| it.burns.iter().copied().fold(0.0, f64::max);
@@ -111,7 +111,7 @@
             "6 h"
         );
         for it in &self.rows {
-            let all = it.tallies[WINDOWS.len() - 1];
+            let all = it.tallies[WINDOW_MINUTES.len() - 1];
             let [a, b, c, d] = it.burns;
             let alert = match it.alert {
                 Alert::None => "",
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -123,7 +123,7 @@
 ) -> Sent {
     let mut run = Run::start(host, call, placed);
     let sent = clock::now();
-    let kept = host.pool.take(upstream.number());
+    let kept = host.pool.take(upstream.wire_id());
     let mut connection = match kept {
         Some(it) => it,
         None => match open(host, upstream).await {
--- a/crates/portfield-host/src/awake.rs
+++ b/crates/portfield-host/src/awake.rs
@@ -11,7 +11,7 @@
     ///
     /// Called often, and before anything that relies on what the host knows.
     pub(crate) fn look_awake(&self) -> Option<Duration> {
-        let still = self.waking().look(clock::now())?;
+        let still = self.waking().tick(clock::now())?;
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
         clock::woke();
@@ -23,12 +23,12 @@
     /// Returns whether what this host knows of the fleet may be used.
     pub(crate) fn trusts(&self) -> bool {
         self.look_awake();
-        self.waking().trusts(clock::now())
+        self.waking().is_state_usable(clock::now())
     }
 
     /// Returns when this host last went on after it had stood still, if it ever did.
     pub(crate) fn woke_at(&self) -> Option<Duration> {
         self.look_awake();
-        self.waking().woke_at()
+        self.waking().resumed_at()
     }
 }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -9,8 +9,8 @@
 use hyper::body::Incoming;
 use portfield::{
     balance::{Job, Overload, Prompt, Stage},
-    catalog::{Access, Catalog, EngineSpec, Kind, Route, Workspace},
-    quarantine::{self, Fingerprint, Identity},
+    catalog::{Access, Catalog, EngineSpec, Route, RouteKind, Workspace},
+    quarantine::{self, Fingerprint, RequestIdentity},
 };
 use portfield_net::clock;
 use portfield_platform::request;
@@ -82,7 +82,7 @@
             return Err(Failure::refused("this host is about to end", STOPPING_RETRY));
         }
         let workspace = authorize(&catalog, &route, head.key.as_deref())?;
-        let service = route.pick(fastrand::f64()).unwrap_or_default().to_owned();
+        let service = route.pick_service(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
         let owner = workspace.as_ref().map_or(0, |it| hash(&it.name));
         let n_messages = messages(head.prompt.as_ref(), engine);
@@ -104,12 +104,12 @@
             workspace: owner,
             service: hash(&service),
             prompt: head.prompt,
-            objective: route.objective,
+            objective: route.latency_target,
             waited: Duration::ZERO,
             stage: Stage::New,
             engine,
         };
-        let identity = Identity {
+        let identity = RequestIdentity {
             workspace: owner,
             method: parts.method.as_str(),
             target: parts.uri.path_and_query().map_or("", |it| it.as_str()),
@@ -136,7 +136,7 @@
     }
 
     /// Returns what may be repeated.
-    pub(crate) fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> RouteKind {
         self.route.kind
     }
 
@@ -146,8 +146,8 @@
     }
 
     /// Returns what hosts tell each other of the request by.
-    pub(crate) fn request(&self) -> quarantine::Request {
-        quarantine::Request { workspace: self.job.workspace, fingerprint: self.fingerprint }
+    pub(crate) fn request(&self) -> quarantine::RequestKey {
+        quarantine::RequestKey { workspace: self.job.workspace, fingerprint: self.fingerprint }
     }
 
     /// Returns what the request counts in its workspace's share, in tokens.
@@ -204,7 +204,7 @@
     let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let name = named.or(uri.host()).unwrap_or_default();
     let missing = || Failure::bad(StatusCode::NOT_FOUND, "path", "no route takes this path");
-    catalog.route(name, uri.path()).cloned().ok_or_else(missing)
+    catalog.find_route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
 fn authorize(
@@ -212,8 +212,8 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Failure> {
-    let found = key.and_then(|it| catalog.workspace(it)).cloned();
-    if found.is_none() && route.access == Access::Keyed {
+    let found = key.and_then(|it| catalog.workspace_by_key(it)).cloned();
+    if found.is_none() && route.access == Access::ApiKey {
         let text = "send a key of a workspace";
         return Err(Failure::bad(StatusCode::UNAUTHORIZED, "authorization", text));
     }
--- a/crates/portfield-host/src/cold.rs
+++ b/crates/portfield-host/src/cold.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     balance::cold_quota,
-    catalog::{Upstream, Warming},
+    catalog::{ColdStart, Upstream},
 };
 use portfield_net::clock;
 
@@ -18,7 +18,7 @@
 
 /// Whether the upstreams of a service are cold after their start.
 enum Start {
-    Cold(Warming),
+    Cold(ColdStart),
     /// They may take all that they have slots for.
     Warm,
     /// No configuration is known that says so.
@@ -28,10 +28,13 @@
 impl Host {
     /// Takes what upstreams say of themselves.
     pub(crate) fn note_cold(&self, told: &[Arc<Upstream>]) {
-        let (warm, cold): (Vec<_>, Vec<_>) = told.iter().partition(|it| it.entry.cold.is_zero());
-        warm.iter().for_each(|it| self.balancer().warm(it.number()));
-        let n_cold =
-            cold.iter().filter(|it| self.begin_cold(it, Some(it.entry.cold), cold.len())).count();
+        let (warm, cold): (Vec<_>, Vec<_>) =
+            told.iter().partition(|it| it.entry.cold_remaining.is_zero());
+        warm.iter().for_each(|it| self.balancer().warm(it.wire_id()));
+        let n_cold = cold
+            .iter()
+            .filter(|it| self.begin_cold(it, Some(it.entry.cold_remaining), cold.len()))
+            .count();
         if MAX_LINES < n_cold {
             log::info!(n = n_cold; "upstreams cold");
         }
@@ -57,11 +60,11 @@
     /// whether it does. `n_together` are taken for cold at this moment.
     fn begin_cold(&self, upstream: &Upstream, told: Option<Duration>, n_together: usize) -> bool {
         let (time, quota) = match (self.start_of(&upstream.entry.service), told) {
-            (Start::Cold(it), told) => (told.unwrap_or(it.time), self.quota(upstream, it)),
+            (Start::Cold(it), told) => (told.unwrap_or(it.duration), self.quota(upstream, it)),
             (Start::Unknown, Some(told)) => (told, 0),
             (Start::Unknown, None) => return false,
             (Start::Warm, _) => {
-                self.balancer().warm(upstream.number());
+                self.balancer().warm(upstream.wire_id());
                 return false;
             }
         };
@@ -69,24 +72,24 @@
             let id = &upstream.entry.id;
             log::info!(upstream = id, cold_ms = time.as_millis() as u64, quota; "upstream cold");
         }
-        self.balancer().cold(upstream.number(), clock::now() + time, quota);
+        self.balancer().cold(upstream.wire_id(), clock::now() + time, quota);
         true
     }
 
     fn start_of(&self, service: &str) -> Start {
         let Some(in_force) = self.in_force() else { return Start::Unknown };
-        let warming = in_force.catalog.service(service).and_then(|it| it.warming);
+        let warming = in_force.catalog.service(service).and_then(|it| it.cold_start);
         warming.map_or(Start::Warm, Start::Cold)
     }
 
     /// Returns how many requests a second this host may send to a cold upstream.
-    fn quota(&self, upstream: &Upstream, warming: Warming) -> u32 {
+    fn quota(&self, upstream: &Upstream, warming: ColdStart) -> u32 {
         if !self.has_met() && clock::now() < STARTING {
             return 0;
         }
         let settings = self.settings();
-        let most = warming.rate * settings.cold_overrun + settings.cold_slack;
+        let most = warming.max_rate * settings.cold_overrun + settings.cold_slack;
         let hosts = self.others().known_in(hash(&upstream.entry.data_centre));
-        cold_quota(most, &hosts, self.own_hash(), upstream.number())
+        cold_quota(most, &hosts, self.own_hash(), upstream.wire_id())
     }
 }
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -5,8 +5,8 @@
 use http::{Response, StatusCode};
 use portfield::{
     balance::{Account, Placed, Stage},
-    catalog::{Kind, Upstream},
-    quarantine::Verdict,
+    catalog::{RouteKind, Upstream},
+    quarantine::QuarantineEntry,
 };
 use portfield_net::clock;
 
@@ -96,7 +96,8 @@
     /// Picks an upstream, or the refusal to give.
     fn place(&mut self) -> Result<(Placed, Arc<Upstream>), Failure> {
         self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
-        let is_last_try = self.host.quarantine().is_last_try(clock::now(), self.call.request());
+        let is_last_try =
+            self.host.quarantine().is_one_crash_away(clock::now(), self.call.request());
         let room = if is_last_try { Room::Apart } else { Room::Any };
         let Refused { reason, retry, estimate, share } =
             match self.host.place(&self.call, &self.tried, room) {
@@ -111,7 +112,7 @@
             asked = account.asked, taken = account.taken, level = account.level,
             best = account.best, level_age_ms = account.age.as_millis() as u64,
             estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
-            objective_ms = self.call.route.objective.as_millis() as u64,
+            objective_ms = self.call.route.latency_target.as_millis() as u64,
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             hosts = self.host.balancer().n_hosts(clock::now()); "not placed"
@@ -131,7 +132,7 @@
             estimate_ms = placed.estimate.as_millis() as u64,
             bias_ms = placed.bias.as_millis() as u64, unread = placed.unread,
             ahead = placed.ahead, share = placed.share, attempt = self.tried.len() + 1,
-            tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_text(),
+            tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_hex(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             store_age_ms = self.host.store_age().as_millis() as u64; "placed"
@@ -163,14 +164,14 @@
         let word = outcome.as_str();
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = word, cause,
-            fingerprint = self.call.request().fingerprint_text(),
+            fingerprint = self.call.request().fingerprint_hex(),
             left_ms = self.call.left().as_millis() as u64; "attempt failed"
         );
         self.host.metrics.count(&format!("attempts_failed{{outcome=\"{word}\"}}"));
         if outcome == Outcome::Abandoned {
             return Err(self.failure(CALLER_LEFT.to_owned(), GONE_RETRY));
         }
-        if outcome == Outcome::Late && !self.call.kind().is_repeatable() {
+        if outcome == Outcome::Late && !self.call.kind().is_retryable() {
             return Err(Failure::unknown(StatusCode::GATEWAY_TIMEOUT, cause));
         }
         Ok(())
@@ -188,7 +189,7 @@
         self.note_break(upstream);
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = "unknown", cause,
-            fingerprint = self.call.request().fingerprint_text(),
+            fingerprint = self.call.request().fingerprint_hex(),
             left_ms = self.call.left().as_millis() as u64; "answer broke"
         );
         self.host.metrics.count("answers_broken");
@@ -225,7 +226,7 @@
 
     /// Returns whether another upstream may be asked to repeat or go on with the request.
     pub(crate) fn may_repeat(&self) -> bool {
-        self.call.kind().is_repeatable()
+        self.call.kind().is_retryable()
             && self.n_run < self.call.route.max_attempts
             && !self.call.left().is_zero()
     }
@@ -243,7 +244,7 @@
             }
             return Err(Failure::refused(text, RETRY));
         }
-        if self.may_have_run && !self.call.kind().is_repeatable() {
+        if self.may_have_run && !self.call.kind().is_retryable() {
             let text = "the answer broke, and the request may not run twice";
             return Err(Failure::unknown(StatusCode::BAD_GATEWAY, text));
         }
@@ -268,9 +269,11 @@
 
     /// Checks that no upstreams ended under the request, at every send: the first, a repeat, a stream that goes on.
     fn check_quarantine(&self) -> Result<(), Failure> {
-        let verdict = self.host.quarantine().verdict(clock::now(), self.call.request());
-        let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
-        let fingerprint = self.call.request().fingerprint_text();
+        let verdict = self.host.quarantine().entry(clock::now(), self.call.request());
+        let Some(QuarantineEntry { n_crashes: n_ends, remaining: left, .. }) = verdict else {
+            return Ok(());
+        };
+        let fingerprint = self.call.request().fingerprint_hex();
         log::info!(
             request = self.call.id, route = self.call.route.name, fingerprint, n_ends,
             workspace = self.call.workspace_name(), left_s = left.as_secs(); "in quarantine"
@@ -298,9 +301,9 @@
             return left;
         }
         match self.call.kind() {
-            Kind::Safe => left.mul_f64(FIRST_PATIENCE),
-            Kind::ResumableStream => left.min(estimate * 2 + self.call.route.objective),
-            Kind::Unsafe | Kind::Stream => left,
+            RouteKind::Safe => left.mul_f64(FIRST_PATIENCE),
+            RouteKind::ResumableStream => left.min(estimate * 2 + self.call.route.latency_target),
+            RouteKind::Unsafe | RouteKind::Stream => left,
         }
     }
 
--- a/crates/portfield-host/src/front.rs
+++ b/crates/portfield-host/src/front.rs
@@ -77,7 +77,7 @@
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!(err:%; "option not set");
     }
-    let idle = host.in_force().map_or(FIRST_IDLE, |it| it.catalog.limits().idle_time);
+    let idle = host.in_force().map_or(FIRST_IDLE, |it| it.catalog.limits().idle_timeout);
     let stream = Arc::<Async<std::net::TcpStream>>::from(stream);
     let told_to_close = AtomicBool::new(false);
     let service = service_fn(|request| {
--- a/crates/portfield-host/src/listed.rs
+++ b/crates/portfield-host/src/listed.rs
@@ -58,23 +58,23 @@
     /// Returns the upstreams that say something else than before of how long they stay cold.
     pub(crate) fn take_cold(&mut self) -> Vec<Arc<Upstream>> {
         let told = |it: &Arc<Upstream>| self.cold.get(&it.hash).copied().unwrap_or_default();
-        let is_news = |it: &&Arc<Upstream>| it.entry.cold != told(it);
+        let is_news = |it: &&Arc<Upstream>| it.entry.cold_remaining != told(it);
         let res: Vec<_> = self.directory.all().filter(is_news).cloned().collect();
-        let cold = self.directory.all().filter(|it| !it.entry.cold.is_zero());
-        self.cold = cold.map(|it| (it.hash, it.entry.cold)).collect();
+        let cold = self.directory.all().filter(|it| !it.entry.cold_remaining.is_zero());
+        self.cold = cold.map(|it| (it.hash, it.entry.cold_remaining)).collect();
         res
     }
 
     /// Makes the lists by service anew; `here` is this host's data centre.
     pub(crate) fn group(&mut self, here: &str) {
         let mut ready: HashMap<String, Ready> = HashMap::new();
-        let is_open = |it: &&Arc<Upstream>| !self.evacuations.covers(&it.entry.data_centre);
+        let is_open = |it: &&Arc<Upstream>| !self.evacuations.contains(&it.entry.data_centre);
         self.offered = self.directory.ready().filter(is_open).map(|it| it.hash).collect();
         for it in self.directory.ready().filter(is_open) {
             let group = ready.entry(it.entry.service.clone()).or_default();
             group.upstreams.push(it.clone());
             group.candidates.push(Candidate {
-                upstream: it.number(),
+                upstream: it.wire_id(),
                 slots: it.entry.slots,
                 near: it.entry.data_centre == here,
             });
--- a/crates/portfield-host/src/orders.rs
+++ b/crates/portfield-host/src/orders.rs
@@ -2,7 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use portfield::catalog::{Order, OrderChange, OrderList, Source, StoreVersion};
+use portfield::catalog::{
+    EvacuationChange, EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion,
+};
 use portfield_net::clock;
 use portfield_platform::store::{self, Row};
 
@@ -17,9 +19,9 @@
 pub(crate) fn take(host: &Arc<Host>, rows: &[Row], reading: &Reading) {
     let order = |it: &Row| {
         let data_centre = store::evacuated(&it.key)?.to_owned();
-        Some(Order { data_centre, row: it.version, is_lifted: it.value.is_none() })
+        Some(EvacuationRow { data_centre, row_version: it.version, is_lifted: it.value.is_none() })
     };
-    let orders: Vec<Order> = rows.iter().filter_map(order).collect();
+    let orders: Vec<EvacuationRow> = rows.iter().filter_map(order).collect();
     if orders.is_empty() && reading.extent == Extent::Changes {
         return;
     }
@@ -27,7 +29,7 @@
     let source = match extent {
         // Only a copy has lost what the operator wrote: a store that was merely away has not.
         Extent::Copy => source,
-        Extent::Changes | Extent::Whole => Source::Current,
+        Extent::Changes | Extent::Whole => MissingRows::Deleted,
     };
     let changes = host.update_list(|it| match extent {
         Extent::Changes => it.evacuations.apply(version, orders),
@@ -37,14 +39,14 @@
 }
 
 /// Takes another host's orders, as of a version of the store.
-pub(crate) fn learn(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
-    let changes = host.update_list(|it| it.evacuations.learn(clock::now(), version, list));
+pub(crate) fn learn(host: &Arc<Host>, version: StoreVersion, list: EvacuationSnapshot) {
+    let changes = host.update_list(|it| it.evacuations.merge(clock::now(), version, list));
     note(host, &changes, "host");
 }
 
 /// Ends orders that the store has lost and the operator did not write again.
 pub(crate) fn expire(host: &Arc<Host>, now: Duration) {
-    if !host.with_list(|it| it.evacuations.has_late(now)) {
+    if !host.with_list(|it| it.evacuations.has_expired(now)) {
         return;
     }
     let changes = host.update_list(|it| it.evacuations.expire(now));
@@ -52,9 +54,9 @@
 }
 
 /// Tells what came into force, and has upstreams that may be used again start slowly.
-fn note(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
+fn note(host: &Arc<Host>, changes: &[EvacuationChange], source: &str) {
     let orders = host.with_list(|it| it.evacuations.version());
-    for OrderChange { data_centre, is_lifted } in changes {
+    for EvacuationChange { data_centre, is_lifted } in changes {
         let store_age_ms = host.store_age().as_millis() as u64;
         if *is_lifted {
             log::warn!(data_centre, orders:%, source, store_age_ms; "evacuation over");
--- a/crates/portfield-host/src/pages.rs
+++ b/crates/portfield-host/src/pages.rs
@@ -73,12 +73,12 @@
         let mut all = catalog.iter().flat_map(|it| it.workspaces());
         all.find(|it| hash(&it.name) == number).map_or(String::new(), |it| it.name.clone())
     };
-    let verdicts = host.quarantine().verdicts(clock::now());
-    let show = |it: &portfield::quarantine::Verdict| Row {
-        fingerprint: it.request.fingerprint_text(),
+    let verdicts = host.quarantine().entries(clock::now());
+    let show = |it: &portfield::quarantine::QuarantineEntry| Row {
+        fingerprint: it.request.fingerprint_hex(),
         workspace: name(it.request.workspace),
-        n_ends: it.n_ends,
-        left_s: it.left.as_secs(),
+        n_ends: it.n_crashes,
+        left_s: it.remaining.as_secs(),
     };
     verdicts.iter().map(show).collect()
 }
@@ -102,12 +102,12 @@
         (balancer.n_hosts(now) as f64, balancer.least_part(now), n_backing_off)
     };
     let (list, n_evacuated, n_draining) = host.with_list(|it| {
-        let n_draining = it.directory.drains_unlisted().count();
+        let n_draining = it.directory.draining_unlisted().count();
         (it.directory.version(), it.evacuations.data_centres().count(), n_draining)
     });
     let (n_suspects, n_refused) = {
         let quarantine = host.quarantine();
-        (quarantine.n_suspects(), quarantine.verdicts(clock::now()).len())
+        (quarantine.n_suspects(), quarantine.entries(clock::now()).len())
     };
     let gauges = [
         ("config_version", host.config_version() as f64),
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -11,7 +11,7 @@
 
 use async_net::TcpStream;
 use bytes::Bytes;
-use portfield::catalog::{Order, OrderList, Source, StoreVersion};
+use portfield::catalog::{EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion};
 use portfield_net::{clock, rpc};
 use portfield_wire::{
     EvacuationOrder, KnowledgeReply, KnowledgeRequest, ListedUpstream, peers_server::Peers,
@@ -89,7 +89,7 @@
 /// Asks for what is newer than this host knows; nothing is newer than the last version, so that the other parts are
 /// left out of the reply.
 fn request(host: &Host, wanted: Wanted) -> KnowledgeRequest {
-    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::LAST, StoreVersion::LAST);
+    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::MAX, StoreVersion::MAX);
     match wanted {
         Wanted::Config => config = host.config_version(),
         Wanted::List => list = host.with_list(|it| it.directory.version()),
@@ -110,9 +110,9 @@
     if version == StoreVersion::default() {
         return;
     }
-    let order = |it: EvacuationOrder, is_lifted| Order {
+    let order = |it: EvacuationOrder, is_lifted| EvacuationRow {
         data_centre: it.data_centre,
-        row: it.row,
+        row_version: it.row,
         is_lifted,
     };
     let standing = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
@@ -120,7 +120,7 @@
         (order(it, false), left)
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
-    let list = OrderList { standing: standing.collect(), lifted: lifted.collect() };
+    let list = EvacuationSnapshot { active: standing.collect(), lifted: lifted.collect() };
     orders::learn(host, version, list);
 }
 
@@ -128,7 +128,7 @@
 fn take_reply(host: &Host, mut reply: KnowledgeReply) {
     let now = clock::now();
     host.with_list(|it| {
-        reply.list.retain(|row| row.held == 0 || it.directory.takes_held(&row.id));
+        reply.list.retain(|row| row.held == 0 || it.directory.accepts_unlisted(&row.id));
     });
     let held: Vec<(String, Duration)> = reply
         .list
@@ -146,11 +146,11 @@
     let reading = Reading {
         version: StoreVersion::new(reply.list_era, reply.list_version),
         extent: if reply.is_partial { Extent::Changes } else { Extent::Whole },
-        source: Source::Current,
+        source: MissingRows::Deleted,
     };
     host.update_list(|it| {
         if take_list(it, rows, &reading) {
-            held.iter().for_each(|(id, until)| it.directory.hold(id, *until));
+            held.iter().for_each(|(id, until)| it.directory.set_expiry(id, *until));
         }
     });
 }
@@ -209,10 +209,10 @@
         return;
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
-    let OrderList { standing, lifted } = listed.evacuations.list(clock::now());
-    let tell = |it: Order, left: Option<Duration>| EvacuationOrder {
+    let EvacuationSnapshot { active: standing, lifted } = listed.evacuations.snapshot(clock::now());
+    let tell = |it: EvacuationRow, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
-        row: it.row,
+        row: it.row_version,
         held: held_ms(left),
     };
     reply.evacuations = standing.into_iter().map(|(it, left)| tell(it, left)).collect();
@@ -229,16 +229,16 @@
     }
     let now = clock::now();
     let entry = |id: &String| {
-        let held = listed.directory.held_until(id);
+        let held = listed.directory.expires_at(id);
         let held = held_ms(held.map(|it| it.saturating_sub(now)));
         let entry = listed.entries.get(id)?.to_vec();
-        Some(ListedUpstream { id: id.clone(), entry, held, row: listed.directory.row(id) })
+        Some(ListedUpstream { id: id.clone(), entry, held, row: listed.directory.row_version(id) })
     };
-    match listed.directory.since(known) {
+    match listed.directory.changes_since(known) {
         Some(difference) => {
             reply.is_partial = true;
             reply.list = difference.set.iter().filter_map(entry).collect();
-            reply.gone = difference.gone;
+            reply.gone = difference.removed;
         }
         None => reply.list = listed.entries.keys().filter_map(entry).collect(),
     }
--- a/crates/portfield-host/src/peers/listen.rs
+++ b/crates/portfield-host/src/peers/listen.rs
@@ -9,7 +9,7 @@
 use portfield::{
     balance::{Audience, Follower, Way},
     catalog::StoreVersion,
-    waking::Knowledge,
+    suspend::CachedState,
 };
 use portfield_net::{clock, contain};
 use portfield_wire::Digest;
@@ -193,13 +193,13 @@
         if known.config < digest.config_version {
             self.config.note(address);
         } else if hears_store && orders <= known.orders {
-            host.waking().heard_host(Knowledge::Config);
+            host.waking().confirm_from_peer(CachedState::Config);
         }
         host.note_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.note(address);
         } else if hears_store {
-            host.waking().heard_host(Knowledge::Upstreams);
+            host.waking().confirm_from_peer(CachedState::Upstreams);
         }
     }
 
--- a/crates/portfield-host/src/placing.rs
+++ b/crates/portfield-host/src/placing.rs
@@ -49,8 +49,8 @@
         let res = f(&mut listed);
         listed.group(&here);
         let cold = listed.take_cold();
-        let ids: HashSet<u32> = listed.directory.all().map(|it| it.number()).collect();
-        let is_reborn = |it: &&Arc<Upstream>| listed.directory.is_reborn(it);
+        let ids: HashSet<u32> = listed.directory.all().map(|it| it.wire_id()).collect();
+        let is_reborn = |it: &&Arc<Upstream>| listed.directory.is_restarted(it);
         let reborn: Vec<Arc<Upstream>> = before.iter().filter(is_reborn).cloned().collect();
         drop(listed);
         self.balancer().retain(|id| ids.contains(&id));
@@ -66,7 +66,7 @@
 
     /// Returns whether a request that was placed on an upstream may be written to it now.
     pub(crate) fn admits(&self, upstream: &Upstream) -> bool {
-        let backs_off = self.balancer().backs_off_until(clock::now(), upstream.number()).is_some();
+        let backs_off = self.balancer().backs_off_until(clock::now(), upstream.wire_id()).is_some();
         !backs_off && self.with_list(|it| it.offers(upstream))
     }
 
@@ -122,7 +122,7 @@
                 return Err(Refused { reason, retry, estimate, share });
             }
         };
-        let chosen = ready.upstreams.iter().find(|it| it.number() == placed.upstream);
+        let chosen = ready.upstreams.iter().find(|it| it.wire_id() == placed.upstream);
         chosen.map(|it| (placed, it.clone())).ok_or(Refused {
             reason: Refusal::NoUpstream,
             retry: placed.estimate,
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -5,7 +5,7 @@
 use portfield::{
     balance::Audience,
     catalog::Upstream,
-    quarantine::{Fingerprint, Request, Verdict},
+    quarantine::{Fingerprint, QuarantineEntry, RequestKey},
 };
 use portfield_net::clock;
 use portfield_wire::{Digest, Suspect};
@@ -48,7 +48,7 @@
     {
         return false;
     }
-    let is_ended = host.breaks().note(clock::now(), call.request(), upstream.number());
+    let is_ended = host.breaks().record_break(clock::now(), call.request(), upstream.wire_id());
     if is_ended {
         suspect(host, &[call.request()], upstream);
     }
@@ -57,11 +57,11 @@
 
 /// Notes that an upstream ended.
 pub(crate) fn ended(host: &Host, upstream: &Upstream, how: End) {
-    let requests = host.breaks().ended(clock::now(), upstream.number());
+    let requests = host.breaks().record_crash(clock::now(), upstream.wire_id());
     if requests.is_empty() {
         return;
     }
-    let named = requests.iter().take(MAX_NAMED).map(|it| it.fingerprint_text());
+    let named = requests.iter().take(MAX_NAMED).map(|it| it.fingerprint_hex());
     let fingerprints = named.collect::<Vec<_>>().join(" ");
     log::warn!(
         upstream = upstream.entry.id, how:?, n = requests.len(), fingerprints; "upstream ended"
@@ -71,16 +71,16 @@
 }
 
 /// Notes that an upstream ended under requests.
-fn suspect(host: &Host, requests: &[Request], upstream: &Upstream) {
-    let verdicts = host.quarantine().ended(clock::now(), requests, upstream.number());
+fn suspect(host: &Host, requests: &[RequestKey], upstream: &Upstream) {
+    let verdicts = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
     verdicts.iter().for_each(|it| note_verdict(host, it, Source::Own));
 }
 
 /// Notes that a request was answered whole: it does not end upstreams.
 pub(crate) fn succeeded(host: &Host, call: &Call) {
-    if host.quarantine().clear(clock::now(), call.request()) {
+    if host.quarantine().record_success(clock::now(), call.request()) {
         log::info!(
-            request = call.id, fingerprint = call.request().fingerprint_text();
+            request = call.id, fingerprint = call.request().fingerprint_hex();
             "nothing against the request any more"
         );
     }
@@ -90,7 +90,7 @@
 pub(crate) fn lift(host: &Host, fingerprint: Fingerprint) -> bool {
     let lifted = host.quarantine().lift(clock::now(), fingerprint);
     let Some(request) = lifted else { return false };
-    log::warn!(fingerprint = request.fingerprint_text(); "quarantine lifted");
+    log::warn!(fingerprint = request.fingerprint_hex(); "quarantine lifted");
     host.keep_verdict(request);
     true
 }
@@ -100,18 +100,19 @@
     if suspects.is_empty() {
         return;
     }
-    let verdicts = host.quarantine().take(clock::now(), suspects);
+    let verdicts = host.quarantine().merge(clock::now(), suspects);
     verdicts.iter().for_each(|it| note_verdict(host, it, source));
 }
 
 /// Adds what this host knows to its own digest.
 pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
-    digest.suspects = host.quarantine().report(clock::now(), audience, digest.sequence);
+    digest.suspects =
+        host.quarantine().suspects_for_digest(clock::now(), audience, digest.sequence);
 }
 
 /// Adds what the hosts of this data centre know to their sum.
 pub(crate) fn summarize(host: &Host, digest: &mut Digest) {
-    digest.suspects = host.quarantine().summarize(clock::now());
+    digest.suspects = host.quarantine().suspects_for_summary(clock::now());
 }
 
 /// Returns a time as callers are told it, in whole seconds.
@@ -119,13 +120,13 @@
     Duration::from_secs(time.as_secs() + 1)
 }
 
-fn note_verdict(host: &Host, it: &Verdict, source: Source) {
+fn note_verdict(host: &Host, it: &QuarantineEntry, source: Source) {
     log::warn!(
-        fingerprint = it.request.fingerprint_text(), workspace_hash = it.request.workspace,
-        n_ends = it.n_ends, left_s = it.left.as_secs(), source:?; "request quarantined"
+        fingerprint = it.request.fingerprint_hex(), workspace_hash = it.request.workspace,
+        n_ends = it.n_crashes, left_s = it.remaining.as_secs(), source:?; "request quarantined"
     );
     host.metrics.count("requests_quarantined");
-    if it.is_own {
+    if it.is_local {
         host.keep_verdict(it.request);
     }
 }
--- a/crates/portfield-host/src/reach.rs
+++ b/crates/portfield-host/src/reach.rs
@@ -21,7 +21,7 @@
 /// Starts to try an upstream that could not be reached, unless it is being tried, until it is reached or
 /// gone; `err` is what the last try said.
 pub(crate) fn start(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
-    if !host.trying.begin(upstream.number()) {
+    if !host.trying.begin(upstream.wire_id()) {
         return;
     }
     note_unreachable(host, upstream, err);
@@ -29,7 +29,7 @@
     let first = err.kind().into();
     host.rt.spawn(async move {
         try_on(&task, &upstream, &first).await;
-        task.trying.end(upstream.number());
+        task.trying.end(upstream.wire_id());
     });
 }
 
@@ -38,13 +38,13 @@
 /// A run breaks with its connection or with its upstream; the one costs its callers one answer, the other all
 /// that ran there. A connection that can be opened takes the place of the broken one.
 pub(crate) fn look(host: &Arc<Host>, upstream: &Arc<Upstream>) {
-    if !host.trying.begin(upstream.number()) {
+    if !host.trying.begin(upstream.wire_id()) {
         return;
     }
     let (task, upstream) = (host.clone(), upstream.clone());
     host.rt.spawn(async move {
         look_twice(&task, &upstream).await;
-        task.trying.end(upstream.number());
+        task.trying.end(upstream.wire_id());
     });
 }
 
@@ -56,7 +56,7 @@
             Ok(it) => {
                 clock::sleep(SECOND_LOOK).await;
                 if !it.sender.is_closed() {
-                    host.pool.put(upstream.number(), it, None);
+                    host.pool.put(upstream.wire_id(), it, None);
                     return;
                 }
             }
@@ -103,11 +103,11 @@
         let opened = host.pool.open(upstream.entry.address).await;
         has_ended |= opened.as_ref().is_err_and(is_refused);
         if let Ok(it) = opened {
-            host.pool.put(upstream.number(), it, None);
+            host.pool.put(upstream.wire_id(), it, None);
             if has_ended {
                 host.presume_cold(upstream);
             }
-            host.balancer().reachable(upstream.number());
+            host.balancer().reachable(upstream.wire_id());
             let lost_ms = (clock::now() - lost).as_millis() as u64;
             log::info!(upstream = upstream.entry.id, lost_ms; "upstream reachable");
             return;
--- a/crates/portfield-host/src/reading.rs
+++ b/crates/portfield-host/src/reading.rs
@@ -3,7 +3,9 @@
 use std::collections::{HashMap, HashSet};
 
 use bytes::Bytes;
-use portfield::catalog::{Change, Changed, Directory, Source, State, StoreVersion};
+use portfield::catalog::{
+    ChangedUpstream, Directory, EntryChange, MissingRows, State, StoreVersion,
+};
 use portfield_net::contain;
 use portfield_platform::upstreams;
 
@@ -18,7 +20,7 @@
 pub(crate) struct Reading {
     pub version: StoreVersion,
     pub extent: Extent,
-    pub source: Source,
+    pub source: MissingRows,
 }
 
 /// How much of a table was read.
@@ -45,15 +47,15 @@
 
 impl ListRow {
     /// Reads the row; one of another writer names no upstream.
-    fn change(&self) -> Change {
-        let Some(entry) = &self.entry else { return Change::Gone(self.id.clone()) };
+    fn change(&self) -> EntryChange {
+        let Some(entry) = &self.entry else { return EntryChange::Removed(self.id.clone()) };
         let decoded = contain::call("entry", || upstreams::decode(&self.id, entry));
-        let Some(decoded) = decoded else { return Change::Foreign(self.id.clone()) };
+        let Some(decoded) = decoded else { return EntryChange::Invalid(self.id.clone()) };
         match decoded {
-            Ok(it) => Change::Set(it),
+            Ok(it) => EntryChange::Set(it),
             Err(err) => {
                 log::warn!(upstream = self.id, err:%; "entry not readable");
-                Change::Foreign(self.id.clone())
+                EntryChange::Invalid(self.id.clone())
             }
         }
     }
@@ -68,13 +70,13 @@
         log::info!(list:% = listed.directory.version(), read:% = version; "older list passed over");
         return false;
     }
-    let read: Vec<Change> = rows.iter().map(ListRow::change).collect();
+    let read: Vec<EntryChange> = rows.iter().map(ListRow::change).collect();
     let directory = &mut listed.directory;
     // Who tells a list of a later era may have begun with the copy, and not know what is over.
     let is_later_era = !directory.is_empty() && directory.version().era < version.era;
     let (told, as_read) = if extent == Extent::Copy || is_later_era {
         let versions = rows.iter().map(|it| it.version);
-        let told = directory.without_past(read.iter().cloned().zip(versions));
+        let told = directory.reconcile_restored(read.iter().cloned().zip(versions));
         let as_read = ids_in_both(&read, &told);
         (told, Some(as_read))
     } else {
@@ -84,7 +86,7 @@
         Extent::Changes => directory.apply(version, told, source),
         Extent::Whole | Extent::Copy => directory.replace(version, told, source),
     };
-    rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
+    rows.iter().for_each(|it| directory.set_row_version(&it.id, it.version));
     // The bytes of what was not taken as it was read are not told on.
     let is_taken = |it: &ListRow| as_read.as_ref().is_none_or(|ids| ids.contains(&it.id));
     let taken = rows.into_iter().filter(is_taken);
@@ -98,15 +100,15 @@
 }
 
 /// Returns the ids of the changes that stand in both lists.
-fn ids_in_both(read: &[Change], told: &[Change]) -> HashSet<String> {
-    let told: HashMap<&str, &Change> = told.iter().map(|it| (it.id(), it)).collect();
-    let is_told = |it: &&Change| told.get(it.id()) == Some(it);
+fn ids_in_both(read: &[EntryChange], told: &[EntryChange]) -> HashSet<String> {
+    let told: HashMap<&str, &EntryChange> = told.iter().map(|it| (it.id(), it)).collect();
+    let is_told = |it: &&EntryChange| told.get(it.id()) == Some(it);
     read.iter().filter(is_told).map(|it| it.id().to_owned()).collect()
 }
 
 /// Logs the entries that say `ready` of upstreams which said of themselves that they drain: these go on draining.
-fn log_contradicted(directory: &Directory, changed: &[Changed], list: StoreVersion) {
-    let is_contradicted = |id: &str| directory.drains_unlisted().any(|it| it.entry.id == id);
+fn log_contradicted(directory: &Directory, changed: &[ChangedUpstream], list: StoreVersion) {
+    let is_contradicted = |id: &str| directory.draining_unlisted().any(|it| it.entry.id == id);
     for it in changed.iter().filter(|it| it.state == Some(State::Ready)) {
         if is_contradicted(&it.id) {
             log::warn!(upstream = it.id, list:%; "entry says ready, its upstream said that it drains");
@@ -114,7 +116,7 @@
     }
 }
 
-fn log_changed(changed: &[Changed], list: StoreVersion) {
+fn log_changed(changed: &[ChangedUpstream], list: StoreVersion) {
     if MAX_CHANGED_LINES < changed.len() {
         let n_gone = changed.iter().filter(|it| it.state.is_none()).count();
         log::info!(n = changed.len(), n_gone, list:%; "upstreams changed");
--- a/crates/portfield-host/src/recall.rs
+++ b/crates/portfield-host/src/recall.rs
@@ -4,7 +4,7 @@
 use std::{sync::Arc, time::Duration};
 
 use async_channel::Receiver;
-use portfield::quarantine::{self, Request};
+use portfield::quarantine::{self, RequestKey};
 use portfield_net::clock;
 use portfield_platform::store::{self, Row, Store};
 use portfield_wire::{StoredSuspect, Suspect};
@@ -91,34 +91,34 @@
 
 /// Has the store keep all that this host refuses: it has lost what it kept.
 pub(crate) fn keep_all(host: &Host) {
-    let verdicts = host.quarantine().verdicts(clock::now());
+    let verdicts = host.quarantine().entries(clock::now());
     verdicts.iter().for_each(|it| host.keep_verdict(it.request));
 }
 
 /// Writes the requests that come in.
-pub(crate) async fn write(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
+pub(crate) async fn write(host: Arc<Host>, store: Store, requests: Receiver<RequestKey>) {
     while let Ok(request) = requests.recv().await {
         write_one(&host, &store, request).await;
     }
 }
 
 /// Writes what is known against a request by then, until the store has it.
-async fn write_one(host: &Host, store: &Store, request: Request) {
+async fn write_one(host: &Host, store: &Store, request: RequestKey) {
     let mut pause = PAUSE;
     loop {
-        let known = host.quarantine().record(clock::now(), request);
+        let known = host.quarantine().suspect(clock::now(), request);
         let Some(suspect) = known else { return };
         let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
         let res = store.write(store::QUARANTINE, &key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
-        log::warn!(fingerprint = request.fingerprint_text(), err:%; "quarantine not written");
+        log::warn!(fingerprint = request.fingerprint_hex(), err:%; "quarantine not written");
         clock::sleep(pause).await;
         pause = (pause * 2).min(LONGEST_PAUSE);
     }
 }
 
 /// Returns the key of a request's row.
-fn key(request: Request) -> String {
+fn key(request: RequestKey) -> String {
     format!("{:08x}-{:x}", request.workspace, request.fingerprint % PLACES)
 }
 
@@ -136,7 +136,7 @@
     let age = clock::life().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
     suspect.ends.iter_mut().for_each(|it| it.age = it.age.saturating_add(age));
     suspect.cleared = suspect.cleared.map(|it| it.saturating_add(age));
-    let is_past = |age: u32| quarantine::MEMORY <= Duration::from_millis(u64::from(age));
+    let is_past = |age: u32| quarantine::RETENTION <= Duration::from_millis(u64::from(age));
     if suspect.ends.iter().all(|it| is_past(it.age)) {
         return Err(row.key);
     }
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -114,9 +114,9 @@
             return left;
         }
         let route = &self.exchange.call.route;
-        let pause = route.gap.map_or(LONGEST_SILENCE, |it| it * SILENCE);
+        let pause = route.max_gap.map_or(LONGEST_SILENCE, |it| it * SILENCE);
         // Before the first event the engine may still be reading for others.
-        let pause = if self.first.is_none() { pause + route.objective } else { pause };
+        let pause = if self.first.is_none() { pause + route.latency_target } else { pause };
         left.min(pause)
     }
 
@@ -139,7 +139,7 @@
         run.end(Ending::Done);
         quarantine::succeeded(&self.exchange.host, &self.exchange.call);
         if head.keeps {
-            self.exchange.host.pool.put(upstream.number(), connection, head.idle);
+            self.exchange.host.pool.put(upstream.wire_id(), connection, head.idle);
         }
     }
 
--- a/crates/portfield-host/src/self_report.rs
+++ b/crates/portfield-host/src/self_report.rs
@@ -50,28 +50,28 @@
 /// Adds the upstreams that drain by their own word to this host's digest.
 pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
     // Every request reads the list, and mostly there is none.
-    if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
+    if host.with_list(|it| it.directory.draining_unlisted().next().is_none()) {
         return;
     }
     let mut listed = host.listed.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = listed.directory.report_draining(audience.telling(digest.sequence));
+    digest.draining = listed.directory.draining_for_digest(audience.telling(digest.sequence));
 }
 
 /// Adds them to the sum of this host's data centre.
 pub(crate) fn summarize(host: &Host, digest: &mut Digest) {
-    digest.draining = host.with_list(|it| it.directory.summarize_draining());
+    digest.draining = host.with_list(|it| it.directory.draining_for_summary());
 }
 
 /// Takes what another host heard of upstreams.
 pub(crate) fn take(host: &Host, digest: &Digest) {
-    let is_news = |it: &u32| !host.with_list(|list| list.directory.is_said_to_drain(*it));
+    let is_news = |it: &u32| !host.with_list(|list| list.directory.is_marked_draining(*it));
     let news: Vec<u32> = digest.draining.iter().copied().filter(is_news).collect();
     if news.is_empty() {
         return;
     }
     host.update_list(|it| {
         for number in &news {
-            it.directory.note_draining(*number);
+            it.directory.mark_draining(*number);
         }
     });
     if MAX_LINES < news.len() {
@@ -96,7 +96,7 @@
 
 /// Leaves an upstream alone for as long as it asks for.
 fn back_off(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode, asked: &RetryAfter) {
-    let (now, number) = (clock::now(), upstream.number());
+    let (now, number) = (clock::now(), upstream.wire_id());
     let end = {
         let mut balancer = host.balancer();
         if let Some(time) = asked.time {
@@ -121,7 +121,7 @@
 
 /// Returns the id of an upstream that the list knows.
 fn id_of(host: &Host, number: u32) -> Option<String> {
-    let is_it = |it: &&Arc<Upstream>| it.number() == number;
+    let is_it = |it: &&Arc<Upstream>| it.wire_id() == number;
     host.with_list(|it| it.directory.all().find(is_it).map(|it| it.entry.id.clone()))
 }
 
@@ -153,7 +153,7 @@
 ///
 /// The lists by service are made anew only then: every answer of one that drains says so.
 fn mark(host: &Host, upstream: &Upstream) -> bool {
-    let number = upstream.number();
-    let is_known = host.with_list(|it| it.directory.is_said_to_drain(number));
-    !is_known && host.update_list(|it| it.directory.note_draining(number))
+    let number = upstream.wire_id();
+    let is_known = host.with_list(|it| it.directory.is_marked_draining(number));
+    !is_known && host.update_list(|it| it.directory.mark_draining(number))
 }
--- a/crates/portfield-host/src/serve.rs
+++ b/crates/portfield-host/src/serve.rs
@@ -64,7 +64,7 @@
     let is_error = parts.status.is_server_error();
     run.end(if is_error { Ending::Error } else { Ending::Done });
     if head.keeps {
-        exchange.host.pool.put(upstream.number(), connection, head.idle);
+        exchange.host.pool.put(upstream.wire_id(), connection, head.idle);
     }
     portfield_platform::request::strip_hop(&mut parts.headers);
     let body = Full::new(bytes).map_err(|it| match it {}).boxed_unsync();
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -18,8 +18,8 @@
         Witness, host_hash,
     },
     catalog::Catalog,
-    quarantine::{Breaks, Quarantine, Request},
-    waking::Waking,
+    quarantine::{BrokenAttempts, Quarantine, RequestKey},
+    suspend::SuspendDetector,
 };
 use portfield_net::{clock, contain, rt::Runtime};
 use xxhash_rust::xxh3::xxh3_64;
@@ -66,11 +66,11 @@
     readers: Mutex<Readers>,
     witness: Mutex<Witness>,
     governor: Mutex<Governor>,
-    breaks: Mutex<Breaks>,
+    breaks: Mutex<BrokenAttempts>,
     quarantine: Mutex<Quarantine>,
-    waking: Mutex<Waking>,
+    waking: Mutex<SuspendDetector>,
     /// Requests whose verdict the store is to keep.
-    verdicts: Sender<Request>,
+    verdicts: Sender<RequestKey>,
     /// When the store was first asked which requests are refused.
     recalled: Moment,
     /// When the table of hosts was last read.
@@ -91,7 +91,7 @@
     /// Builds the state of a process that knows nothing yet.
     ///
     /// Returns with it the requests whose verdict the store is to keep, as they come.
-    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
+    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<RequestKey>) {
         let place = Place {
             host: host_hash(settings.peers),
             data_centre: hash(&settings.data_centre),
@@ -166,7 +166,7 @@
         if catalog.version() <= old {
             return;
         }
-        self.balancer().set_capacity(catalog.limits().tokens_rate);
+        self.balancer().set_capacity(catalog.limits().token_rate);
         let version = catalog.version();
         *in_force = Some(InForce { catalog: Arc::new(catalog), bytes });
         drop(in_force);
@@ -210,12 +210,12 @@
     }
 
     /// Returns the runs that broke of late.
-    pub(crate) fn breaks(&self) -> MutexGuard<'_, Breaks> {
+    pub(crate) fn breaks(&self) -> MutexGuard<'_, BrokenAttempts> {
         self.breaks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether this host has stood still, and what it has heard since.
-    pub(crate) fn waking(&self) -> MutexGuard<'_, Waking> {
+    pub(crate) fn waking(&self) -> MutexGuard<'_, SuspendDetector> {
         self.waking.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -253,10 +253,10 @@
     }
 
     /// Has the store keep what is known against a request.
-    pub(crate) fn keep_verdict(&self, request: Request) {
+    pub(crate) fn keep_verdict(&self, request: RequestKey) {
         if self.verdicts.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_text(); "verdict not kept");
+            log::warn!(fingerprint = request.fingerprint_hex(); "verdict not kept");
         }
     }
 
--- a/crates/portfield-host/src/watch.rs
+++ b/crates/portfield-host/src/watch.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use portfield::{
     balance::CALL_TIMEOUT,
-    catalog::{RETURN_GRACE, Source, StoreVersion},
-    quarantine::Request,
-    waking::Knowledge,
+    catalog::{MissingRows, REGISTRATION_GRACE, StoreVersion},
+    quarantine::RequestKey,
+    suspend::CachedState,
 };
 use portfield_net::{clock, http1::Error};
 use portfield_platform::store::{self, Row, Rows, Store};
@@ -43,17 +43,17 @@
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts the tasks.
-pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
+pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<RequestKey>) {
     let store = Store::new(host.settings().store, CALL_TIMEOUT);
     let operator = Followed {
         table: store::OPERATOR,
-        what: Knowledge::Config,
+        what: CachedState::Config,
         gather: GATHER,
         take: take_operator,
     };
     let upstreams = Followed {
         table: store::UPSTREAMS,
-        what: Knowledge::Upstreams,
+        what: CachedState::Upstreams,
         gather: GATHER_LIST,
         take: take_upstreams,
     };
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Followed {
     table: &'static str,
-    what: Knowledge,
+    what: CachedState,
     /// Least time between the beginnings of two calls.
     gather: Duration,
     take: fn(&Arc<Host>, News),
@@ -177,16 +177,16 @@
             self.returned = Some(now);
         }
         self.host.note_era(version.era, "store");
-        let recent = self.returned.filter(|it| now < *it + RETURN_GRACE);
+        let recent = self.returned.filter(|it| now < *it + REGISTRATION_GRACE);
         let source = match recent {
-            Some(returned) => Source::AfterOutage { returned },
-            None => Source::Current,
+            Some(returned) => MissingRows::MayReturn { restored_at: returned },
+            None => MissingRows::Deleted,
         };
         let gap = std::mem::replace(&mut self.pace, self.followed.gather);
         (self.version, self.era) = (Some(version), Some(version.era));
         let news = News { rows, reading: Reading { version, extent, source } };
         (self.followed.take)(&self.host, news);
-        self.host.waking().heard_store(asked, self.followed.what);
+        self.host.waking().confirm_from_store(asked, self.followed.what);
         clock::sleep((asked + gap).saturating_sub(now)).await;
     }
 
@@ -241,7 +241,7 @@
         self_report::log_backoffs_over(&host);
         let now = clock::now();
         orders::expire(&host, now);
-        if !host.with_list(|it| it.directory.has_late(now)) {
+        if !host.with_list(|it| it.directory.has_expired(now)) {
             continue;
         }
         host.update_list(|it| {
--- a/crates/portfield-router/src/exchange.rs
+++ b/crates/portfield-router/src/exchange.rs
@@ -6,8 +6,8 @@
 };
 
 use http::{Response, StatusCode};
-use portfield::burn::Sample;
 use portfield::route::{Outcome, Phase, Reason, Request, backoff, outcome_of};
+use portfield::slo::Sample;
 use portfield_net::clock;
 
 use crate::{
@@ -41,7 +41,11 @@
             counter.fetch_add(1, Ordering::Relaxed);
             // Who floods or repeats a key is refused by rule: the fleet did not fail it.
             if it.status.is_server_error() {
-                shell.observe(workspace, &service, Sample { first: None, gap: Duration::ZERO });
+                shell.observe(
+                    workspace,
+                    &service,
+                    Sample { first_byte: None, token_gap: Duration::ZERO },
+                );
             }
             shell.record(&id, 0, format!("given up: {}, outcome {}", it.text, it.outcome));
             log::info!(request = id, outcome:% = it.outcome; "given up: {}", it.text);
--- a/crates/portfield-router/src/once.rs
+++ b/crates/portfield-router/src/once.rs
@@ -10,7 +10,7 @@
 use http::{Response, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use portfield::{
-    claim::{Claim, MAX_ANSWER, State, Verdict, judge, row_key},
+    idempotency::{Claim, ClaimState, Decision, MAX_KEPT_ANSWER, claim_key, decide},
     route::Outcome,
 };
 use portfield_net::platform::ABSENT;
@@ -82,7 +82,7 @@
 ///
 /// The answer where the key is taken, stands for something else, or can't be claimed.
 pub(crate) async fn claim(shell: &Shell, call: &Call, key: &str) -> Result<Claimed, Rejection> {
-    let row = row_key(call.workspace.id, call.service.id, key);
+    let row = claim_key(call.workspace.id, call.service.id, key);
     let content: [&[u8]; 3] = [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body];
     let mine = Claim::new(&call.id, &content);
     let mut version = ABSENT;
@@ -95,15 +95,15 @@
             // A claim that arrives late only keeps the key from being used: nothing was sent.
             Written::Refused | Written::Unclear => return Err(no_store()),
         };
-        match judge(Claim::from_row(&found.value).as_ref(), &mine) {
-            Verdict::Take => version = found.version,
-            Verdict::Own => {
+        match decide(Claim::from_row(&found.value).as_ref(), &mine) {
+            Decision::Claim => version = found.version,
+            Decision::AlreadyHeld => {
                 let held = Held { key: row, version: found.version, claim: mine };
                 return Ok(Claimed::Send(held));
             }
-            Verdict::Taken => return Err(taken()),
-            Verdict::Mismatch => return Err(mismatch()),
-            Verdict::Replay(status, body) => return replay(&call.id, status, body),
+            Decision::Conflict => return Err(taken()),
+            Decision::Mismatch => return Err(mismatch()),
+            Decision::Replay(status, body) => return replay(&call.id, status, body),
         }
     }
     Err(taken())
@@ -111,7 +111,7 @@
 
 /// Gives the key up: the request certainly did not run.
 pub(crate) async fn release(shell: &Shell, held: Held) {
-    settle(shell, held, State::Free).await;
+    settle(shell, held, ClaimState::Free).await;
 }
 
 /// Keeps the answer with the key, as far as it is short text, and returns it.
@@ -120,9 +120,9 @@
     let status = parts.status.as_u16();
     let length = parts.headers.get(header::CONTENT_LENGTH).and_then(|it| it.to_str().ok());
     let length = length.and_then(|it| it.parse::<usize>().ok());
-    let is_short = length.is_some_and(|it| it <= MAX_ANSWER);
+    let is_short = length.is_some_and(|it| it <= MAX_KEPT_ANSWER);
     if !is_short {
-        settle(shell, held, State::Done { status, body: None }).await;
+        settle(shell, held, ClaimState::Done { status, body: None }).await;
         return Response::from_parts(parts, body);
     }
     let Ok(bytes) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
@@ -131,11 +131,11 @@
         return rejection.answer(&held.claim.request);
     };
     let text = String::from_utf8(bytes.to_vec()).ok();
-    settle(shell, held, State::Done { status, body: text }).await;
+    settle(shell, held, ClaimState::Done { status, body: text }).await;
     Response::from_parts(parts, whole(bytes))
 }
 
-async fn settle(shell: &Shell, held: Held, state: State) {
+async fn settle(shell: &Shell, held: Held, state: ClaimState) {
     let Held { key, version, claim } = held;
     let claim = Claim { state, ..claim };
     let written = shell.writes.write(&key, version, claim.to_row()).await;
--- a/crates/portfield-router/src/relay.rs
+++ b/crates/portfield-router/src/relay.rs
@@ -13,10 +13,10 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 use portfield::{
-    burn::Sample,
     fleet::{Kind, Service},
     ids::WorkspaceId,
     route::{backoff, resume_token},
+    slo::Sample,
 };
 use portfield_net::{clock, events::Events};
 
@@ -150,7 +150,10 @@
         }
         self.shell.counts.answered.fetch_add(1, Ordering::Relaxed);
         let gap = if self.n_events == 0 { Duration::ZERO } else { pace };
-        self.observe(Sample { first: Some(first.saturating_sub(self.arrived)), gap });
+        self.observe(Sample {
+            first_byte: Some(first.saturating_sub(self.arrived)),
+            token_gap: gap,
+        });
         // An event that came without its end is passed on: the answer was whole.
         let rest = self.events.take_partial();
         (!rest.is_empty()).then_some(rest)
@@ -184,7 +187,7 @@
             it.fail(self.cost);
         }
         self.shell.counts.unknown.fetch_add(1, Ordering::Relaxed);
-        self.observe(Sample { first: None, gap: Duration::ZERO });
+        self.observe(Sample { first_byte: None, token_gap: Duration::ZERO });
         self.shell.record(&self.id, 0, "answer cut short: outcome unknown");
         log::warn!(request = self.id; "answer cut short: {cause}");
         Err(io::Error::other("the upstream's answer was cut short"))
--- a/crates/portfield-router/src/shell.rs
+++ b/crates/portfield-router/src/shell.rs
@@ -13,10 +13,10 @@
 use async_channel::{Receiver, Sender};
 use hdrhistogram::Histogram;
 use portfield::{
-    burn::{Sample, Windows},
     fleet::{Fleet, Service},
     ids::{HostId, ServiceId, TicketId, UpstreamId, WorkspaceId},
     route::{Action, Budget, Full, Reason, Request, Router},
+    slo::{Sample, SlidingWindows},
     wire,
 };
 use portfield_net::{clock, metrics::Metrics, platform::Platform, rpc, rt::Runtime};
@@ -82,7 +82,7 @@
     n_sessions: u64,
     budget: Budget,
     records: VecDeque<Record>,
-    windows: Windows,
+    windows: SlidingWindows,
     firsts: BTreeMap<ServiceId, Histogram<u64>>,
 }
 
@@ -118,7 +118,7 @@
             n_sessions: 0,
             budget: Budget::full(),
             records: VecDeque::new(),
-            windows: Windows::default(),
+            windows: SlidingWindows::default(),
             firsts: BTreeMap::new(),
         };
         let res = Arc::new(Self {
@@ -219,7 +219,7 @@
     pub(crate) fn observe(&self, workspace: WorkspaceId, service: &Service, sample: Sample) {
         let mut state = self.lock();
         state.windows.record(clock::now(), workspace, service, sample);
-        let Some(first) = sample.first else { return };
+        let Some(first) = sample.first_byte else { return };
         let histogram = state.firsts.entry(service.id).or_insert_with(new_histogram);
         let millis = first.as_millis() as u64;
         histogram.saturating_record(millis);
@@ -233,7 +233,7 @@
         let fleet = state.core.fleet();
         let rows: Vec<_> = state
             .windows
-            .sums(clock::now())
+            .totals(clock::now())
             .map(|((workspace, service), tallies)| {
                 let workspace = fleet.workspace(workspace).map_or("", |it| it.name.as_str());
                 let service = fleet.service(service).map_or("", |it| it.name.as_str());
--- a/crates/portfield/src/balance/audience.rs
+++ b/crates/portfield/src/balance/audience.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::balancer::WHOLE_EVERY;
-use crate::{telling::Telling, wire};
+use crate::{digest_scope::DigestScope, wire};
 
 /// Time between two digests with few hosts; fresher ones gained callers
 /// nothing.
@@ -137,12 +137,12 @@
     /// Returns how much this host's digest of that number tells of what changes seldom.
     ///
     /// In a large data centre everybody hears its speaker, and only that one tells all of it.
-    pub fn telling(&self, sequence: u64) -> Telling {
+    pub fn telling(&self, sequence: u64) -> DigestScope {
         let tells_all = !self.is_large() || self.speaks();
         if tells_all && sequence.is_multiple_of(WHOLE_EVERY) {
-            return Telling::Whole;
+            return DigestScope::Full;
         }
-        Telling::News
+        DigestScope::Changes
     }
 
     /// Returns the time between two digests.
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -232,8 +232,8 @@
         if let (Some(prompt), Some(engine)) = (&job.prompt, job.engine) {
             let chain = prompt.chain();
             node.note_read(pending + f64::from(prompt.output));
-            node.cache.touch(chain.iter().map(|it| it.hash), engine.memory);
-            self.memories.insert(placed.upstream, engine.memory);
+            node.cache.touch(chain.iter().map(|it| it.hash), engine.kv_capacity);
+            self.memories.insert(placed.upstream, engine.kv_capacity);
             let shared = chain.len().saturating_sub(1);
             let parts = chain.iter().take(shared).map(|it| it.hash).collect();
             self.loads.tell(placed.upstream, parts);
--- a/crates/portfield/src/balance/choice.rs
+++ b/crates/portfield/src/balance/choice.rs
@@ -161,7 +161,7 @@
     fn engine(&self, prompt: &Prompt, chain: &[Link], engine: EngineSpec, node: &Node) -> Times {
         let load = node.total();
         let rate = self.speed.rate();
-        let unread = prompt.input.saturating_sub(node.cache.kept(chain, engine.memory)).max(1);
+        let unread = prompt.input.saturating_sub(node.cache.kept(chain, engine.kv_capacity)).max(1);
         let slots = f64::from(engine.slots);
         let over = (load.running - slots + 1.0).max(0.0);
         let slot = over * self.mean_time.unwrap_or(0.0) / slots;
--- a/crates/portfield/src/balance/load.rs
+++ b/crates/portfield/src/balance/load.rs
@@ -10,7 +10,7 @@
     peer::{Peer, STALE},
     warmup::Warmup,
 };
-use crate::{telling::REPEATS, wire};
+use crate::{digest_scope::DIGESTS_PER_UPDATE, wire};
 
 /// Requests at one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -43,7 +43,7 @@
     pub(crate) fn note_read(&mut self, tokens: f64) {
         self.read += tokens;
         self.cache.read(tokens);
-        self.n_told = REPEATS;
+        self.n_told = DIGESTS_PER_UPDATE;
     }
 
     /// Returns whether nothing is to be sent to it now.
@@ -148,7 +148,7 @@
     pub(crate) fn tell(&mut self, upstream: u32, parts: Vec<u32>) {
         if !parts.is_empty() {
             let prefix = wire::PrefixUse { upstream, parts };
-            self.told.push_back(Told { prefix, n_left: REPEATS });
+            self.told.push_back(Told { prefix, n_left: DIGESTS_PER_UPDATE });
         }
     }
 
@@ -201,7 +201,7 @@
         }
         for it in &digest.prefixes {
             if !self.heard.iter().any(|told| told.prefix == *it) {
-                self.heard.push_back(Told { prefix: it.clone(), n_left: REPEATS });
+                self.heard.push_back(Told { prefix: it.clone(), n_left: DIGESTS_PER_UPDATE });
             }
         }
     }
@@ -252,7 +252,7 @@
     }
 }
 
-/// Takes the parts to be told now; each is told [`REPEATS`] times.
+/// Takes the parts to be told now; each is told [`DIGESTS_PER_UPDATE`] times.
 fn take_told(told: &mut VecDeque<Told>) -> Vec<wire::PrefixUse> {
     let res = told.iter().map(|it| it.prefix.clone()).collect();
     told.iter_mut().for_each(|it| it.n_left -= 1);
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::map::Map;
-use crate::telling::REPEATS;
+use crate::digest_scope::DIGESTS_PER_UPDATE;
 
 /// Buckets of the window.
 const N_BUCKETS: usize = 8;
@@ -148,7 +148,7 @@
         let total = self.totals.entry(workspace).or_default();
         total.asked += usage.asked;
         total.taken += usage.taken;
-        self.n_untold.insert(workspace, REPEATS);
+        self.n_untold.insert(workspace, DIGESTS_PER_UPDATE);
         self.learn(now, workspace, usage);
     }
 
@@ -163,7 +163,7 @@
         self.totals.iter().map(|(id, it)| (*id, *it))
     }
 
-    /// Takes the totals that are to be told now; each change is told [`REPEATS`] times.
+    /// Takes the totals that are to be told now; each change is told [`DIGESTS_PER_UPDATE`] times.
     ///
     /// All of them in each digest would be most of its bytes.
     pub(crate) fn take_told(&mut self) -> Vec<(u32, Usage)> {
--- a/crates/portfield/src/catalog/mod.rs
+++ b/crates/portfield/src/catalog/mod.rs
@@ -7,11 +7,16 @@
 mod upstream;
 mod version;
 
-pub use directory::{Change, Changed, Difference, Directory, RETURN_GRACE, Source};
+pub use directory::{
+    ChangedUpstream, Delta, Directory, EntryChange, MissingRows, REGISTRATION_GRACE,
+};
 pub use draining::DrainMarks;
-pub use evacuation::{Evacuations, ORDER_GRACE, Order, OrderChange, OrderList};
+pub use evacuation::{
+    EVACUATION_GRACE, EvacuationChange, EvacuationRow, EvacuationSnapshot, Evacuations,
+};
 pub use routes::{
-    Access, Catalog, EngineSpec, Kind, Limits, Regions, Route, Service, Target, Warming, Workspace,
+    Access, Catalog, ColdStart, EngineSpec, Limits, Regions, Route, RouteKind, Service,
+    WeightedService, Workspace,
 };
-pub use upstream::{Entry, State, Upstream};
+pub use upstream::{State, Upstream, UpstreamEntry};
 pub use version::StoreVersion;
--- a/crates/portfield/src/catalog/routes.rs
+++ b/crates/portfield/src/catalog/routes.rs
@@ -4,7 +4,7 @@
 
 /// What may be repeated of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Safe,
     /// May run at most once.
@@ -15,9 +15,9 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RouteKind {
     /// Returns whether a request may be sent again after it may have run.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 
@@ -33,12 +33,12 @@
     /// Anybody.
     Public,
     /// Holders of a workspace's key.
-    Keyed,
+    ApiKey,
 }
 
 /// A service that a route goes to, with its part of the traffic.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Target {
+pub struct WeightedService {
     /// The service's name.
     pub service: String,
     /// Its weight against the others.
@@ -89,17 +89,17 @@
     /// Start of their paths, from slash to slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time until a request has its whole answer.
     pub timeout: Duration,
     /// Time to the first event, or to the answer, that callers are content with.
-    pub objective: Duration,
+    pub latency_target: Duration,
     /// Longest pause between two events.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Rank; zero comes first.
     pub priority: i64,
     /// Services, by weight.
-    pub targets: Vec<Target>,
+    pub services: Vec<WeightedService>,
     /// Upstreams that one request may be sent to.
     pub max_attempts: u32,
     /// Who may use it.
@@ -110,14 +110,14 @@
 
 impl Route {
     /// Picks a service by weight; `draw` is uniform from zero to one.
-    pub fn pick(&self, draw: f64) -> Option<&str> {
-        let total: f64 = self.targets.iter().map(|it| it.weight).sum();
+    pub fn pick_service(&self, draw: f64) -> Option<&str> {
+        let total: f64 = self.services.iter().map(|it| it.weight).sum();
         let mut left = draw * total;
-        let found = self.targets.iter().find(|it| {
+        let found = self.services.iter().find(|it| {
             left -= it.weight;
             left < 0.0
         });
-        found.or(self.targets.last()).map(|it| it.service.as_str())
+        found.or(self.services.last()).map(|it| it.service.as_str())
     }
 }
 
@@ -127,18 +127,18 @@
     /// Requests that an upstream runs at once.
     pub slots: u32,
     /// Tokens that fit into its memory.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// Tokens in one event.
     pub event_tokens: u32,
 }
 
 /// How a service's upstreams are to be treated after their start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Warming {
+pub struct ColdStart {
     /// Time for which one is cold.
-    pub time: Duration,
+    pub duration: Duration,
     /// Requests a second that a cold one takes, from all hosts together.
-    pub rate: f64,
+    pub max_rate: f64,
 }
 
 /// One service.
@@ -153,7 +153,7 @@
     /// Set where the upstreams run a model.
     pub engine: Option<EngineSpec>,
     /// Set where the upstreams are cold after their start.
-    pub warming: Option<Warming>,
+    pub cold_start: Option<ColdStart>,
 }
 
 /// Who is owed a share.
@@ -162,7 +162,7 @@
     /// Its name.
     pub name: String,
     /// Keys of its callers.
-    pub keys: Vec<String>,
+    pub api_keys: Vec<String>,
     /// Rank that goes before a route's, where set.
     pub priority: Option<i64>,
     /// Where its requests may be served.
@@ -173,15 +173,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// Largest head of a request.
-    pub head_bytes: usize,
+    pub header_bytes: usize,
     /// Largest body of a request.
     pub body_bytes: usize,
     /// Time for a head to arrive.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Tokens that all engines handle in a second, one generated counted twice; zero unknown.
-    pub tokens_rate: f64,
+    pub token_rate: f64,
 }
 
 /// One version of the configuration.
@@ -189,22 +189,22 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::catalog::{Access, Catalog, Kind, Limits, Route, Target};
+/// use portfield::catalog::{Access, Catalog, RouteKind, Limits, Route, WeightedService};
 /// use std::time::Duration;
 ///
 /// let route = |prefix: &str| Route {
 ///     name: prefix.to_owned(), host: "a".to_owned(), prefix: prefix.to_owned(),
-///     kind: Kind::Safe, timeout: Duration::from_secs(1), objective: Duration::from_millis(100),
-///     gap: None, priority: 1, max_attempts: 2, access: Access::Public,
+///     kind: RouteKind::Safe, timeout: Duration::from_secs(1), latency_target: Duration::from_millis(100),
+///     max_gap: None, priority: 1, max_attempts: 2, access: Access::Public,
 ///     regions: Default::default(),
-///     targets: vec![Target { service: "s".to_owned(), weight: 1.0 }],
+///     services: vec![WeightedService { service: "s".to_owned(), weight: 1.0 }],
 /// };
-/// let limits = Limits { head_bytes: 1, body_bytes: 1, head_time: Duration::ZERO,
-///     idle_time: Duration::ZERO, tokens_rate: 0.0 };
+/// let limits = Limits { header_bytes: 1, body_bytes: 1, header_timeout: Duration::ZERO,
+///     idle_timeout: Duration::ZERO, token_rate: 0.0 };
 /// let routes = vec![route("/x/"), route("/x/y/")];
 /// let catalog = Catalog::new(1, routes, vec![], vec![], limits);
-/// assert_eq!(catalog.route("A:80", "/x/y/z").unwrap().prefix, "/x/y/");
-/// assert!(catalog.route("a", "/z/").is_none());
+/// assert_eq!(catalog.find_route("A:80", "/x/y/z").unwrap().prefix, "/x/y/");
+/// assert!(catalog.find_route("a", "/z/").is_none());
 /// ```
 #[derive(Debug)]
 pub struct Catalog {
@@ -212,7 +212,7 @@
     limits: Limits,
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
-    keys: HashMap<String, Arc<Workspace>>,
+    workspaces: HashMap<String, Arc<Workspace>>,
     n_workspaces: usize,
 }
 
@@ -233,12 +233,12 @@
             list.sort_by_key(|it| std::cmp::Reverse(it.prefix.len()));
         }
         let n_workspaces = workspaces.len();
-        let mut keys = HashMap::new();
+        let mut by_key = HashMap::new();
         for it in workspaces.into_iter().map(Arc::new) {
-            keys.extend(it.keys.iter().map(|key| (key.clone(), it.clone())));
+            by_key.extend(it.api_keys.iter().map(|key| (key.clone(), it.clone())));
         }
         let services = services.into_iter().map(|it| (it.name.clone(), Arc::new(it))).collect();
-        Self { version, limits, routes: by_host, services, keys, n_workspaces }
+        Self { version, limits, routes: by_host, services, workspaces: by_key, n_workspaces }
     }
 
     /// Returns the version; a later configuration has a larger one.
@@ -258,11 +258,11 @@
 
     /// Returns the workspaces that have a key, each once for each key.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
-        self.keys.values()
+        self.workspaces.values()
     }
 
     /// Finds the route with the longest prefix of a path, among those of a host.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |it| it.0).to_ascii_lowercase();
         self.routes.get(&host)?.iter().find(|it| path.starts_with(&it.prefix))
     }
@@ -273,7 +273,7 @@
     }
 
     /// Finds the workspace that holds a key.
-    pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
-        self.keys.get(key)
+    pub fn workspace_by_key(&self, key: &str) -> Option<&Arc<Workspace>> {
+        self.workspaces.get(key)
     }
 }
--- a/crates/portfield/src/catalog/upstream.rs
+++ b/crates/portfield/src/catalog/upstream.rs
@@ -15,11 +15,11 @@
 
 /// An upstream as it describes itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct UpstreamEntry {
     /// Its id, which it may keep when it starts anew.
     pub id: String,
     /// Unix millisecond of its start, where it tells it: with the id, its incarnation.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Service that it belongs to.
     pub service: String,
     /// Where it listens.
@@ -32,7 +32,7 @@
     pub state: State,
     /// How long it stays cold, as of when it said so: until then it takes few requests a second, and ends when it
     /// gets more. Zero where it is not.
-    pub cold: Duration,
+    pub cold_remaining: Duration,
 }
 
 /// An upstream with its number.
@@ -42,18 +42,18 @@
     /// (parts kept, requests, health, connections) does not hold for the next.
     pub hash: u64,
     /// Its entry.
-    pub entry: Entry,
+    pub entry: UpstreamEntry,
 }
 
 impl Upstream {
     /// Returns what hosts call its incarnation among themselves.
-    pub fn number(&self) -> u32 {
+    pub fn wire_id(&self) -> u32 {
         self.hash as u32
     }
 }
 
 /// Returns the hash of an upstream's incarnation.
-pub(super) fn incarnation(entry: &Entry) -> u64 {
+pub(super) fn incarnation_hash(entry: &UpstreamEntry) -> u64 {
     let id = xxh3_64(entry.id.as_bytes());
-    entry.born.map_or(id, |it| xxh3_64_with_seed(&it.to_le_bytes(), id))
+    entry.started_ms.map_or(id, |it| xxh3_64_with_seed(&it.to_le_bytes(), id))
 }
--- a/crates/portfield/src/catalog/version.rs
+++ b/crates/portfield/src/catalog/version.rs
@@ -27,7 +27,7 @@
 
 impl StoreVersion {
     /// Above every version of a store: nothing is newer.
-    pub const LAST: Self = Self::new(u64::MAX, u64::MAX);
+    pub const MAX: Self = Self::new(u64::MAX, u64::MAX);
 
     /// Builds a version.
     pub const fn new(era: u64, number: u64) -> Self {
--- a/crates/portfield/src/claim.rs
+++ b/crates/portfield/src/idempotency.rs
@@ -11,12 +11,12 @@
 use crate::{fleet::hex, ids::WorkspaceId};
 
 /// Longest answer that is kept with its key, in bytes.
-pub const MAX_ANSWER: usize = 64 << 10;
+pub const MAX_KEPT_ANSWER: usize = 64 << 10;
 
 /// What became of the request that a key names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ClaimState {
     /// A router may send it, or did.
     Claimed,
     /// It certainly did not run; who comes next may claim it.
@@ -38,7 +38,7 @@
     /// Hash of what the key stands for: method, path and body.
     pub content: String,
     /// What became of it.
-    pub state: State,
+    pub state: ClaimState,
 }
 
 impl Claim {
@@ -50,7 +50,7 @@
             hash.update(it);
         }
         let content = hex(&hash.finalize());
-        Self { request: request.into(), content, state: State::Claimed }
+        Self { request: request.into(), content, state: ClaimState::Claimed }
     }
 
     /// Writes the row.
@@ -69,23 +69,23 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::claim::row_key;
+/// use portfield::idempotency::claim_key;
 ///
-/// assert_ne!(row_key(1, 7, "order-1"), row_key(2, 7, "order-1"));
+/// assert_ne!(claim_key(1, 7, "order-1"), claim_key(2, 7, "order-1"));
 /// ```
-pub fn row_key(workspace: WorkspaceId, service: u32, key: &str) -> String {
+pub fn claim_key(workspace: WorkspaceId, service: u32, key: &str) -> String {
     format!("claim/{workspace}/{service}/{}", hex(&Sha256::digest(key.as_bytes())))
 }
 
 /// What a router does about a key, given the row that it found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Write the claim over the row found.
-    Take,
+    Claim,
     /// The row is this request's own: a write that seemed lost was applied.
-    Own,
+    AlreadyHeld,
     /// Another request may have run under the key.
-    Taken,
+    Conflict,
     /// The key stands for another request content.
     Mismatch,
     /// The request ran: give the kept answer.
@@ -97,23 +97,23 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::claim::{Claim, Verdict, judge};
+/// use portfield::idempotency::{Claim, Decision, decide};
 ///
 /// let mine = Claim::new("a-1", &[b"POST", b"/order", b"{}"]);
-/// assert_eq!(judge(None, &mine), Verdict::Take);
-/// assert_eq!(judge(Some(&mine), &mine), Verdict::Own);
+/// assert_eq!(decide(None, &mine), Decision::Claim);
+/// assert_eq!(decide(Some(&mine), &mine), Decision::AlreadyHeld);
 /// let other = Claim::new("b-1", &[b"POST", b"/order", b"{}"]);
-/// assert_eq!(judge(Some(&other), &mine), Verdict::Taken);
+/// assert_eq!(decide(Some(&other), &mine), Decision::Conflict);
 /// ```
-pub fn judge(found: Option<&Claim>, mine: &Claim) -> Verdict {
-    let Some(found) = found else { return Verdict::Take };
+pub fn decide(found: Option<&Claim>, mine: &Claim) -> Decision {
+    let Some(found) = found else { return Decision::Claim };
     if found.content != mine.content {
-        return Verdict::Mismatch;
+        return Decision::Mismatch;
     }
     match &found.state {
-        State::Free => Verdict::Take,
-        State::Claimed if found.request == mine.request => Verdict::Own,
-        State::Claimed => Verdict::Taken,
-        State::Done { status, body } => Verdict::Replay(*status, body.clone()),
+        ClaimState::Free => Decision::Claim,
+        ClaimState::Claimed if found.request == mine.request => Decision::AlreadyHeld,
+        ClaimState::Claimed => Decision::Conflict,
+        ClaimState::Done { status, body } => Decision::Replay(*status, body.clone()),
     }
 }
--- a/crates/portfield/src/lib.rs
+++ b/crates/portfield/src/lib.rs
@@ -1,36 +1,37 @@
-//! Decisions of a router fleet that shares language-model capacity fairly.
+//! Decision logic of a router fleet that shares language-model capacity fairly.
 //!
-//! Nothing here does I/O or reads a clock. Each part is a state machine: a message and
-//! the time go in, actions come out. The binaries put sockets around it, the replay puts
-//! virtual time around it, and both run the same code. Time is a [`std::time::Duration`]
-//! since an arbitrary start.
+//! Nothing here does I/O or reads a clock. Each module is a state machine: a message and the
+//! current time go in, actions come out. The binaries drive it with sockets, the replay with
+//! virtual time, and both run the same code. Time is a [`std::time::Duration`] since an
+//! arbitrary start.
 //!
-//! One module a duty:
+//! Modules:
 //!
-//! - [`catalog`]: routes, workspaces and upstreams as a host on the platform knows them
-//! - [`balance`]: where a request goes, by each host's own decision on a shared digest
-//! - [`quarantine`]: requests that end the upstreams that run them
-//! - [`telling`]: how much a message to other hosts tells
-//! - [`waking`]: what a host that stood still trusts of what it knows
-//! - [`fleet`]: the configuration that operators state, its plans and its revisions
-//! - [`member`]: which hosts are alive, and which of them owns a shard
+//! - [`catalog`]: routes, workspaces and upstreams that a host knows
+//! - [`balance`]: load balancing, decided by each host on digests that the hosts exchange
+//! - [`quarantine`]: requests that crash the upstreams that run them
+//! - [`digest_scope`]: incremental and full digests
+//! - [`suspend`]: detection of suspended hosts, whose cached state may be stale
+//! - [`fleet`]: the operators' configuration, its plans and its revisions
+//! - [`member`]: membership, and which host owns a shard
 //! - [`schedule`]: queues, fair order and slots of the shards that a host owns
-//! - [`route`]: tickets, outcomes, retries and admission at the host that took a request
-//! - [`claim`]: at-most-once execution by idempotency key
-//! - [`burn`]: service-level objectives and burn rates
+//! - [`route`]: tickets, outcomes, retries and admission at the host that received a request
+//! - [`idempotency`]: at-most-once execution by idempotency key
+//! - [`slo`]: service-level objectives and burn rates
+//! - [`timer`]: timers driven by an external clock
 
 pub mod balance;
-pub mod burn;
 pub mod catalog;
-pub mod claim;
+pub mod digest_scope;
 pub mod fleet;
+pub mod idempotency;
 pub mod ids;
 pub mod member;
 pub mod quarantine;
 pub mod route;
 pub mod schedule;
-pub mod telling;
+pub mod slo;
+pub mod suspend;
 pub mod timer;
-pub mod waking;
 
 pub use portfield_wire as wire;
--- a/crates/portfield/src/quarantine/fingerprint.rs
+++ b/crates/portfield/src/quarantine/fingerprint.rs
@@ -13,14 +13,14 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::quarantine::Identity;
+/// use portfield::quarantine::RequestIdentity;
 ///
-/// let it = Identity { workspace: 7, method: "POST", target: "/draft/one", body: b"a lintel" };
+/// let it = RequestIdentity { workspace: 7, method: "POST", target: "/draft/one", body: b"a lintel" };
 /// assert_eq!(it.fingerprint(), it.fingerprint());
-/// assert_ne!(it.fingerprint(), Identity { workspace: 8, ..it }.fingerprint());
+/// assert_ne!(it.fingerprint(), RequestIdentity { workspace: 8, ..it }.fingerprint());
 /// ```
 #[derive(Debug, Clone, Copy)]
-pub struct Identity<'a> {
+pub struct RequestIdentity<'a> {
     /// Who asks: hash of the workspace's name.
     pub workspace: u32,
     /// Its method.
@@ -31,7 +31,7 @@
     pub body: &'a [u8],
 }
 
-impl Identity<'_> {
+impl RequestIdentity<'_> {
     /// Returns the fingerprint.
     ///
     /// Every request pays for it: 0.1 us with a body of 700 bytes, 1 us with 18 KB, 60 us with 1 MB (release build,
--- a/crates/portfield/src/quarantine/mod.rs
+++ b/crates/portfield/src/quarantine/mod.rs
@@ -1,16 +1,16 @@
 //! Requests that end the upstreams that run them.
 //!
-//! - [`Identity`]: what makes two requests the same one
-//! - [`Breaks`]: runs that broke, until it is known whether their upstreams ended with them
-//! - `case`: what is known against one request, and whether it is enough
+//! - [`RequestIdentity`]: what makes two requests the same one
+//! - [`BrokenAttempts`]: runs that broke, until it is known whether their upstreams ended with them
+//! - `crash_history`: what is known against one request, and whether it is enough
 //! - [`Quarantine`]: all of them, over the whole fleet
 
-mod breaks;
-mod case;
+mod broken_attempts;
+mod crash_history;
 mod fingerprint;
-mod register;
+mod registry;
 
-pub use breaks::{Breaks, Request};
-pub use case::{LETHAL_ENDS, MEMORY};
-pub use fingerprint::{Fingerprint, Identity};
-pub use register::{Quarantine, Verdict};
+pub use broken_attempts::{BrokenAttempts, RequestKey};
+pub use crash_history::{CRASH_THRESHOLD, RETENTION};
+pub use fingerprint::{Fingerprint, RequestIdentity};
+pub use registry::{Quarantine, QuarantineEntry};
--- a/crates/portfield/src/route/placing.rs
+++ b/crates/portfield/src/route/placing.rs
@@ -117,7 +117,7 @@
     pub(super) fn place_later(&mut self, now: Duration) {
         if !self.placing {
             self.placing = true;
-            self.timers.subscribe(now + REGISTER_PAUSE, Timer::Place);
+            self.timers.schedule(now + REGISTER_PAUSE, Timer::Place);
         }
     }
 
--- a/crates/portfield/src/route/router.rs
+++ b/crates/portfield/src/route/router.rs
@@ -135,7 +135,7 @@
     /// Builds a router that knows no scheduler yet; `life` differs from earlier lives.
     pub fn new(host: HostId, data_centre: impl Into<String>, life: u64) -> Self {
         let mut timers = Timers::default();
-        timers.subscribe(REPORT_PERIOD, Timer::Report);
+        timers.schedule(REPORT_PERIOD, Timer::Report);
         Self {
             data_centre: data_centre.into(),
             host,
@@ -213,7 +213,7 @@
         self.next_id += 1;
         let id = self.next_id;
         let shard = self.home_shard(request.service);
-        self.timers.subscribe(request.deadline, Timer::Deadline(id));
+        self.timers.schedule(request.deadline, Timer::Deadline(id));
         self.entries.insert(id, Entry { request, shard, since: now, stage: Stage::Homeless });
         self.place(now, id);
         Ok(id)
@@ -317,7 +317,7 @@
                 Timer::Report => {
                     self.report_progress();
                     self.connect(now);
-                    self.timers.subscribe(now + REPORT_PERIOD, Timer::Report);
+                    self.timers.schedule(now + REPORT_PERIOD, Timer::Report);
                 }
                 Timer::Place => {
                     self.placing = false;
@@ -330,7 +330,7 @@
 
     /// Returns when [`Router::tick`] has something to do next.
     pub fn next_tick(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
     /// Takes what is to be done.
--- a/crates/portfield/src/timer.rs
+++ b/crates/portfield/src/timer.rs
@@ -14,8 +14,8 @@
 /// use portfield::timer::Timers;
 ///
 /// let mut timers = Timers::default();
-/// timers.subscribe(Duration::from_secs(2), "probe");
-/// assert_eq!(timers.next(), Some(Duration::from_secs(2)));
+/// timers.schedule(Duration::from_secs(2), "probe");
+/// assert_eq!(timers.next_due(), Some(Duration::from_secs(2)));
 /// assert_eq!(timers.pop_due(Duration::from_secs(1)), None);
 /// assert_eq!(timers.pop_due(Duration::from_secs(2)), Some("probe"));
 /// ```
@@ -32,18 +32,18 @@
 
 impl<K: Ord + Clone> Timers<K> {
     /// Asks for `key` to be told at the instant `at`.
-    pub fn subscribe(&mut self, at: Duration, key: K) {
+    pub fn schedule(&mut self, at: Duration, key: K) {
         self.pending.insert((at, key));
     }
 
     /// Returns the instant of the earliest timer.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.pending.first().map(|(at, _)| *at)
     }
 
     /// Takes the earliest timer that is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<K> {
-        if now < self.next()? {
+        if now < self.next_due()? {
             return None;
         }
         self.pending.pop_first().map(|(_, key)| key)
--- a/crates/portfield/tests/backoff.rs
+++ b/crates/portfield/tests/backoff.rs
@@ -34,7 +34,7 @@
     let parts = vec![Part { id: shared, tokens: 5_000 }, Part { id: !shared, tokens: 400 }];
     Job {
         prompt: Some(Prompt { input: 5_400, output: 100, parts }),
-        engine: Some(EngineSpec { slots: 16, memory: 500_000, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 16, kv_capacity: 500_000, event_tokens: 3 }),
         objective: SECOND,
         ..plain()
     }
--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -31,7 +31,7 @@
         objective: OBJECTIVE,
         waited: Duration::ZERO,
         stage: Stage::New,
-        engine: Some(EngineSpec { slots: 64, memory: MEMORY, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 64, kv_capacity: MEMORY, event_tokens: 3 }),
     }
 }
 
--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -28,7 +28,7 @@
         objective: Duration::from_millis(800),
         waited: Duration::ZERO,
         stage: Stage::New,
-        engine: Some(EngineSpec { slots: 64, memory: MEMORY, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 64, kv_capacity: MEMORY, event_tokens: 3 }),
     }
 }
 
--- a/crates/portfield/tests/emulator/mod.rs
+++ b/crates/portfield/tests/emulator/mod.rs
@@ -204,7 +204,11 @@
             objective: demand.objective,
             waited: Duration::ZERO,
             stage: Stage::New,
-            engine: Some(EngineSpec { slots: 128, memory: 1_000_000, event_tokens: EVENT_TOKENS }),
+            engine: Some(EngineSpec {
+                slots: 128,
+                kv_capacity: 1_000_000,
+                event_tokens: EVENT_TOKENS,
+            }),
         }
     }
 
--- a/crates/portfield/tests/entries/mod.rs
+++ b/crates/portfield/tests/entries/mod.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use portfield::catalog::{Entry, State};
+use portfield::catalog::{State, UpstreamEntry};
 
 /// An entry of an upstream that does not tell when it was born.
-pub fn entry(id: &str, state: State) -> Entry {
-    Entry {
+pub fn entry(id: &str, state: State) -> UpstreamEntry {
+    UpstreamEntry {
         id: id.to_owned(),
-        born: None,
+        started_ms: None,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         data_centre: "north".to_owned(),
         slots: 6,
         state,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
--- a/crates/portfield/tests/evacuation.rs
+++ b/crates/portfield/tests/evacuation.rs
@@ -2,22 +2,24 @@
 
 use std::time::Duration;
 
-use portfield::catalog::{Evacuations, ORDER_GRACE, Order, OrderChange, Source, StoreVersion};
+use portfield::catalog::{
+    EVACUATION_GRACE, EvacuationChange, EvacuationRow, Evacuations, MissingRows, StoreVersion,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// A store that has just come back from a copy of itself.
-const COPY: Source = Source::AfterOutage { returned: SECOND };
+const COPY: MissingRows = MissingRows::MayReturn { restored_at: SECOND };
 
-fn order(data_centre: &str, row: u64) -> Order {
-    Order { data_centre: data_centre.to_owned(), row, is_lifted: false }
+fn order(data_centre: &str, row: u64) -> EvacuationRow {
+    EvacuationRow { data_centre: data_centre.to_owned(), row_version: row, is_lifted: false }
 }
 
-fn lift(data_centre: &str, row: u64) -> Order {
-    Order { is_lifted: true, ..order(data_centre, row) }
+fn lift(data_centre: &str, row: u64) -> EvacuationRow {
+    EvacuationRow { is_lifted: true, ..order(data_centre, row) }
 }
 
-fn told(changes: Vec<OrderChange>) -> Vec<String> {
-    let sign = |it: &OrderChange| if it.is_lifted { "-" } else { "+" };
+fn told(changes: Vec<EvacuationChange>) -> Vec<String> {
+    let sign = |it: &EvacuationChange| if it.is_lifted { "-" } else { "+" };
     changes.iter().map(|it| format!("{}{}", sign(it), it.data_centre)).collect()
 }
 
@@ -33,13 +35,13 @@
     assert_eq!(told(it.apply(8, [lift("north", 8)])), ["-north"]);
     assert_eq!(in_force(&it), ["south"]);
     assert_eq!(it.apply(7, [lift("south", 7)]), [], "an older version changes nothing");
-    assert_eq!(told(it.replace(9, [order("east", 9)], Source::Current)), ["-south", "+east"]);
+    assert_eq!(told(it.replace(9, [order("east", 9)], MissingRows::Deleted)), ["-south", "+east"]);
 }
 
 #[test]
 fn a_fleet_without_orders_tells_no_version() {
     let mut it = Evacuations::default();
-    it.replace(500, [], Source::Current);
+    it.replace(500, [], MissingRows::Deleted);
     it.apply(501, []);
     assert_eq!(it.version(), StoreVersion::default());
 }
@@ -52,10 +54,10 @@
     it.replace(StoreVersion::new(1, 512), [], COPY);
     assert_eq!(in_force(&it), ["north"]);
     it.apply(StoreVersion::new(1, 520), [order("north", 520)]);
-    assert_eq!(it.expire(SECOND + ORDER_GRACE), []);
+    assert_eq!(it.expire(SECOND + EVACUATION_GRACE), []);
     assert_eq!(in_force(&it), ["north"]);
     it.replace(StoreVersion::new(2, 512), [], COPY);
-    assert_eq!(told(it.expire(SECOND + ORDER_GRACE)), ["-north"], "nobody wrote it again");
+    assert_eq!(told(it.expire(SECOND + EVACUATION_GRACE)), ["-north"], "nobody wrote it again");
 }
 
 /// The copy is of before an order was taken back: its row is the one that was there before.
@@ -89,11 +91,11 @@
     first.replace(StoreVersion::new(1, 470), [], COPY);
     let mut second = Evacuations::default();
     second.apply(3, [order("east", 3)]);
-    let list = first.list(SECOND);
-    assert_eq!(told(second.learn(SECOND, first.version(), list.clone())), ["-east", "+south"]);
-    assert_eq!(second.learn(SECOND, first.version(), list), []);
+    let list = first.snapshot(SECOND);
+    assert_eq!(told(second.merge(SECOND, first.version(), list.clone())), ["-east", "+south"]);
+    assert_eq!(second.merge(SECOND, first.version(), list), []);
     // It keeps what the store has lost no longer than the first does, and knows what is over.
-    assert_eq!(told(second.expire(SECOND + ORDER_GRACE)), ["-south"]);
+    assert_eq!(told(second.expire(SECOND + EVACUATION_GRACE)), ["-south"]);
     let version = StoreVersion::new(2, 481);
     assert_eq!(second.replace(version, [order("north", 480)], COPY), []);
 }
--- a/crates/portfield/tests/fleet/mod.rs
+++ b/crates/portfield/tests/fleet/mod.rs
@@ -154,8 +154,8 @@
             ..Digest::default()
         };
         host.balancer.report(own, &mut digest);
-        digest.suspects = host.quarantine.report(own, &audience, host.sequence);
-        digest.draining = host.drains.report(audience.telling(host.sequence), |_| true);
+        digest.suspects = host.quarantine.suspects_for_digest(own, &audience, host.sequence);
+        digest.draining = host.drains.take_for_digest(audience.telling(host.sequence), |_| true);
         let mut out = Vec::new();
         if audience.speaks() {
             let mut sum = Digest {
@@ -165,8 +165,8 @@
                 ..digest.clone()
             };
             host.balancer.summarize(own, &mut sum);
-            sum.suspects = host.quarantine.summarize(own);
-            sum.draining = host.drains.summarize(|_| true);
+            sum.suspects = host.quarantine.suspects_for_summary(own);
+            sum.draining = host.drains.for_summary(|_| true);
             let told = host.others.told_sum(own, host.sequence);
             out.extend(told.into_iter().map(|it| (it, sum.clone())));
         }
@@ -222,9 +222,9 @@
                 continue;
             }
             host.others.hear(now, from, &it);
-            host.quarantine.take(now, &it.suspects);
+            host.quarantine.merge(now, &it.suspects);
             it.draining.iter().for_each(|it| {
-                host.drains.note(*it);
+                host.drains.insert(*it);
             });
             if host.orders < it.orders_version && host.fetching.is_none() {
                 host.fetching = Some((it.orders_version, self.now + FETCH));
--- a/crates/portfield/tests/quarantine.rs
+++ b/crates/portfield/tests/quarantine.rs
@@ -2,7 +2,10 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use portfield::quarantine::{Breaks, Identity, LETHAL_ENDS, MEMORY, Quarantine, Request, Verdict};
+use portfield::quarantine::{
+    BrokenAttempts, CRASH_THRESHOLD, Quarantine, QuarantineEntry, RETENTION, RequestIdentity,
+    RequestKey,
+};
 use portfield::{
     balance::{Audience, Place},
     wire::Suspect,
@@ -15,8 +18,8 @@
 /// Some time after a host's start.
 const NOW: Duration = Duration::from_secs(100);
 
-fn request(fingerprint: u64) -> Request {
-    Request { workspace: 7, fingerprint }
+fn request(fingerprint: u64) -> RequestKey {
+    RequestKey { workspace: 7, fingerprint }
 }
 
 /// The fan-out of a host among few.
@@ -27,131 +30,134 @@
 
 /// Returns what a host tells in its next digest.
 fn news(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
-    it.report(now, &audience(), 1)
+    it.suspects_for_digest(now, &audience(), 1)
 }
 
 /// Returns what a host tells in a digest that tells all.
 fn whole(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
-    it.report(now, &audience(), 8)
+    it.suspects_for_digest(now, &audience(), 8)
 }
 
 /// Lets a request end so many upstreams, numbered from `first`.
-fn end(it: &mut Quarantine, request: Request, first: u32, n: u32) -> Option<Verdict> {
-    let end = |upstream| it.ended(NOW, &[request], upstream).pop();
+fn end(it: &mut Quarantine, request: RequestKey, first: u32, n: u32) -> Option<QuarantineEntry> {
+    let end = |upstream| it.record_crash(NOW, &[request], upstream).pop();
     (first..first + n).filter_map(end).last()
 }
 
 #[test]
 fn another_body_path_method_or_workspace_is_another_request() {
-    let it = Identity { workspace: 7, method: "POST", target: "/draft/a", body: b"lintel" };
+    let it = RequestIdentity { workspace: 7, method: "POST", target: "/draft/a", body: b"lintel" };
     let others = [
-        Identity { workspace: 8, ..it },
-        Identity { method: "PUT", ..it },
-        Identity { target: "/draft/a?q", ..it },
-        Identity { target: "/draft/", body: b"alintel", ..it },
-        Identity { body: b"", ..it },
+        RequestIdentity { workspace: 8, ..it },
+        RequestIdentity { method: "PUT", ..it },
+        RequestIdentity { target: "/draft/a?q", ..it },
+        RequestIdentity { target: "/draft/", body: b"alintel", ..it },
+        RequestIdentity { body: b"", ..it },
     ];
     assert!(others.iter().all(|other| other.fingerprint() != it.fingerprint()));
 }
 
 #[test]
 fn a_run_that_broke_counts_only_where_its_upstream_ended() {
-    let mut breaks = Breaks::default();
-    assert!(!breaks.note(MS, request(1), 3));
-    assert!(!breaks.note(MS, request(2), 4));
-    assert!(!breaks.note(MS, request(1), 3));
-    assert_eq!(breaks.ended(MS * 2, 3), [request(1)]);
-    assert_eq!(breaks.ended(MS * 3, 3), []);
+    let mut breaks = BrokenAttempts::default();
+    assert!(!breaks.record_break(MS, request(1), 3));
+    assert!(!breaks.record_break(MS, request(2), 4));
+    assert!(!breaks.record_break(MS, request(1), 3));
+    assert_eq!(breaks.record_crash(MS * 2, 3), [request(1)]);
+    assert_eq!(breaks.record_crash(MS * 3, 3), []);
 }
 
 #[test]
 fn either_the_break_or_the_end_may_be_seen_first() {
-    let mut breaks = Breaks::default();
-    assert_eq!(breaks.ended(MS, 3), []);
-    assert!(breaks.note(MS * 5, request(1), 3));
+    let mut breaks = BrokenAttempts::default();
+    assert_eq!(breaks.record_crash(MS, 3), []);
+    assert!(breaks.record_break(MS * 5, request(1), 3));
 }
 
 #[test]
 fn what_broke_long_before_its_upstream_ended_does_not_count() {
-    let mut breaks = Breaks::default();
-    breaks.note(MS, request(1), 3);
-    assert_eq!(breaks.ended(MS * 6000, 3), []);
+    let mut breaks = BrokenAttempts::default();
+    breaks.record_break(MS, request(1), 3);
+    assert_eq!(breaks.record_crash(MS * 6000, 3), []);
 }
 
 #[test]
 fn what_is_remembered_of_breaks_is_bounded() {
-    let mut breaks = Breaks::default();
+    let mut breaks = BrokenAttempts::default();
     for n in 0..10_000 {
-        breaks.note(MS, request(n), 3);
+        breaks.record_break(MS, request(n), 3);
     }
-    assert_eq!(breaks.ended(MS, 3).len(), 1024);
+    assert_eq!(breaks.record_crash(MS, 3).len(), 1024);
 }
 
 #[test]
 fn the_third_end_is_the_verdict_and_a_fourth_no_new_one() {
     let mut it = Quarantine::default();
     assert_eq!(end(&mut it, request(1), 10, 2), None);
-    assert_eq!(it.verdict(NOW, request(1)), None);
-    let verdict = it.ended(NOW, &[request(1)], 12).pop().unwrap();
-    assert_eq!((verdict.n_ends, verdict.left, verdict.is_own), (LETHAL_ENDS, HOLD, true));
-    assert_eq!(it.verdict(NOW, request(1)), Some(verdict));
-    assert_eq!(it.ended(NOW, &[request(1)], 13), []);
-    assert_eq!(it.verdict(NOW, request(2)), None, "another request");
-    let elsewhere = Request { workspace: 8, fingerprint: 1 };
-    assert_eq!(it.verdict(NOW, elsewhere), None, "another workspace");
+    assert_eq!(it.entry(NOW, request(1)), None);
+    let verdict = it.record_crash(NOW, &[request(1)], 12).pop().unwrap();
+    assert_eq!(
+        (verdict.n_crashes, verdict.remaining, verdict.is_local),
+        (CRASH_THRESHOLD, HOLD, true)
+    );
+    assert_eq!(it.entry(NOW, request(1)), Some(verdict));
+    assert_eq!(it.record_crash(NOW, &[request(1)], 13), []);
+    assert_eq!(it.entry(NOW, request(2)), None, "another request");
+    let elsewhere = RequestKey { workspace: 8, fingerprint: 1 };
+    assert_eq!(it.entry(NOW, elsewhere), None, "another workspace");
 }
 
 #[test]
 fn the_last_try_before_a_verdict_is_known_as_such() {
     let mut it = Quarantine::default();
     end(&mut it, request(1), 10, 1);
-    assert!(!it.is_last_try(NOW, request(1)));
+    assert!(!it.is_one_crash_away(NOW, request(1)));
     end(&mut it, request(1), 11, 1);
-    assert!(it.is_last_try(NOW, request(1)));
+    assert!(it.is_one_crash_away(NOW, request(1)));
     end(&mut it, request(1), 12, 1);
-    assert!(!it.is_last_try(NOW, request(1)), "it is not tried at all");
-    assert!(it.is_last_try(NOW + HOLD, request(1)), "it is tried again");
-    assert!(!it.is_last_try(NOW, request(2)));
+    assert!(!it.is_one_crash_away(NOW, request(1)), "it is not tried at all");
+    assert!(it.is_one_crash_away(NOW + HOLD, request(1)), "it is tried again");
+    assert!(!it.is_one_crash_away(NOW, request(2)));
 }
 
 #[test]
 fn ends_that_three_hosts_saw_add_up_and_the_same_one_counts_once() {
     let mut hosts: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
     for (host, upstream) in hosts.iter_mut().zip([10, 11, 11]) {
-        host.ended(NOW, &[request(1)], upstream);
+        host.record_crash(NOW, &[request(1)], upstream);
     }
     let told: Vec<Suspect> = hosts.iter_mut().flat_map(|it| news(it, NOW)).collect();
     for host in &mut hosts {
-        assert_eq!(host.take(NOW, &told), []);
-        assert_eq!(host.take(NOW, &told), [], "told again");
+        assert_eq!(host.merge(NOW, &told), []);
+        assert_eq!(host.merge(NOW, &told), [], "told again");
     }
-    hosts[2].ended(NOW + MS, &[request(1)], 12);
+    hosts[2].record_crash(NOW + MS, &[request(1)], 12);
     let told = news(&mut hosts[2], NOW + MS * 2);
     // Another host's clock began at another time.
-    let verdicts = hosts[0].take(NOW * 3, &told);
+    let verdicts = hosts[0].merge(NOW * 3, &told);
     assert_eq!(verdicts.len(), 1);
-    assert!(hosts[0].verdict(NOW * 3, request(1)).is_some());
+    assert!(hosts[0].entry(NOW * 3, request(1)).is_some());
 }
 
 /// A request that many send with the same bytes is there when an upstream ends of something else.
 #[test]
 fn who_ended_well_since_has_nothing_against_it() {
     let mut it = Quarantine::default();
-    assert!(!it.clear(NOW, request(1)));
+    assert!(!it.record_success(NOW, request(1)));
     end(&mut it, request(1), 10, 2);
-    assert!(it.clear(NOW + MS, request(1)));
-    assert_eq!(it.ended(NOW + MS * 2, &[request(1)], 12), []);
+    assert!(it.record_success(NOW + MS, request(1)));
+    assert_eq!(it.record_crash(NOW + MS * 2, &[request(1)], 12), []);
     // Also where another host saw it end well, and the news of an earlier end comes later.
     let mut other = Quarantine::default();
     end(&mut other, request(1), 20, 2);
     let before = news(&mut other, NOW);
-    other.clear(NOW + SECOND, request(1));
+    other.record_success(NOW + SECOND, request(1));
     let after = news(&mut other, NOW + SECOND);
     let mut third = Quarantine::default();
-    third.take(NOW + SECOND, &after);
+    third.merge(NOW + SECOND, &after);
     let late: Vec<Suspect> = before.iter().map(|it| later(it, SECOND)).collect();
-    third.take(NOW + SECOND, &late);
-    assert_eq!(third.ended(NOW + SECOND * 2, &[request(1)], 30), []);
+    third.merge(NOW + SECOND, &late);
+    assert_eq!(third.record_crash(NOW + SECOND * 2, &[request(1)], 30), []);
 }
 
 /// Returns what was told, as it is some time later.
@@ -166,33 +172,33 @@
     let mut it = Quarantine::default();
     end(&mut it, request(1), 10, 3);
     let later = NOW + HOLD;
-    assert!(it.verdict(later - MS, request(1)).is_some());
-    assert_eq!(it.verdict(later, request(1)), None);
+    assert!(it.entry(later - MS, request(1)).is_some());
+    assert_eq!(it.entry(later, request(1)), None);
     news(&mut it, later);
-    assert!(!it.ended(later + SECOND, &[request(1)], 13).is_empty());
+    assert!(!it.record_crash(later + SECOND, &[request(1)], 13).is_empty());
     let again = later + SECOND + HOLD * 2;
-    assert!(it.verdict(again - MS, request(1)).is_some(), "for twice as long");
-    assert_eq!(it.verdict(again, request(1)), None);
+    assert!(it.entry(again - MS, request(1)).is_some(), "for twice as long");
+    assert_eq!(it.entry(again, request(1)), None);
 }
 
 #[test]
 fn after_a_longer_while_nothing_is_remembered() {
     let mut it = Quarantine::default();
     end(&mut it, request(1), 10, 3);
-    let later = NOW + MEMORY;
+    let later = NOW + RETENTION;
     news(&mut it, later);
     assert_eq!(it.n_suspects(), 0);
-    assert_eq!(it.ended(later, &[request(1)], 13), []);
+    assert_eq!(it.record_crash(later, &[request(1)], 13), []);
 }
 
 #[test]
 fn what_was_kept_holds_at_a_host_that_has_just_started() {
     let mut it = Quarantine::default();
     end(&mut it, request(1), 10, 3);
-    let kept = it.record(NOW + SECOND * 20, request(1)).unwrap();
+    let kept = it.suspect(NOW + SECOND * 20, request(1)).unwrap();
     let mut new = Quarantine::default();
-    assert_eq!(new.take(MS, &[kept]).len(), 1);
-    let left = new.verdict(MS, request(1)).unwrap().left;
+    assert_eq!(new.merge(MS, &[kept]).len(), 1);
+    let left = new.entry(MS, request(1)).unwrap().remaining;
     assert_eq!(left, HOLD - SECOND * 20, "the time before its own start counts");
 }
 
@@ -203,23 +209,23 @@
     end(&mut there, request(2), 20, 3);
     (0..20).for_each(|_| drop((news(&mut here, NOW), news(&mut there, NOW))));
     let (from_here, from_there) = (whole(&mut here, NOW), whole(&mut there, NOW));
-    here.take(NOW, &from_there);
-    there.take(NOW, &from_here);
+    here.merge(NOW, &from_there);
+    there.merge(NOW, &from_here);
     for it in [&here, &there] {
-        assert_eq!(it.verdicts(NOW).len(), 2);
+        assert_eq!(it.entries(NOW).len(), 2);
     }
 }
 
 #[test]
 fn a_caller_of_thousands_of_lethal_requests_pushes_out_no_one_else_s() {
     let mut it = Quarantine::default();
-    let others = Request { workspace: 8, fingerprint: 5 };
+    let others = RequestKey { workspace: 8, fingerprint: 5 };
     end(&mut it, others, 10, 3);
     for n in 0..10_000 {
         end(&mut it, request(n), 100 + n as u32 * 3, 3);
-        assert!(it.verdict(NOW, request(n)).is_some(), "the newest one holds");
+        assert!(it.entry(NOW, request(n)).is_some(), "the newest one holds");
     }
-    assert!(it.verdict(NOW, others).is_some());
+    assert!(it.entry(NOW, others).is_some());
     assert!(it.n_suspects() <= 100, "{}", it.n_suspects());
     let told = news(&mut it, NOW);
     assert!(told.len() <= 24, "{}", told.len());
@@ -230,9 +236,9 @@
     let mut it = Quarantine::default();
     end(&mut it, request(1), 10, 3);
     for n in 2..1000 {
-        it.ended(NOW + MS, &[request(n)], 1000);
+        it.record_crash(NOW + MS, &[request(n)], 1000);
     }
-    assert!(it.verdict(NOW + SECOND, request(1)).is_some());
+    assert!(it.entry(NOW + SECOND, request(1)).is_some());
 }
 
 /// Engines that end one after the other, with whatever runs there.
@@ -240,7 +246,7 @@
     now: Duration,
     rng: fastrand::Rng,
     quarantine: Quarantine,
-    /// Request, engine, end of its run, attempts made.
+    /// RequestKey, engine, end of its run, attempts made.
     runs: Vec<(u64, u32, Duration, u32)>,
     /// When each engine is back.
     back: Vec<Duration>,
@@ -271,7 +277,7 @@
     }
 
     fn send(&mut self, now: Duration, id: u64, n_attempts: u32) {
-        if self.quarantine.verdict(now, request(id)).is_some() {
+        if self.quarantine.entry(now, request(id)).is_some() {
             self.refused.insert(id);
             return;
         }
@@ -291,8 +297,8 @@
         let (broken, rest): (Vec<_>, Vec<_>) = self.runs.drain(..).partition(|it| it.1 == engine);
         self.runs = rest;
         self.n_broken += broken.len() as u32;
-        let requests: Vec<Request> = broken.iter().map(|it| request(it.0)).collect();
-        self.quarantine.ended(now, &requests, self.n_incarnations);
+        let requests: Vec<RequestKey> = broken.iter().map(|it| request(it.0)).collect();
+        self.quarantine.record_crash(now, &requests, self.n_incarnations);
         for (id, _, _, n_attempts) in broken {
             if n_attempts < ATTEMPTS {
                 self.send(now, id, n_attempts + 1);
@@ -307,7 +313,7 @@
         let (done, rest): (Vec<_>, Vec<_>) = self.runs.drain(..).partition(|it| it.2 <= now);
         self.runs = rest;
         for it in done {
-            self.quarantine.clear(now, request(it.0));
+            self.quarantine.record_success(now, request(it.0));
         }
         if self.rng.f64() < 0.6 {
             self.n_sent += 1;
--- a/crates/portfield/tests/burn.rs
+++ b/crates/portfield/tests/slo.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use portfield::{
-    burn::{Alert, Sample, Windows, alert},
     fleet::{Kind, Service},
+    slo::{Alert, Sample, SlidingWindows, burn_alert},
 };
 
 fn service() -> Service {
@@ -21,28 +21,28 @@
 }
 
 fn sample(first: u64) -> Sample {
-    Sample { first: Some(Duration::from_millis(first)), gap: Duration::ZERO }
+    Sample { first_byte: Some(Duration::from_millis(first)), token_gap: Duration::ZERO }
 }
 
 #[test]
 fn windows_forget_what_is_old() {
-    let mut it = Windows::default();
+    let mut it = SlidingWindows::default();
     let minutes = |n: u64| Duration::from_secs(60 * n);
     it.record(minutes(0), 1, &service(), sample(900));
     it.record(minutes(20), 1, &service(), sample(100));
-    let (key, sums) = it.sums(minutes(20)).next().unwrap();
+    let (key, sums) = it.totals(minutes(20)).next().unwrap();
     assert_eq!(key, (1, 2));
     assert_eq!(sums.map(|it| (it.total, it.late)), [(1, 0), (2, 1), (2, 1), (2, 1)]);
-    let (_, sums) = it.sums(minutes(370)).next().unwrap();
+    let (_, sums) = it.totals(minutes(370)).next().unwrap();
     assert_eq!(sums.map(|it| it.total), [0, 0, 0, 1]);
 }
 
 #[test]
 fn an_alert_needs_a_long_and_a_short_window() {
-    let mut it = Windows::default();
-    let bad = Sample { first: None, gap: Duration::ZERO };
+    let mut it = SlidingWindows::default();
+    let bad = Sample { first_byte: None, token_gap: Duration::ZERO };
     (0..100).for_each(|_| it.record(Duration::ZERO, 1, &service(), bad));
-    let at = |secs| alert(&it.sums(Duration::from_secs(secs)).next().unwrap().1);
+    let at = |secs| burn_alert(&it.totals(Duration::from_secs(secs)).next().unwrap().1);
     assert_eq!(at(60), Alert::Fast);
     assert_eq!(at(10 * 60), Alert::Slow);
     assert_eq!(at(45 * 60), Alert::None);
--- a/crates/portfield/tests/speakers.rs
+++ b/crates/portfield/tests/speakers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet::{Host, World};
-use portfield::{balance::host_hash, quarantine::Request};
+use portfield::{balance::host_hash, quarantine::RequestKey};
 
 /// Age of the last word of a host: two periods of 118 ms at 59 hosts, and one lost.
 const AGE: Duration = Duration::from_millis(400);
@@ -117,25 +117,25 @@
 }
 
 /// A request whose runs ended upstreams at three hosts, one each, in three data centres.
-fn with_suspect(n_each: u32, loss: u32) -> (World, Request) {
+fn with_suspect(n_each: u32, loss: u32) -> (World, RequestKey) {
     let mut world = World::new(5, n_each, None);
     world.loss = loss;
     world.run(Duration::from_secs(5));
-    let request = Request { workspace: 7, fingerprint: 0xfeed };
+    let request = RequestKey { workspace: 7, fingerprint: 0xfeed };
     for (i, upstream) in [(1, 100), (7, 101), (8, 102)] {
         let host = &mut world.hosts[i];
         let own = world.now - host.started;
-        assert_eq!(host.quarantine.ended(own, &[request], upstream), []);
+        assert_eq!(host.quarantine.record_crash(own, &[request], upstream), []);
     }
     (world, request)
 }
 
 impl World {
     /// Returns how many hosts would send a request.
-    fn n_sending(&self, request: Request) -> usize {
+    fn n_sending(&self, request: RequestKey) -> usize {
         let sends = |it: &&Host| {
             let own = self.now.saturating_sub(it.started);
-            it.is_alive && it.quarantine.verdict(own, request).is_none()
+            it.is_alive && it.quarantine.entry(own, request).is_none()
         };
         self.hosts.iter().filter(sends).count()
     }
@@ -167,8 +167,8 @@
     let (mut world, request) = with_suspect(60, 10);
     for n in 0..1500 {
         let host = &mut world.hosts[n % 300];
-        let other = Request { workspace: n as u32 % 40, fingerprint: n as u64 };
-        host.quarantine.ended(world.now - host.started, &[other], 200 + n as u32 % 100);
+        let other = RequestKey { workspace: n as u32 % 40, fingerprint: n as u64 };
+        host.quarantine.record_crash(world.now - host.started, &[other], 200 + n as u32 % 100);
     }
     world.run(Duration::from_secs(3));
     assert_eq!(world.n_sending(request), 0);
@@ -224,7 +224,7 @@
     world.run(Duration::from_secs(3));
     let left = |world: &World, i: usize| {
         let host = &world.hosts[i];
-        host.quarantine.verdict(world.now - host.started, request).unwrap().left
+        host.quarantine.entry(world.now - host.started, request).unwrap().remaining
     };
     let (here, there) = (left(&world, still[0]), left(&world, new));
     assert!(here < Duration::from_secs(60), "{here:?}");
@@ -293,9 +293,9 @@
             let mut world = World::new(n_centres, n_each, None);
             world.run(Duration::from_secs(6));
             world.loss = loss;
-            world.hosts[7].drains.note(9);
+            world.hosts[7].drains.insert(9);
             let start = world.now;
-            while world.hosts.iter().any(|it| !it.drains.covers(9)) {
+            while world.hosts.iter().any(|it| !it.drains.contains(9)) {
                 world.run(Duration::from_millis(10));
                 let time = world.now - start;
                 let text = format!("{n_centres} data centres of {n_each} hosts, {loss} % lost");
@@ -311,11 +311,11 @@
     for n_each in [3, 21] {
         let mut world = World::new(3, n_each, None);
         world.run(Duration::from_secs(5));
-        world.hosts[7].drains.note(9);
+        world.hosts[7].drains.insert(9);
         world.run(Duration::from_secs(2));
         world.hosts[7].is_alive = false;
         world.revive(5);
         world.run(Duration::from_secs(4));
-        assert!(world.hosts[5].drains.covers(9), "{n_each} hosts a data centre");
+        assert!(world.hosts[5].drains.contains(9), "{n_each} hosts a data centre");
     }
 }
