--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -121,7 +121,7 @@
 ) -> AttemptResult {
     let mut run = RunGuard::start(host, call, placed);
     let sent = clock::now();
-    let kept = host.pool.take(upstream.number());
+    let kept = host.pool.take(upstream.wire_id());
     let mut connection = match kept {
         Some(it) => it,
         None => match open(host, upstream).await {
--- a/crates/portfield-host/src/cold_start.rs
+++ b/crates/portfield-host/src/cold_start.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     balance::cold_quota,
-    catalog::{Upstream, Warming},
+    catalog::{ColdStart, Upstream},
 };
 use portfield_net::clock;
 
@@ -18,7 +18,7 @@
 
 /// Whether the upstreams of a service are cold after their start.
 enum WarmupPolicy {
-    Cold(Warming),
+    Cold(ColdStart),
     /// They may take all that they have slots for.
     Warm,
     /// No configuration is known that says so.
@@ -28,10 +28,13 @@
 impl Host {
     /// Takes what upstreams say of themselves.
     pub(crate) fn update_cold(&self, told: &[Arc<Upstream>]) {
-        let (warm, cold): (Vec<_>, Vec<_>) = told.iter().partition(|it| it.entry.cold.is_zero());
-        warm.iter().for_each(|it| self.balancer().mark_warm(it.number()));
-        let n_cold =
-            cold.iter().filter(|it| self.mark_cold(it, Some(it.entry.cold), cold.len())).count();
+        let (warm, cold): (Vec<_>, Vec<_>) =
+            told.iter().partition(|it| it.entry.cold_remaining.is_zero());
+        warm.iter().for_each(|it| self.balancer().mark_warm(it.wire_id()));
+        let n_cold = cold
+            .iter()
+            .filter(|it| self.mark_cold(it, Some(it.entry.cold_remaining), cold.len()))
+            .count();
         if MAX_LINES < n_cold {
             log::info!(n = n_cold; "upstreams cold");
         }
@@ -58,12 +61,12 @@
     fn mark_cold(&self, upstream: &Upstream, told: Option<Duration>, n_together: usize) -> bool {
         let (time, quota) = match (self.warmup_policy(&upstream.entry.service), told) {
             (WarmupPolicy::Cold(it), told) => {
-                (told.unwrap_or(it.time), self.cold_quota_for(upstream, it))
+                (told.unwrap_or(it.duration), self.cold_quota_for(upstream, it))
             }
             (WarmupPolicy::Unknown, Some(told)) => (told, 0),
             (WarmupPolicy::Unknown, None) => return false,
             (WarmupPolicy::Warm, _) => {
-                self.balancer().mark_warm(upstream.number());
+                self.balancer().mark_warm(upstream.wire_id());
                 return false;
             }
         };
@@ -71,24 +74,24 @@
             let id = &upstream.entry.id;
             log::info!(upstream = id, cold_ms = time.as_millis() as u64, quota; "upstream cold");
         }
-        self.balancer().mark_cold(upstream.number(), clock::now() + time, quota);
+        self.balancer().mark_cold(upstream.wire_id(), clock::now() + time, quota);
         true
     }
 
     fn warmup_policy(&self, service: &str) -> WarmupPolicy {
         let Some(active_config) = self.active_config() else { return WarmupPolicy::Unknown };
-        let warming = active_config.catalog.service(service).and_then(|it| it.warming);
+        let warming = active_config.catalog.service(service).and_then(|it| it.cold_start);
         warming.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
     }
 
     /// Returns how many requests a second this host may send to a cold upstream.
-    fn cold_quota_for(&self, upstream: &Upstream, warming: Warming) -> u32 {
+    fn cold_quota_for(&self, upstream: &Upstream, warming: ColdStart) -> u32 {
         if !self.has_loaded_hosts() && clock::now() < STARTING {
             return 0;
         }
         let settings = self.settings();
-        let most = warming.rate * settings.cold_overrun + settings.cold_slack;
+        let most = warming.max_rate * settings.cold_overrun + settings.cold_slack;
         let hosts = self.peers().hosts_in(hash_name(&upstream.entry.data_centre));
-        cold_quota(most, &hosts, self.own_hash(), upstream.number())
+        cold_quota(most, &hosts, self.own_hash(), upstream.wire_id())
     }
 }
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -67,7 +67,7 @@
     let is_error = parts.status.is_server_error();
     run.end(if is_error { Completion::Error } else { Completion::Done });
     if head.keep_alive {
-        exchange.host.pool.put(upstream.number(), connection, head.idle_timeout);
+        exchange.host.pool.put(upstream.wire_id(), connection, head.idle_timeout);
     }
     portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let body = Full::new(bytes).map_err(|it| match it {}).boxed_unsync();
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -9,7 +9,7 @@
 use portfield::{
     balance::{Delivery, GossipTopology, WatcherStatus},
     catalog::StoreVersion,
-    waking::Knowledge,
+    suspend::CachedState,
 };
 use portfield_net::{clock, contain};
 use portfield_wire::Digest;
@@ -193,13 +193,13 @@
         if known.config < digest.config_version {
             self.config.note(address);
         } else if hears_store && orders <= known.orders {
-            host.suspension().heard_host(Knowledge::Config);
+            host.suspension().confirm_from_peer(CachedState::Config);
         }
         host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.note(address);
         } else if hears_store {
-            host.suspension().heard_host(Knowledge::Upstreams);
+            host.suspension().confirm_from_peer(CachedState::Upstreams);
         }
     }
 
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -21,7 +21,7 @@
 /// Starts to try an upstream that could not be reached, unless it is being tried, until it is reached or
 /// gone; `err` is what the last try said.
 pub(crate) fn start_reconnect(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
-    if !host.probes.begin(upstream.number()) {
+    if !host.probes.begin(upstream.wire_id()) {
         return;
     }
     note_unreachable(host, upstream, err);
@@ -29,7 +29,7 @@
     let first = err.kind().into();
     host.rt.spawn(async move {
         probe_until_reachable(&task, &upstream, &first).await;
-        task.probes.end(upstream.number());
+        task.probes.end(upstream.wire_id());
     });
 }
 
@@ -38,13 +38,13 @@
 /// A run breaks with its connection or with its upstream; the one costs its callers one answer, the other all
 /// that ran there. A connection that can be opened takes the place of the broken one.
 pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
-    if !host.probes.begin(upstream.number()) {
+    if !host.probes.begin(upstream.wire_id()) {
         return;
     }
     let (task, upstream) = (host.clone(), upstream.clone());
     host.rt.spawn(async move {
         verify_with_retry(&task, &upstream).await;
-        task.probes.end(upstream.number());
+        task.probes.end(upstream.wire_id());
     });
 }
 
@@ -56,7 +56,7 @@
             Ok(it) => {
                 clock::sleep(MIN_OPEN_TIME).await;
                 if !it.sender.is_closed() {
-                    host.pool.put(upstream.number(), it, None);
+                    host.pool.put(upstream.wire_id(), it, None);
                     return;
                 }
             }
@@ -103,11 +103,11 @@
         let opened = host.pool.open(upstream.entry.address).await;
         has_ended |= opened.as_ref().is_err_and(is_refused);
         if let Ok(it) = opened {
-            host.pool.put(upstream.number(), it, None);
+            host.pool.put(upstream.wire_id(), it, None);
             if has_ended {
                 host.presume_cold(upstream);
             }
-            host.balancer().record_reachable(upstream.number());
+            host.balancer().record_reachable(upstream.wire_id());
             let lost_ms = (clock::now() - lost).as_millis() as u64;
             log::info!(upstream = upstream.entry.id, lost_ms; "upstream reachable");
             return;
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -18,8 +18,8 @@
         StoreAvailability, StoreWatchers, WatcherStatus, host_hash,
     },
     catalog::Catalog,
-    quarantine::{Breaks, Quarantine, Request},
-    waking::Waking,
+    quarantine::{BrokenAttempts, Quarantine, RequestKey},
+    suspend::SuspendDetector,
 };
 use portfield_net::{clock, contain, rt::Runtime};
 use xxhash_rust::xxh3::xxh3_64;
@@ -67,11 +67,11 @@
     store_readers: Mutex<StoreWatchers>,
     store_contacts: Mutex<StoreAvailability>,
     governor: Mutex<LoadShedder>,
-    broken_runs: Mutex<Breaks>,
+    broken_runs: Mutex<BrokenAttempts>,
     quarantine: Mutex<Quarantine>,
-    suspension: Mutex<Waking>,
+    suspension: Mutex<SuspendDetector>,
     /// Requests whose verdict the store is to keep.
-    verdict_queue: Sender<Request>,
+    verdict_queue: Sender<RequestKey>,
     /// When the store was first asked which requests are refused.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
@@ -92,7 +92,7 @@
     /// Builds the state of a process that knows nothing yet.
     ///
     /// Returns with it the requests whose verdict the store is to keep, as they come.
-    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
+    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<RequestKey>) {
         let place = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash_name(&settings.data_centre),
@@ -167,7 +167,7 @@
         if catalog.version() <= old {
             return;
         }
-        self.balancer().set_capacity(catalog.limits().tokens_rate);
+        self.balancer().set_capacity(catalog.limits().token_rate);
         let version = catalog.version();
         *active_config = Some(ActiveConfig { catalog: Arc::new(catalog), bytes });
         drop(active_config);
@@ -211,12 +211,12 @@
     }
 
     /// Returns the runs that broke of late.
-    pub(crate) fn broken_runs(&self) -> MutexGuard<'_, Breaks> {
+    pub(crate) fn broken_runs(&self) -> MutexGuard<'_, BrokenAttempts> {
         self.broken_runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether this host has stood still, and what it has heard since.
-    pub(crate) fn suspension(&self) -> MutexGuard<'_, Waking> {
+    pub(crate) fn suspension(&self) -> MutexGuard<'_, SuspendDetector> {
         self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -254,10 +254,10 @@
     }
 
     /// Has the store keep what is known against a request.
-    pub(crate) fn persist_verdict(&self, request: Request) {
+    pub(crate) fn persist_verdict(&self, request: RequestKey) {
         if self.verdict_queue.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_text(); "verdict not kept");
+            log::warn!(fingerprint = request.fingerprint_hex(); "verdict not kept");
         }
     }
 
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use portfield::{
     balance::STORE_CALL_TIMEOUT,
-    catalog::{RETURN_GRACE, Source, StoreVersion},
-    quarantine::Request,
-    waking::Knowledge,
+    catalog::{MissingRows, REGISTRATION_GRACE, StoreVersion},
+    quarantine::RequestKey,
+    suspend::CachedState,
 };
 use portfield_net::{clock, http1::Error};
 use portfield_platform::store::{self, Row, Rows, Store};
@@ -43,17 +43,17 @@
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts the tasks.
-pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
+pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<RequestKey>) {
     let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = WatchedTable {
         table: store::OPERATOR_TABLE,
-        what: Knowledge::Config,
+        what: CachedState::Config,
         interval: OPERATOR_INTERVAL,
         take: apply_operator_rows,
     };
     let upstreams = WatchedTable {
         table: store::UPSTREAMS_TABLE,
-        what: Knowledge::Upstreams,
+        what: CachedState::Upstreams,
         interval: LIST_INTERVAL,
         take: apply_upstream_rows,
     };
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy)]
 struct WatchedTable {
     table: &'static str,
-    what: Knowledge,
+    what: CachedState,
     /// Least time between the beginnings of two calls.
     interval: Duration,
     take: fn(&Arc<Host>, TableUpdate),
@@ -179,16 +179,16 @@
             self.returned = Some(now);
         }
         self.host.update_store_era(version.era, "store");
-        let recent = self.returned.filter(|it| now < *it + RETURN_GRACE);
+        let recent = self.returned.filter(|it| now < *it + REGISTRATION_GRACE);
         let source = match recent {
-            Some(returned) => Source::AfterOutage { returned },
-            None => Source::Current,
+            Some(returned) => MissingRows::MayReturn { restored_at: returned },
+            None => MissingRows::Deleted,
         };
         let gap = std::mem::replace(&mut self.pace, self.followed.interval);
         (self.version, self.era) = (Some(version), Some(version.era));
         let news = TableUpdate { rows, reading: TableRead { version, scope, source } };
         (self.followed.take)(&self.host, news);
-        self.host.suspension().heard_store(asked, self.followed.what);
+        self.host.suspension().confirm_from_store(asked, self.followed.what);
         clock::sleep((asked + gap).saturating_sub(now)).await;
     }
 
@@ -243,7 +243,7 @@
         upstream_signals::log_expired_backoffs(&host);
         let now = clock::now();
         evacuations::expire(&host, now);
-        if !host.with_list(|it| it.directory.has_late(now)) {
+        if !host.with_list(|it| it.directory.has_expired(now)) {
             continue;
         }
         host.update_list(|it| {
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -11,7 +11,7 @@
     ///
     /// Called often, and before anything that relies on what the host knows.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
-        let still = self.suspension().look(clock::now())?;
+        let still = self.suspension().tick(clock::now())?;
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
         clock::woke();
@@ -23,12 +23,12 @@
     /// Returns whether what this host knows of the fleet may be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
-        self.suspension().trusts(clock::now())
+        self.suspension().is_state_usable(clock::now())
     }
 
     /// Returns when this host last went on after it had stood still, if it ever did.
     pub(crate) fn resumed_at(&self) -> Option<Duration> {
         self.check_suspension();
-        self.suspension().woke_at()
+        self.suspension().resumed_at()
     }
 }
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use super::balancer::FULL_DIGEST_EVERY;
-use crate::{telling::Telling, wire};
+use crate::{digest_scope::DigestScope, wire};
 
 /// Time between two digests with few hosts; fresher ones gained callers
 /// nothing.
@@ -139,12 +139,12 @@
     /// Returns how much this host's digest of that number tells of what changes seldom.
     ///
     /// In a large data centre everybody hears its speaker, and only that one tells all of it.
-    pub fn detail(&self, sequence: u64) -> Telling {
+    pub fn detail(&self, sequence: u64) -> DigestScope {
         let tells_all = !self.is_hierarchical() || self.is_leader();
         if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
-            return Telling::Whole;
+            return DigestScope::Full;
         }
-        Telling::News
+        DigestScope::Changes
     }
 
     /// Returns the time between two digests.
--- a/crates/portfield/tests/backoff.rs
+++ b/crates/portfield/tests/backoff.rs
@@ -36,7 +36,7 @@
         vec![PromptPart { id: shared, tokens: 5_000 }, PromptPart { id: !shared, tokens: 400 }];
     PlacementRequest {
         prompt: Some(Prompt { input_tokens: 5_400, max_output_tokens: 100, parts }),
-        engine: Some(EngineSpec { slots: 16, memory: 500_000, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 16, kv_capacity: 500_000, event_tokens: 3 }),
         objective: SECOND,
         ..plain()
     }
