--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -89,7 +89,7 @@
                     return Ok(live);
                 }
                 AttemptResult::Failed(outcome, cause) => {
-                    self.note_failed(&upstream, outcome, cause)?
+                    self.note_failed(&upstream, outcome, cause)?;
                 }
             }
         }
