--- a/crates/portfieldctl/src/change.rs
+++ b/crates/portfieldctl/src/change.rs
@@ -13,31 +13,31 @@
 pub(crate) async fn plan(platform: &Platform, file: &Path) -> eyre::Result<String> {
     let text = fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
     let intent = Intent::parse(&text)?;
-    let base = current(platform).await?;
-    keep(platform, &Plan::new(&intent, &base)).await
+    let base = read_current(platform).await?;
+    save_plan(platform, &Plan::new(&intent, &base)).await
 }
 
 /// Plans the leave of an upstream.
 pub(crate) async fn drain(platform: &Platform, upstream: SocketAddr) -> eyre::Result<String> {
-    let base = current(platform).await?;
+    let base = read_current(platform).await?;
     let mut fleet = base.clone();
-    let Some(it) = fleet.upstreams.iter_mut().find(|it| it.address == upstream) else {
+    let Some(found) = fleet.upstreams.iter_mut().find(|it| it.address == upstream) else {
         bail!("no upstream has the address {upstream}");
     };
-    it.leaving = true;
-    keep(platform, &Plan::between(&base, fleet)).await
+    found.leaving = true;
+    save_plan(platform, &Plan::between(&base, fleet)).await
 }
 
 /// Puts a plan in force.
 pub(crate) async fn confirm(platform: &Platform, id: &str) -> eyre::Result<String> {
     let plan = store::read_plan(platform, id).await.wrap_err("reading the plan")?;
-    let base = current(platform).await?;
-    let overtaken = || {
+    let base = read_current(platform).await?;
+    let describe_conflict = || {
         let err = plan.check(id, &base).err();
         let text = err.map(|it| it.to_string()).unwrap_or_default();
-        let since = Plan::between(&base, plan.fleet.clone()).changes;
+        let changes = Plan::between(&base, plan.fleet.clone()).changes;
         let mut res = format!("not confirmed: {text}\nagainst what is in force now it would:\n");
-        since.iter().for_each(|it| res.push_str(&format!("  {it}\n")));
+        changes.iter().for_each(|it| res.push_str(&format!("  {it}\n")));
         res
     };
     if plan.id() != id {
@@ -45,19 +45,19 @@
     }
     match store::confirm(platform, &plan).await? {
         Confirmed::InForce => Ok(format!("revision {} is in force\n", plan.fleet.revision)),
-        Confirmed::Overtaken => bail!("{}", overtaken()),
+        Confirmed::Overtaken => bail!("{}", describe_conflict()),
         Confirmed::Unclear => {
             bail!("the platform did not say whether it took effect; run it again")
         }
     }
 }
 
-async fn current(platform: &Platform) -> eyre::Result<Fleet> {
+async fn read_current(platform: &Platform) -> eyre::Result<Fleet> {
     let fleet = store::read_fleet(platform, 0).await.wrap_err("reading the configuration")?;
     Ok(fleet.unwrap_or_default())
 }
 
-async fn keep(platform: &Platform, plan: &Plan) -> eyre::Result<String> {
+async fn save_plan(platform: &Platform, plan: &Plan) -> eyre::Result<String> {
     if plan.changes.is_empty() {
         return Ok("nothing would change\n".to_owned());
     }
--- a/crates/portfieldctl/src/evacuations.rs
+++ b/crates/portfieldctl/src/evacuations.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 /// Page of a host's metrics address.
-const PAGE: &str = "/evacuations";
+const PATH: &str = "/evacuations";
 
 #[derive(Debug, Deserialize)]
 struct Row {
@@ -20,7 +20,7 @@
 ///
 /// Where the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
-    let evacuated: Vec<Row> = Target::direct(host).get(PAGE).await?;
+    let evacuated: Vec<Row> = Target::direct(host).get(PATH).await?;
     if evacuated.is_empty() {
         return Ok("no data centre is evacuated\n".to_owned());
     }
--- a/crates/portfieldctl/src/logs.rs
+++ b/crates/portfieldctl/src/logs.rs
@@ -28,7 +28,7 @@
 }
 
 impl Line {
-    fn text(&self, key: &str) -> String {
+    fn value_text(&self, key: &str) -> String {
         match self.kvs.get(key) {
             Some(Value::String(it)) => it.clone(),
             Some(Value::Number(it)) if it.is_f64() => {
@@ -39,17 +39,17 @@
         }
     }
 
-    fn is_of(&self, request: &str) -> bool {
+    fn is_for(&self, request: &str) -> bool {
         self.kvs.get("request").and_then(Value::as_str) == Some(request)
     }
 
     /// Writes the line for a reader; the request's own id is left out.
-    fn show(&self) -> String {
+    fn format(&self) -> String {
         let values: Vec<String> = self
             .kvs
             .keys()
             .filter(|it| *it != "request")
-            .map(|it| format!("{it}={}", self.text(it)))
+            .map(|it| format!("{it}={}", self.value_text(it)))
             .collect();
         let values = values.join(" ");
         format!("{}  {} {:<16} {values}", self.timestamp, self.origin, self.message)
@@ -67,11 +67,11 @@
 pub(crate) fn show(files: &[PathBuf], request: &str) -> eyre::Result<String> {
     let mut lines = Vec::new();
     for file in files {
-        lines.extend(read(file).wrap_err_with(|| file.display().to_string())?);
+        lines.extend(read_lines(file).wrap_err_with(|| file.display().to_string())?);
     }
     lines.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
-    let own: Vec<&Line> = lines.iter().filter(|it| it.is_of(request)).collect();
-    if own.is_empty() {
+    let request_lines: Vec<&Line> = lines.iter().filter(|it| it.is_for(request)).collect();
+    if request_lines.is_empty() {
         let n_omitted = lines.iter().filter(|it| it.message == "lines left out").count();
         bail!(
             "no line names request {request}; {n_omitted} lines say that others were left out: \
@@ -79,21 +79,21 @@
         );
     }
     let mut res = String::new();
-    for it in &own {
-        writeln!(res, "{}", it.show())?;
+    for it in &request_lines {
+        writeln!(res, "{}", it.format())?;
     }
-    let around = around(&lines, &own);
-    if !around.is_empty() {
+    let upstream_lines = find_upstream_lines(&lines, &request_lines);
+    if !upstream_lines.is_empty() {
         writeln!(res, "\nits upstreams, meanwhile:")?;
     }
-    for it in around {
-        writeln!(res, "{}", it.show())?;
+    for it in upstream_lines {
+        writeln!(res, "{}", it.format())?;
     }
-    writeln!(res, "\n{}", cause(&own))?;
+    writeln!(res, "\n{}", describe_outcome(&request_lines))?;
     Ok(res)
 }
 
-fn read(file: &Path) -> io::Result<Vec<Line>> {
+fn read_lines(file: &Path) -> io::Result<Vec<Line>> {
     let reader: Box<dyn BufRead> = match file.to_str() {
         Some(STDIN) => Box::new(io::stdin().lock()),
         _ => Box::new(BufReader::new(File::open(file)?)),
@@ -111,76 +111,81 @@
 
 /// Returns what is logged of the request's upstreams, without a request, between its first and its
 /// last line.
-fn around<'a>(lines: &'a [Line], own: &[&Line]) -> Vec<&'a Line> {
-    let (Some(first), Some(last)) = (own.first(), own.last()) else { return Vec::new() };
-    let upstreams: BTreeSet<String> = own
+fn find_upstream_lines<'a>(lines: &'a [Line], request_lines: &[&Line]) -> Vec<&'a Line> {
+    let (Some(first), Some(last)) = (request_lines.first(), request_lines.last()) else {
+        return Vec::new();
+    };
+    let upstreams: BTreeSet<String> = request_lines
         .iter()
         .filter(|it| it.kvs.contains_key("upstream"))
-        .map(|it| it.text("upstream"))
+        .map(|it| it.value_text("upstream"))
         .collect();
-    let is_within = |it: &&Line| first.timestamp <= it.timestamp && it.timestamp <= last.timestamp;
-    let is_theirs =
-        |it: &&Line| !it.kvs.contains_key("request") && upstreams.contains(&it.text("upstream"));
-    lines.iter().filter(is_within).filter(is_theirs).collect()
+    let is_in_between =
+        |it: &&Line| first.timestamp <= it.timestamp && it.timestamp <= last.timestamp;
+    let is_upstream_line = |it: &&Line| {
+        !it.kvs.contains_key("request") && upstreams.contains(&it.value_text("upstream"))
+    };
+    lines.iter().filter(is_in_between).filter(is_upstream_line).collect()
 }
 
 /// Tells in a sentence how the request ended and what decided it.
-fn cause(own: &[&Line]) -> String {
-    let last = |message: &str| own.iter().rfind(|it| it.message == message);
-    if let Some(it) = last("answered") {
-        let estimate = last("placed").map_or("?".to_owned(), |it| it.text("estimate_ms"));
+fn describe_outcome(request_lines: &[&Line]) -> String {
+    let find_last = |message: &str| request_lines.iter().rfind(|it| it.message == message);
+    if let Some(it) = find_last("answered") {
+        let estimate =
+            find_last("placed").map_or("?".to_owned(), |it| it.value_text("estimate_ms"));
         return format!(
             "answered with {} after {} ms, the first event after {} ms where {estimate} ms were \
              estimated",
-            it.text("status"),
-            it.text("total_ms"),
-            it.text("first_ms"),
+            it.value_text("status"),
+            it.value_text("total_ms"),
+            it.value_text("first_ms"),
         );
     }
-    if let Some(it) = last("rejected") {
-        return format!("rejected with {}: {}", it.text("status"), it.text("reason"));
+    if let Some(it) = find_last("rejected") {
+        return format!("rejected with {}: {}", it.value_text("status"), it.value_text("reason"));
     }
-    if let Some(it) = last("in quarantine") {
+    if let Some(it) = find_last("in quarantine") {
         return format!(
             "refused: {} upstreams ended while they ran it (fingerprint {}), not sent to another one for {} s; \
              `portfieldctl quarantine HOST --lift {}` lets it run again",
-            it.text("n_ends"),
-            it.text("fingerprint"),
-            it.text("left_s"),
-            it.text("fingerprint"),
+            it.value_text("n_ends"),
+            it.value_text("fingerprint"),
+            it.value_text("left_s"),
+            it.value_text("fingerprint"),
         );
     }
-    let backed_off = last("not placed").filter(|it| it.text("reason") == "Backoff");
+    let backed_off = find_last("not placed").filter(|it| it.value_text("reason") == "Backoff");
     if let Some(it) = backed_off {
         return format!(
             "refused: the upstreams that are left had asked the host to be left alone, the first one for another {} ms",
-            it.text("estimate_ms"),
+            it.value_text("estimate_ms"),
         );
     }
-    let broken = last("answer broke").or(last("attempt failed"));
+    let broken = find_last("answer broke").or(find_last("attempt failed"));
     if let Some(it) = broken {
         return format!(
             "failed at upstream {} ({}): {}",
-            it.text("upstream"),
-            it.text("outcome"),
-            it.text("cause"),
+            it.value_text("upstream"),
+            it.value_text("outcome"),
+            it.value_text("cause"),
         );
     }
-    if let Some(it) = last("not placed") {
+    if let Some(it) = find_last("not placed") {
         return format!(
             "refused, {}: {} ms to the first event against an objective of {} ms, {} times its \
              share, {} hosts heard, configuration {}, list {}",
-            it.text("reason"),
-            it.text("estimate_ms"),
-            it.text("objective_ms"),
-            it.text("share"),
-            it.text("hosts"),
-            it.text("config"),
-            it.text("list"),
+            it.value_text("reason"),
+            it.value_text("estimate_ms"),
+            it.value_text("objective_ms"),
+            it.value_text("share"),
+            it.value_text("hosts"),
+            it.value_text("config"),
+            it.value_text("list"),
         );
     }
-    if let Some(it) = last("not finished") {
-        let waited = it.text("waited_ms");
+    if let Some(it) = find_last("not finished") {
+        let waited = it.value_text("waited_ms");
         return format!("the caller left, or its host ended, after {waited} ms");
     }
     "still on its way when the logs end, or its host was killed".to_owned()
--- a/crates/portfieldctl/src/quarantine.rs
+++ b/crates/portfieldctl/src/quarantine.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// Page of a host's metrics address.
-const PAGE: &str = "/quarantine";
+const PATH: &str = "/quarantine";
 
 #[derive(Debug, Deserialize)]
 struct Row {
@@ -23,7 +23,7 @@
 ///
 /// Where the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
-    let refused: Vec<Row> = Target::direct(host).get(PAGE).await?;
+    let refused: Vec<Row> = Target::direct(host).get(PATH).await?;
     if refused.is_empty() {
         return Ok("no request is refused\n".to_owned());
     }
@@ -40,6 +40,6 @@
 ///
 /// Where the host does not answer, or has nothing against the request.
 pub(crate) async fn lift(host: SocketAddr, fingerprint: &str) -> eyre::Result<String> {
-    Target::direct(host).send(Method::Delete, &format!("{PAGE}/{fingerprint}"), Vec::new()).await?;
+    Target::direct(host).send(Method::Delete, &format!("{PATH}/{fingerprint}"), Vec::new()).await?;
     Ok(format!("{fingerprint} may run again\n"))
 }
--- a/crates/portfieldctl/src/status.rs
+++ b/crates/portfieldctl/src/status.rs
@@ -11,7 +11,7 @@
 /// Shows hosts, shards and revisions.
 pub(crate) async fn show(platform: &Platform) -> eyre::Result<String> {
     let hosts = platform.hosts().await?;
-    let mut wrong = Vec::new();
+    let mut problems = Vec::new();
     let mut rows = Vec::new();
     let mut shards = Vec::new();
     let mut newest = 0;
@@ -19,22 +19,22 @@
         let [router, scheduler] = [host.router_admin, host.scheduler_admin].map(Target::direct);
         let router = router.get::<Value>("/status").await.unwrap_or_default();
         let scheduler = scheduler.get::<Value>("/status").await.unwrap_or_default();
-        note_wrong(host, &router, &scheduler, &mut wrong);
-        newest = newest.max(number(&router, "revision")).max(number(&scheduler, "revision"));
+        find_problems(host, &router, &scheduler, &mut problems);
+        newest = newest.max(get_u64(&router, "revision")).max(get_u64(&scheduler, "revision"));
         shards.extend(scheduler["shards"].as_array().cloned().unwrap_or_default());
         rows.push((host, router, scheduler));
     }
     for (host, router, scheduler) in &rows {
-        let behind = [router, scheduler].map(|it| number(it, "revision") < newest);
+        let behind = [router, scheduler].map(|it| get_u64(it, "revision") < newest);
         if behind.contains(&true) {
-            wrong.push(format!("{}: revision {newest} is not in force", host.scheduler.ip()));
+            problems.push(format!("{}: revision {newest} is not in force", host.scheduler.ip()));
         }
     }
     let mut res = String::new();
-    for it in &wrong {
+    for it in &problems {
         writeln!(res, "! {it}")?;
     }
-    writeln!(res, "revision {newest}, {} hosts, {} wrong\n", hosts.len(), wrong.len())?;
+    writeln!(res, "revision {newest}, {} hosts, {} wrong\n", hosts.len(), problems.len())?;
     writeln!(
         res,
         "{:16} {:18} {:>7} {:>7} {:>9} {:>8} {:>8}",
@@ -46,11 +46,11 @@
             "{:16} {:18} {:>7} {:>7} {:>9} {:>8} {:>8}",
             host.scheduler.ip(),
             host.data_centre,
-            number(it, "waiting"),
-            number(it, "running"),
-            number(it, "answered"),
-            number(it, "not_run"),
-            number(it, "unknown"),
+            get_u64(it, "waiting"),
+            get_u64(it, "running"),
+            get_u64(it, "answered"),
+            get_u64(it, "not_run"),
+            get_u64(it, "unknown"),
         )?;
     }
     writeln!(res, "\n{:14} {:>6} {:>6} {:>9}", "shard", "slots", "used", "backlog")?;
@@ -60,30 +60,30 @@
         writeln!(
             res,
             "{name:14} {:>6} {:>6} {backlog:>9}",
-            number(it, "slots"),
-            number(it, "used")
+            get_u64(it, "slots"),
+            get_u64(it, "used")
         )?;
     }
     Ok(res)
 }
 
-fn note_wrong(host: &Host, router: &Value, scheduler: &Value, wrong: &mut Vec<String>) {
+fn find_problems(host: &Host, router: &Value, scheduler: &Value, problems: &mut Vec<String>) {
     let name = host.scheduler.ip();
     if router.is_null() {
-        wrong.push(format!("{name}: the router does not answer"));
+        problems.push(format!("{name}: the router does not answer"));
     } else if router["ready"] != true {
-        wrong.push(format!("{name}: the router is not ready"));
+        problems.push(format!("{name}: the router is not ready"));
     }
     if scheduler.is_null() {
-        wrong.push(format!("{name}: the scheduler does not answer"));
+        problems.push(format!("{name}: the scheduler does not answer"));
     }
     for it in scheduler["members"].as_array().into_iter().flatten() {
         if it["state"] == "dead" || it["state"] == "suspect" {
-            wrong.push(format!("{name}: sees {} as {}", it["host"], it["state"]));
+            problems.push(format!("{name}: sees {} as {}", it["host"], it["state"]));
         }
     }
 }
 
-fn number(value: &Value, key: &str) -> u64 {
+fn get_u64(value: &Value, key: &str) -> u64 {
     value[key].as_u64().unwrap_or(0)
 }
--- a/crates/portfieldctl/tests/explain.rs
+++ b/crates/portfieldctl/tests/explain.rs
@@ -36,53 +36,55 @@
     child.wait_with_output().unwrap()
 }
 
-fn text(request: &str) -> String {
+fn explained(request: &str) -> String {
     let output = explain(request);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).unwrap()
 }
 
 #[test]
-fn a_refusal_is_told_with_what_decided_it() {
-    let text = text("r1");
+fn refusal_shows_the_figures_behind_it() {
+    let text = explained("r1");
     assert!(text.contains("refused, Busy: 1068 ms to the first event against an objective of 800"));
     assert!(text.contains("8 hosts heard, configuration 2, list 21"), "{text}");
 }
 
 #[test]
-fn a_refusal_since_upstreams_asked_to_be_left_alone_is_told_with_their_time() {
-    let text = text("r5");
+fn backoff_refusal_shows_the_remaining_time() {
+    let text = explained("r5");
     assert!(
         text.contains("had asked the host to be left alone, the first one for another 2400 ms")
     );
 }
 
 #[test]
-fn a_request_that_ends_upstreams_is_told_with_the_way_to_let_it_run() {
-    let text = text("r4");
+fn quarantine_refusal_shows_how_to_lift_it() {
+    let text = explained("r4");
     assert!(text.contains("3 upstreams ended while they ran it (fingerprint 00c0ffee00c0ffee)"));
     assert!(text.contains("--lift 00c0ffee00c0ffee"), "{text}");
 }
 
 #[test]
-fn a_broken_answer_is_told_in_order_with_its_upstream_s_changes() {
-    let text = text("r2");
-    let place = |what: &str| text.find(what).unwrap_or_else(|| panic!("no {what} in {text}"));
-    assert!(place("placed") < place("answer broke"));
-    assert!(place("00:00  h1 placed") < place("h1 answer broke"));
-    assert!(place("answer broke") < place("its upstreams, meanwhile"));
-    place("state=Draining");
+fn broken_response_is_shown_with_its_upstream_changes_in_order() {
+    let text = explained("r2");
+    let position = |what: &str| text.find(what).unwrap_or_else(|| panic!("no {what} in {text}"));
+    assert!(position("placed") < position("answer broke"));
+    assert!(position("00:00  h1 placed") < position("h1 answer broke"));
+    assert!(position("answer broke") < position("its upstreams, meanwhile"));
+    position("state=Draining");
     assert!(!text.contains("upstream gone"), "after the request's end");
-    place("failed at upstream i-7 (unknown): the upstream fell silent");
+    position("failed at upstream i-7 (unknown): the upstream fell silent");
 }
 
 #[test]
-fn a_late_answer_is_told_with_its_estimate() {
-    assert!(text("r3").contains("after 1000 ms, the first event after 700 ms where 90 ms were"));
+fn response_times_are_shown_with_the_estimate() {
+    assert!(
+        explained("r3").contains("after 1000 ms, the first event after 700 ms where 90 ms were")
+    );
 }
 
 #[test]
-fn a_request_that_no_line_names_is_an_error_that_tells_what_was_left_out() {
+fn unknown_request_is_an_error_that_counts_omitted_lines() {
     let output = explain("r9");
     assert!(!output.status.success());
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/portfieldctl/tests/host_pages.rs
+++ b/crates/portfieldctl/tests/host_pages.rs
@@ -13,18 +13,18 @@
 use serde_json::json;
 
 /// A host's metrics address; keeps the paths that were deleted.
-fn host(deleted: &Arc<Mutex<Vec<String>>>) -> SocketAddr {
+fn serve_host(deleted: &Arc<Mutex<Vec<String>>>) -> SocketAddr {
     let rt = Runtime::default();
     let (listener, address) =
         future::block_on(http1::bind("127.0.0.1:0".parse().unwrap())).unwrap();
     let deleted = deleted.clone();
-    let answer = http1::at_once(move |it: &Request| answer(it, &deleted));
+    let handler = http1::at_once(move |it: &Request| respond(it, &deleted));
     let task = rt.clone();
-    thread::spawn(move || task.block_on(0, http1::serve(rt, listener, answer)));
+    thread::spawn(move || task.block_on(0, http1::serve(rt, listener, handler)));
     address
 }
 
-fn answer(request: &Request, deleted: &Mutex<Vec<String>>) -> Response {
+fn respond(request: &Request, deleted: &Mutex<Vec<String>>) -> Response {
     let path = request.url().path();
     match request.method() {
         Method::Get if path == "/quarantine" => http1::json(
@@ -42,19 +42,19 @@
     }
 }
 
-fn run(command: &str, address: SocketAddr, more: &[&str]) -> Output {
+fn run(command: &str, address: SocketAddr, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_portfieldctl"))
         .args([command, &address.to_string()])
-        .args(more)
+        .args(args)
         .env_remove("PORTFIELD_PLATFORM")
         .output()
         .unwrap()
 }
 
 #[test]
-fn what_a_host_refuses_is_listed_and_lifted() {
+fn quarantined_requests_are_listed_and_lifted() {
     let deleted = Arc::default();
-    let address = host(&deleted);
+    let address = serve_host(&deleted);
     let text = String::from_utf8(run("quarantine", address, &[]).stdout).unwrap();
     let row: Vec<&str> = text.lines().nth(1).unwrap().split_whitespace().collect();
     assert_eq!(row, ["00c0ffee", "masons", "3", "97"]);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn data_centres_that_get_nothing_are_listed() {
-    let address = host(&Arc::default());
+fn evacuated_data_centres_are_listed() {
+    let address = serve_host(&Arc::default());
     let text = String::from_utf8(run("evacuations", address, &[]).stdout).unwrap();
     let row: Vec<&str> = text.lines().nth(1).unwrap().split_whitespace().collect();
     assert_eq!(row, ["north", "47"]);
