--- a/crates/portfieldctl/src/change.rs
+++ b/crates/portfieldctl/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: plan, confirm, drain.
+//! Commands that change the configuration: `plan`, `confirm` and `drain`.
 
 use std::{fmt::Write, fs, net::SocketAddr, path::Path};
 
@@ -9,7 +9,7 @@
     store::{self, Confirmed},
 };
 
-/// Plans a stated intent.
+/// Stores a plan for the intent in `file` and returns its changes and id.
 pub(crate) async fn plan(platform: &Platform, file: &Path) -> eyre::Result<String> {
     let text = fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
     let intent = Intent::parse(&text)?;
@@ -17,7 +17,7 @@
     save_plan(platform, &Plan::new(&intent, &base)).await
 }
 
-/// Plans the leave of an upstream.
+/// Stores a plan to drain an upstream and returns its changes and id.
 pub(crate) async fn drain(platform: &Platform, upstream: SocketAddr) -> eyre::Result<String> {
     let base = read_current(platform).await?;
     let mut fleet = base.clone();
@@ -28,7 +28,7 @@
     save_plan(platform, &Plan::between(&base, fleet)).await
 }
 
-/// Puts a plan in force.
+/// Puts a plan in force, if the configuration has not changed since it was made.
 pub(crate) async fn confirm(platform: &Platform, id: &str) -> eyre::Result<String> {
     let plan = store::read_plan(platform, id).await.wrap_err("reading the plan")?;
     let base = read_current(platform).await?;
@@ -36,7 +36,8 @@
         let err = plan.check(id, &base).err();
         let text = err.map(|it| it.to_string()).unwrap_or_default();
         let changes = Plan::between(&base, plan.fleet.clone()).changes;
-        let mut res = format!("not confirmed: {text}\nagainst what is in force now it would:\n");
+        let mut res =
+            format!("not confirmed: {text}\nchanges to the configuration now in force would be:\n");
         changes.iter().for_each(|it| res.push_str(&format!("  {it}\n")));
         res
     };
@@ -47,7 +48,7 @@
         Confirmed::InForce => Ok(format!("revision {} is in force\n", plan.fleet.revision)),
         Confirmed::Overtaken => bail!("{}", describe_conflict()),
         Confirmed::Unclear => {
-            bail!("the platform did not say whether it took effect; run it again")
+            bail!("the platform's reply was lost and the plan may be in force; run `confirm` again")
         }
     }
 }
@@ -61,7 +62,7 @@
     if plan.changes.is_empty() {
         return Ok("nothing would change\n".to_owned());
     }
-    store::keep_plan(platform, plan).await.wrap_err("keeping the plan")?;
+    store::keep_plan(platform, plan).await.wrap_err("storing the plan")?;
     let mut res = String::new();
     for it in &plan.changes {
         writeln!(res, "{it}")?;
--- a/crates/portfieldctl/src/evacuations.rs
+++ b/crates/portfieldctl/src/evacuations.rs
@@ -1,11 +1,11 @@
-//! Data centres that get nothing, by the operator's order.
+//! The `evacuations` command: data centres evacuated by the operator's order.
 
 use std::{fmt::Write, net::SocketAddr};
 
 use portfield_net::http1::Target;
 use serde::Deserialize;
 
-/// Page of a host's metrics address.
+/// Path on a host's metrics address.
 const PATH: &str = "/evacuations";
 
 #[derive(Debug, Deserialize)]
@@ -14,11 +14,11 @@
     n_upstreams: usize,
 }
 
-/// Lists the data centres to which a host sends nothing.
+/// Lists the data centres to which a host sends no requests, with the number of their upstreams.
 ///
 /// # Errors
 ///
-/// Where the host does not answer.
+/// Returns an error if the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
     let evacuated: Vec<Row> = Target::direct(host).get(PATH).await?;
     if evacuated.is_empty() {
--- a/crates/portfieldctl/src/explain.rs
+++ b/crates/portfieldctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! What was decided on one request, by its router and by the owners.
+//! The `explain` command: decisions of the router and the schedulers on one request.
 
 use std::{collections::BTreeSet, fmt::Write};
 
@@ -19,16 +19,16 @@
     text: String,
 }
 
-/// Tells what happened to a request, in order.
+/// Lists the decisions on a request: first the router's, then those of each scheduler.
 pub(crate) async fn show(platform: &Platform, id: &str) -> eyre::Result<String> {
     let ip = id.split('-').next().unwrap_or_default();
     let hosts = platform.hosts().await?;
     let host = hosts.iter().find(|it| it.router.ip().to_string() == ip);
-    let host = host.ok_or_eyre("no host has the address that the id begins with")?;
+    let host = host.ok_or_eyre("no host has the address at the start of the request id")?;
     let target = Target::direct(host.router_admin);
     let records: Vec<Record> = target.get(&format!("/records?{id}")).await?;
     if records.is_empty() {
-        bail!("the router at {ip} does not remember this request");
+        bail!("the router at {ip} has no records of request {id}");
     }
     let mut res = format!("router {ip}\n");
     for it in &records {
--- a/crates/portfieldctl/src/logs.rs
+++ b/crates/portfieldctl/src/logs.rs
@@ -1,4 +1,4 @@
-//! What the logs of the hosts say of one request, and its cause in a sentence.
+//! The `explain --logs` command: log lines on one request, and a sentence on how it ended.
 
 use std::{
     collections::BTreeSet,
@@ -12,17 +12,17 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// File name that stands for standard input.
+/// File name for standard input.
 const STDIN: &str = "-";
 
-/// One line of a host's log.
+/// A line of a host's log.
 #[derive(Debug, Clone, Deserialize)]
 struct Line {
     timestamp: String,
     message: String,
     #[serde(default)]
     kvs: Map<String, Value>,
-    /// What stood before the object, such as the name of its host.
+    /// Text before the JSON object, such as the name of the host.
     #[serde(skip)]
     origin: String,
 }
@@ -43,7 +43,7 @@
         self.kvs.get("request").and_then(Value::as_str) == Some(request)
     }
 
-    /// Writes the line for a reader; the request's own id is left out.
+    /// Formats the line for output, without the request's id.
     fn format(&self) -> String {
         let values: Vec<String> = self
             .kvs
@@ -56,14 +56,14 @@
     }
 }
 
-/// Reads the hosts' logs and tells what happened to a request, in order of time.
+/// Returns the log lines on a request and its upstreams, in order of time, and how it ended.
 ///
-/// A line may have anything before its JSON object, such as the name of its host; lines without
-/// one are passed over.
+/// A line may have text before its JSON object, such as the name of its host. Lines without an
+/// object are skipped.
 ///
 /// # Errors
 ///
-/// Where a file cannot be read, or no line names the request.
+/// Returns an error if a file cannot be read or no line names the request.
 pub(crate) fn show(files: &[PathBuf], request: &str) -> eyre::Result<String> {
     let mut lines = Vec::new();
     for file in files {
@@ -109,8 +109,8 @@
     Ok(res)
 }
 
-/// Returns what is logged of the request's upstreams, without a request, between its first and its
-/// last line.
+/// Returns the lines on the request's upstreams that name no request, between the request's first
+/// and last line.
 fn find_upstream_lines<'a>(lines: &'a [Line], request_lines: &[&Line]) -> Vec<&'a Line> {
     let (Some(first), Some(last)) = (request_lines.first(), request_lines.last()) else {
         return Vec::new();
@@ -128,7 +128,7 @@
     lines.iter().filter(is_in_between).filter(is_upstream_line).collect()
 }
 
-/// Tells in a sentence how the request ended and what decided it.
+/// Describes in a sentence how the request ended and why.
 fn describe_outcome(request_lines: &[&Line]) -> String {
     let find_last = |message: &str| request_lines.iter().rfind(|it| it.message == message);
     if let Some(it) = find_last("answered") {
@@ -147,7 +147,7 @@
     }
     if let Some(it) = find_last("in quarantine") {
         return format!(
-            "refused: {} upstreams ended while they ran it (fingerprint {}), not sent to another one for {} s; \
+            "refused: {} upstreams ended while they ran it (fingerprint {}), quarantined for another {} s; \
              `portfieldctl quarantine HOST --lift {}` lets it run again",
             it.value_text("n_ends"),
             it.value_text("fingerprint"),
@@ -158,7 +158,7 @@
     let backed_off = find_last("not placed").filter(|it| it.value_text("reason") == "Backoff");
     if let Some(it) = backed_off {
         return format!(
-            "refused: the upstreams that are left had asked the host to be left alone, the first one for another {} ms",
+            "refused: the remaining upstreams had sent Retry-After, the first to expire in {} ms",
             it.value_text("estimate_ms"),
         );
     }
@@ -173,8 +173,8 @@
     }
     if let Some(it) = find_last("not placed") {
         return format!(
-            "refused, {}: {} ms to the first event against an objective of {} ms, {} times its \
-             share, {} hosts heard, configuration {}, list {}",
+            "refused, {}: estimated {} ms to the first event against an objective of {} ms, workspace \
+             at {} times its share, {} hosts known, configuration {}, list {}",
             it.value_text("reason"),
             it.value_text("estimate_ms"),
             it.value_text("objective_ms"),
@@ -188,5 +188,5 @@
         let waited = it.value_text("waited_ms");
         return format!("the caller left, or its host ended, after {waited} ms");
     }
-    "still on its way when the logs end, or its host was killed".to_owned()
+    "still running at the end of the logs, or its host was killed".to_owned()
 }
--- a/crates/portfieldctl/src/main.rs
+++ b/crates/portfieldctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfieldctl`: operators state an intent, read the plan and confirm it.
+//! `portfieldctl`: command line tool with which operators change and inspect a fleet.
 
 mod change;
 mod evacuations;
@@ -13,7 +13,7 @@
 use eyre::OptionExt;
 use portfield_net::{platform::Platform, rt::Runtime};
 
-/// Time in which the platform answers.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Operates a portfield fleet.
@@ -29,41 +29,42 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Shows what an intent would change, and keeps the plan for `confirm`.
+    /// Shows the changes that an intent makes and stores the plan for `confirm`.
     Plan {
-        /// File with the intent (TOML).
+        /// TOML file with the intent.
         file: PathBuf,
     },
     /// Puts a plan in force.
     Confirm {
-        /// The plan's id, as `plan` printed it.
+        /// Id of the plan, as printed by `plan`.
         id: String,
     },
-    /// Plans the leave of an upstream: after `confirm` it gets no new work.
+    /// Plans to drain an upstream: after `confirm` it gets no new requests.
     Drain {
-        /// The upstream's address.
+        /// Address of the upstream.
         upstream: SocketAddr,
     },
-    /// Shows the fleet, what is wrong first.
+    /// Shows the state of the fleet, problems first.
     Status,
-    /// Tells what was decided on a request, in order.
+    /// Shows the decisions on a request, in order of time.
     Explain {
-        /// The request's id, as its answer carried it.
+        /// Id of the request, as in its response.
         request: String,
-        /// Files with the hosts' logs, `-` for standard input, in place of asking live hosts.
+        /// Log files of the hosts to read instead of asking live hosts; `-` is standard input.
         #[arg(long, num_args = 1..)]
         logs: Vec<PathBuf>,
     },
-    /// Lists the data centres to which a host sends nothing, by the operator's order.
+    /// Lists the data centres to which a host sends no requests, by the operator's order.
     Evacuations {
         /// Metrics address of any host.
         host: SocketAddr,
     },
-    /// Lists the requests that hosts refuse because upstreams ended under them, or lets one run again.
+    /// Lists the requests that hosts refuse because upstreams ended while running them, or lets one
+    /// run again.
     Quarantine {
         /// Metrics address of any host.
         host: SocketAddr,
-        /// Fingerprint of the request that may run again, as the list and the logs have it.
+        /// Fingerprint of the request that may run again, as in the list and in the logs.
         #[arg(long)]
         lift: Option<String>,
     },
@@ -79,7 +80,9 @@
 
 async fn run(args: Args) -> eyre::Result<String> {
     let platform = || {
-        let address = args.platform.ok_or_eyre("name the platform: --platform ADDRESS")?;
+        let address = args
+            .platform
+            .ok_or_eyre("no platform address: pass --platform ADDRESS or set PORTFIELD_PLATFORM")?;
         Ok::<_, eyre::Report>(Platform::new(address, PLATFORM_TIMEOUT))
     };
     match args.command {
--- a/crates/portfieldctl/src/quarantine.rs
+++ b/crates/portfieldctl/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that a host refuses because upstreams ended under them.
+//! The `quarantine` command: requests refused because upstreams ended while running them.
 
 use std::{fmt::Write, net::SocketAddr};
 
@@ -6,7 +6,7 @@
 use portfield_net::http1::Target;
 use serde::Deserialize;
 
-/// Page of a host's metrics address.
+/// Path on a host's metrics address.
 const PATH: &str = "/quarantine";
 
 #[derive(Debug, Deserialize)]
@@ -17,11 +17,11 @@
     left_s: u64,
 }
 
-/// Lists the requests that a host refuses.
+/// Lists the requests that a host refuses, each with the upstreams that it ended and the time left.
 ///
 /// # Errors
 ///
-/// Where the host does not answer.
+/// Returns an error if the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
     let refused: Vec<Row> = Target::direct(host).get(PATH).await?;
     if refused.is_empty() {
@@ -34,11 +34,11 @@
     Ok(res)
 }
 
-/// Lets a request run again at all hosts.
+/// Lifts the quarantine of a request at all hosts.
 ///
 /// # Errors
 ///
-/// Where the host does not answer, or has nothing against the request.
+/// Returns an error if the host does not answer or has not quarantined the request.
 pub(crate) async fn lift(host: SocketAddr, fingerprint: &str) -> eyre::Result<String> {
     Target::direct(host).send(Method::Delete, &format!("{PATH}/{fingerprint}"), Vec::new()).await?;
     Ok(format!("{fingerprint} may run again\n"))
--- a/crates/portfieldctl/src/status.rs
+++ b/crates/portfieldctl/src/status.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance, what is wrong first.
+//! The `status` command: state of the fleet, problems first.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 };
 use serde_json::Value;
 
-/// Shows hosts, shards and revisions.
+/// Lists problems, the configuration revision, hosts and shards.
 pub(crate) async fn show(platform: &Platform) -> eyre::Result<String> {
     let hosts = platform.hosts().await?;
     let mut problems = Vec::new();
--- a/crates/portfieldctl/tests/explain.rs
+++ b/crates/portfieldctl/tests/explain.rs
@@ -1,11 +1,11 @@
-//! `portfieldctl explain --logs`: from a request's id to its cause, without a live host.
+//! `portfieldctl explain --logs`: log lines and outcome of a request, without a live host.
 
 use std::{
     io::Write,
     process::{Command, Output, Stdio},
 };
 
-/// Lines of two hosts, out of order, as a collector with host names writes them.
+/// Lines of two hosts, out of order, as a log collector writes them with host names.
 const LOGS: &str = r#"
 h2 {"timestamp":"2026-03-04T06:24:45.100+00:00","message":"not placed","kvs":{"request":"r1","reason":"Busy","estimate_ms":1068,"objective_ms":800,"share":0.4,"hosts":8,"config":2,"list":21}}
 h2 {"timestamp":"2026-03-04T06:24:45.101+00:00","message":"given up","kvs":{"request":"r1","status":503,"reason":"refused: Busy"}}
@@ -45,15 +45,22 @@
 #[test]
 fn refusal_shows_the_figures_behind_it() {
     let text = explained("r1");
-    assert!(text.contains("refused, Busy: 1068 ms to the first event against an objective of 800"));
-    assert!(text.contains("8 hosts heard, configuration 2, list 21"), "{text}");
+    assert!(text.contains(
+        "refused, Busy: estimated 1068 ms to the first event against an objective of 800"
+    ));
+    assert!(
+        text.contains("workspace at 0.40 times its share, 8 hosts known, configuration 2, list 21"),
+        "{text}"
+    );
 }
 
 #[test]
 fn backoff_refusal_shows_the_remaining_time() {
     let text = explained("r5");
     assert!(
-        text.contains("had asked the host to be left alone, the first one for another 2400 ms")
+        text.contains(
+            "the remaining upstreams had sent Retry-After, the first to expire in 2400 ms"
+        )
     );
 }
 
--- a/crates/portfieldctl/tests/host_pages.rs
+++ b/crates/portfieldctl/tests/host_pages.rs
@@ -1,4 +1,4 @@
-//! What a host tells operators: requests that it refuses, data centres that it sends nothing.
+//! `portfieldctl quarantine` and `portfieldctl evacuations` against a host's metrics address.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 use portfield_net::{http1, rt::Runtime};
 use serde_json::json;
 
-/// A host's metrics address; keeps the paths that were deleted.
+/// Serves a host's operator pages and records the paths that were deleted.
 fn serve_host(deleted: &Arc<Mutex<Vec<String>>>) -> SocketAddr {
     let rt = Runtime::default();
     let (listener, address) =
