--- a/crates/portfield-wire-gen/src/main.rs
+++ b/crates/portfield-wire-gen/src/main.rs
@@ -1,7 +1,7 @@
-//! Writes the code that `portfield-wire` commits.
+//! Generates the code of `portfield-wire` from `portfield.proto`.
 //!
-//! Run it after a change to the `.proto` file. With `--check` it writes nothing
-//! and fails if the committed code is not current.
+//! Run it after each change to the `.proto` file. With `--check` it writes nothing and
+//! fails if the committed code is out of date.
 
 use std::{env, error::Error, fs, path::Path, process::ExitCode};
 
@@ -10,19 +10,19 @@
 
 fn main() -> Result<ExitCode, Box<dyn Error>> {
     let root = Path::new(CRATE);
-    let fresh = generate(root)?;
+    let code = generate(root)?;
     let target = root.join(OUTPUT);
     if !env::args().any(|it| it == "--check") {
-        fs::write(target, fresh)?;
+        fs::write(target, code)?;
         return Ok(ExitCode::SUCCESS);
     }
-    if fs::read_to_string(target)? == fresh {
+    if fs::read_to_string(target)? == code {
         return Ok(ExitCode::SUCCESS);
     }
-    Err("the generated code is not current: run `cargo run -p portfield-wire-gen`".into())
+    Err("the generated code is out of date: run `cargo run -p portfield-wire-gen`".into())
 }
 
-/// Compiles the protocol file and returns the Rust code.
+/// Compiles the `.proto` file and returns the Rust code.
 fn generate(root: &Path) -> Result<String, Box<dyn Error>> {
     let proto = root.join("proto");
     let files = protox::compile([proto.join("portfield.proto")], [proto])?;
--- a/crates/portfield-wire/src/lib.rs
+++ b/crates/portfield-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between portfield's own processes, and the gRPC service they travel over.
+//! Messages and gRPC services between portfield's own processes.
 //!
 //! The code is generated from `proto/portfield.proto` and committed, so that a build
-//! needs no generator; `portfield-wire-gen --check` holds it against the protocol file.
+//! needs no generator; `portfield-wire-gen --check` fails if it is out of date.
 
 #![allow(missing_docs, clippy::all, rust_2018_idioms)]
 
