--- a/crates/portfield/src/catalog/directory.rs
+++ b/crates/portfield/src/catalog/directory.rs
@@ -85,7 +85,7 @@
 struct KnownEntry {
     upstream: Arc<Upstream>,
     /// The version that last told a change of it.
-    changed: StoreVersion,
+    changed_in: StoreVersion,
     /// The version of its row, zero if that is not known.
     row_version: u64,
     /// When an entry that is missing counts as gone.
@@ -135,8 +135,8 @@
         self.version = version;
         self.history_start.get_or_insert(version);
         let list: Vec<EntryChange> = list.into_iter().collect();
-        let named: HashSet<&str> = list.iter().map(EntryChange::id).collect();
-        let absent = self.entries.keys().filter(|it| !named.contains(it.as_str()));
+        let listed: HashSet<&str> = list.iter().map(EntryChange::id).collect();
+        let absent = self.entries.keys().filter(|it| !listed.contains(it.as_str()));
         let absent: Vec<EntryChange> = absent.cloned().map(EntryChange::Removed).collect();
         absent.into_iter().chain(list).filter_map(|it| self.apply_change(it, missing)).collect()
     }
@@ -147,7 +147,7 @@
         if version < self.history_start? {
             return None;
         }
-        let set = self.entries.iter().filter(|it| version < it.1.changed);
+        let set = self.entries.iter().filter(|it| version < it.1.changed_in);
         let is_news =
             |it: &&RemovedEntry| version < it.version && !self.entries.contains_key(&it.id);
         let removed = self.removed.iter().filter(is_news);
@@ -192,7 +192,7 @@
     pub fn set_expiry(&mut self, id: &str, expires_at: Duration) {
         if let Some(it) = self.entries.get_mut(id) {
             it.expires_at = Some(expires_at);
-            it.changed = self.version;
+            it.changed_in = self.version;
         }
     }
 
@@ -225,7 +225,7 @@
 
     /// Returns the upstreams that take new requests, by their entries and by their own word.
     pub fn ready(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        self.all().filter(|it| self.state(it) == State::Ready)
+        self.all().filter(|it| self.effective_state(it) == State::Ready)
     }
 
     /// Notes that an upstream said of itself that it drains; returns whether that is news.
@@ -253,28 +253,28 @@
 
     /// Returns the upstreams that drain by their own word, while their entries say `ready`.
     pub fn draining_unlisted(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        let is_listed_ready = |it: &&Arc<Upstream>| it.entry.state == State::Ready;
-        self.all().filter(is_listed_ready).filter(|it| self.is_marked_draining(it.wire_id()))
+        let is_entry_ready = |it: &&Arc<Upstream>| it.entry.state == State::Ready;
+        self.all().filter(is_entry_ready).filter(|it| self.is_marked_draining(it.wire_id()))
     }
 
     /// Returns the numbers of those that other hosts are told of in a digest.
     pub fn draining_for_digest(&mut self, scope: DigestScope) -> Vec<u32> {
-        let unlisted = self.unlisted_ids();
+        let unlisted = self.unlisted_wire_ids();
         self.drain_marks.take_for_digest(scope, |it| unlisted.contains(&it))
     }
 
     /// Returns the numbers of those that the sum of a data centre names.
     pub fn draining_for_summary(&self) -> Vec<u32> {
-        let unlisted = self.unlisted_ids();
+        let unlisted = self.unlisted_wire_ids();
         self.drain_marks.for_summary(|it| unlisted.contains(&it))
     }
 
-    fn unlisted_ids(&self) -> HashSet<u32> {
+    fn unlisted_wire_ids(&self) -> HashSet<u32> {
         self.draining_unlisted().map(|it| it.wire_id()).collect()
     }
 
     /// Returns whether an upstream takes new requests, as far as anything is known.
-    fn state(&self, upstream: &Upstream) -> State {
+    fn effective_state(&self, upstream: &Upstream) -> State {
         if self.is_marked_draining(upstream.wire_id()) {
             return State::Draining;
         }
@@ -305,7 +305,7 @@
             (EntryChange::Removed(id), MissingRows::MayReturn { restored_at }) => {
                 let it = self.entries.get_mut(&id)?;
                 it.expires_at.get_or_insert(restored_at + REGISTRATION_GRACE);
-                it.changed = self.version;
+                it.changed_in = self.version;
                 None
             }
         }
@@ -316,12 +316,12 @@
             && it.upstream.entry == entry
         {
             if it.expires_at.take().is_some() {
-                it.changed = self.version;
+                it.changed_in = self.version;
             }
             return None;
         }
         let (id, state) = (entry.id.clone(), Some(entry.state));
-        let is_same = |it: &KnownEntry| {
+        let differs_only_in_cold = |it: &KnownEntry| {
             it.upstream.entry
                 == UpstreamEntry {
                     cold_remaining: it.upstream.entry.cold_remaining,
@@ -329,10 +329,10 @@
                 }
         };
         // That an upstream becomes less cold is told on, and is no news to a reader of the log.
-        let is_news = !self.entries.get(&id).is_some_and(is_same);
+        let is_news = !self.entries.get(&id).is_some_and(differs_only_in_cold);
         let upstream = Arc::new(Upstream { hash: incarnation_hash(&entry), entry });
         let entry =
-            KnownEntry { upstream, changed: self.version, row_version: 0, expires_at: None };
+            KnownEntry { upstream, changed_in: self.version, row_version: 0, expires_at: None };
         self.entries.insert(id.clone(), entry);
         is_news.then_some(ChangedUpstream { id, state })
     }
@@ -340,10 +340,10 @@
     /// Returns what a copy of the store says of an upstream, as far as it may still hold.
     fn reconcile(&self, change: EntryChange, row_version: u64) -> Option<EntryChange> {
         let EntryChange::Set(mut entry) = change else { return Some(change) };
-        let is_past = |it: &RemovedEntry| {
+        let is_same_row = |it: &RemovedEntry| {
             it.id == entry.id && it.row_version == row_version && row_version != 0
         };
-        if self.removed.iter().any(is_past) && !self.entries.contains_key(&entry.id) {
+        if self.removed.iter().any(is_same_row) && !self.entries.contains_key(&entry.id) {
             return None;
         }
         let current = self.entries.get(&entry.id).map(|it| &it.upstream);
--- a/crates/portfield/src/catalog/evacuation.rs
+++ b/crates/portfield/src/catalog/evacuation.rs
@@ -102,17 +102,17 @@
     pub fn apply(
         &mut self,
         version: impl Into<StoreVersion>,
-        orders: impl IntoIterator<Item = EvacuationRow>,
+        rows: impl IntoIterator<Item = EvacuationRow>,
     ) -> Vec<EvacuationChange> {
         let version = version.into();
         if version < self.version {
             return Vec::new();
         }
-        let mut orders = orders.into_iter().peekable();
-        if orders.peek().is_some() {
+        let mut rows = rows.into_iter().peekable();
+        if rows.peek().is_some() {
             self.version = version;
         }
-        orders.filter_map(|it| self.apply_row(it)).collect()
+        rows.filter_map(|it| self.apply_row(it)).collect()
     }
 
     /// Takes all orders as of a version of the store; an older version changes nothing.
@@ -122,25 +122,25 @@
     pub fn replace(
         &mut self,
         version: impl Into<StoreVersion>,
-        orders: impl IntoIterator<Item = EvacuationRow>,
+        rows: impl IntoIterator<Item = EvacuationRow>,
         missing_rows: MissingRows,
     ) -> Vec<EvacuationChange> {
         let version = version.into();
         if version < self.version {
             return Vec::new();
         }
-        let mut orders: Vec<EvacuationRow> = orders.into_iter().collect();
+        let mut rows: Vec<EvacuationRow> = rows.into_iter().collect();
         if let MissingRows::MayReturn { .. } = missing_rows {
-            orders.retain(|it| !self.is_lifted(it));
+            rows.retain(|it| !self.is_lifted(it));
         }
-        if !orders.is_empty() || !self.active.is_empty() {
+        if !rows.is_empty() || !self.active.is_empty() {
             self.version = version;
         }
-        let is_missing = |it: &&String| !orders.iter().any(|order| order.data_centre == **it);
+        let is_missing = |it: &&String| !rows.iter().any(|row| row.data_centre == **it);
         let missing: Vec<String> = self.active.keys().filter(is_missing).cloned().collect();
         let mut res: Vec<EvacuationChange> =
             missing.into_iter().filter_map(|it| self.handle_missing(it, missing_rows)).collect();
-        res.extend(orders.into_iter().filter_map(|it| self.apply_row(it)));
+        res.extend(rows.into_iter().filter_map(|it| self.apply_row(it)));
         res
     }
 
@@ -156,14 +156,14 @@
         }
         self.version = version;
         let mut res = Vec::new();
-        let told = |name: &String| snapshot.active.iter().any(|it| it.0.data_centre == *name);
-        let over: Vec<String> = self.active.keys().filter(|it| !told(it)).cloned().collect();
-        res.extend(over.into_iter().filter_map(|it| self.lift(it)));
-        for (order, left) in snapshot.active {
-            let name = order.data_centre.clone();
-            res.extend(self.apply_row(order));
-            if let (Some(left), Some(it)) = (left, self.active.get_mut(&name)) {
-                it.expires_at = Some(now + left);
+        let is_listed = |name: &String| snapshot.active.iter().any(|it| it.0.data_centre == *name);
+        let absent: Vec<String> = self.active.keys().filter(|it| !is_listed(it)).cloned().collect();
+        res.extend(absent.into_iter().filter_map(|it| self.lift(it)));
+        for (row, remaining) in snapshot.active {
+            let name = row.data_centre.clone();
+            res.extend(self.apply_row(row));
+            if let (Some(remaining), Some(it)) = (remaining, self.active.get_mut(&name)) {
+                it.expires_at = Some(now + remaining);
             }
         }
         snapshot
@@ -180,9 +180,10 @@
             row_version,
             is_lifted,
         };
-        let left = |it: &ActiveEvacuation| it.expires_at.map(|until| until.saturating_sub(now));
+        let remaining =
+            |it: &ActiveEvacuation| it.expires_at.map(|until| until.saturating_sub(now));
         let active =
-            self.active.iter().map(|(name, it)| (row(name, it.row_version, false), left(it)));
+            self.active.iter().map(|(name, it)| (row(name, it.row_version, false), remaining(it)));
         let lifted = self.lifted.iter().map(|(name, row_version)| row(name, *row_version, true));
         EvacuationSnapshot { active: active.collect(), lifted: lifted.collect() }
     }
@@ -199,14 +200,14 @@
         expired.into_iter().filter_map(|it| self.lift(it)).collect()
     }
 
-    fn apply_row(&mut self, order: EvacuationRow) -> Option<EvacuationChange> {
-        let EvacuationRow { data_centre, row_version, is_lifted } = order;
+    fn apply_row(&mut self, row: EvacuationRow) -> Option<EvacuationChange> {
+        let EvacuationRow { data_centre, row_version, is_lifted } = row;
         if is_lifted {
             return self.lift(data_centre);
         }
         let active = ActiveEvacuation { row_version, expires_at: None };
-        let before = self.active.insert(data_centre.clone(), active);
-        before.is_none().then_some(EvacuationChange { data_centre, is_lifted: false })
+        let previous = self.active.insert(data_centre.clone(), active);
+        previous.is_none().then_some(EvacuationChange { data_centre, is_lifted: false })
     }
 
     /// Notes that an order is missing from the store.
@@ -230,20 +231,20 @@
     }
 
     fn record_lifted(&mut self, data_centre: String, row_version: u64) {
-        let past = (data_centre, row_version);
-        if self.lifted.contains(&past) {
+        let key = (data_centre, row_version);
+        if self.lifted.contains(&key) {
             return;
         }
-        self.lifted.push_back(past);
+        self.lifted.push_back(key);
         if MAX_LIFTED < self.lifted.len() {
             self.lifted.pop_front();
         }
     }
 
     /// Returns whether a copy of the store tells an order that is known to be taken back.
-    fn is_lifted(&self, order: &EvacuationRow) -> bool {
-        self.lifted.iter().any(|(name, row_version)| {
-            *name == order.data_centre && *row_version == order.row_version
-        })
+    fn is_lifted(&self, row: &EvacuationRow) -> bool {
+        self.lifted
+            .iter()
+            .any(|(name, row_version)| *name == row.data_centre && *row_version == row.row_version)
     }
 }
--- a/crates/portfield/src/quarantine/crash_history.rs
+++ b/crates/portfield/src/quarantine/crash_history.rs
@@ -130,11 +130,11 @@
 
     /// Notes that it is suspect.
     pub(super) fn mark_sent(&mut self, scope: Scope) {
-        let left = match scope {
+        let n_sends = match scope {
             Scope::Local | Scope::Full => &mut self.n_own_digests,
             Scope::Summary => &mut self.n_summaries,
         };
-        *left = left.saturating_sub(1);
+        *n_sends = n_sends.saturating_sub(1);
     }
 
     /// Returns whether this host saw one of the ends itself.
@@ -158,8 +158,8 @@
             return None;
         }
         let n_more = self.crashes.len() - CRASH_THRESHOLD;
-        let until = self.last_crash() + BASE_QUARANTINE * (1 << n_more);
-        (now < until).then(|| until - now)
+        let end = self.last_crash() + BASE_QUARANTINE * (1 << n_more);
+        (now < end).then(|| end - now)
     }
 
     /// Returns whether as many upstreams ended under it as make a request lethal.
@@ -169,19 +169,19 @@
 
     /// Returns whether nothing is known of it that still matters.
     pub(super) fn is_expired(&self, now: Duration) -> bool {
-        let is_forgotten = self.crashes.is_empty() || self.last_crash() + RETENTION <= now;
-        is_forgotten && self.last_success.is_none_or(|it| it + SUCCESS_RETENTION <= now)
+        let is_crash_expired = self.crashes.is_empty() || self.last_crash() + RETENTION <= now;
+        is_crash_expired && self.last_success.is_none_or(|it| it + SUCCESS_RETENTION <= now)
     }
 
     /// Returns it as hosts tell each other.
     pub(super) fn to_wire(&self, now: Duration, request: RequestKey) -> wire::Suspect {
         let age =
             |at: Duration| now.saturating_sub(at).as_millis().min(u128::from(u32::MAX)) as u32;
-        let end = |it: &Crash| wire::UpstreamEnd { upstream: it.upstream, age: age(it.at) };
+        let crash = |it: &Crash| wire::UpstreamEnd { upstream: it.upstream, age: age(it.at) };
         wire::Suspect {
             fingerprint: request.fingerprint,
             workspace: request.workspace,
-            ends: self.crashes.iter().map(end).collect(),
+            ends: self.crashes.iter().map(crash).collect(),
             cleared: self.last_success.map(age),
         }
     }
--- a/crates/portfield/src/quarantine/registry.rs
+++ b/crates/portfield/src/quarantine/registry.rs
@@ -23,7 +23,7 @@
 /// Time between two looks for what is past.
 const PRUNE_PERIOD: Duration = Duration::from_secs(1);
 /// The time of a process's start: what happened before it has a time too.
-const EPOCH: Duration = Duration::from_secs(3600);
+const START_OFFSET: Duration = Duration::from_secs(3600);
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -73,13 +73,13 @@
 impl Quarantine {
     /// Returns why a request is refused, `None` where it may be sent.
     pub fn entry(&self, now: Duration, request: RequestKey) -> Option<QuarantineEntry> {
-        entry(request, self.history(request)?, now + EPOCH)
+        entry(request, self.history(request)?, now + START_OFFSET)
     }
 
     /// Returns whether one more end under a request makes the verdict: what runs beside it is at risk.
     pub fn is_one_crash_away(&self, now: Duration, request: RequestKey) -> bool {
         self.history(request).is_some_and(|it| {
-            CRASH_THRESHOLD <= it.n_crashes() + 1 && it.remaining(now + EPOCH).is_none()
+            CRASH_THRESHOLD <= it.n_crashes() + 1 && it.remaining(now + START_OFFSET).is_none()
         })
     }
 
@@ -91,7 +91,7 @@
         requests: &[RequestKey],
         upstream: u32,
     ) -> Vec<QuarantineEntry> {
-        let now = now + EPOCH;
+        let now = now + START_OFFSET;
         let is_attributed = self.attributed.contains(&upstream);
         let res = requests.iter().filter_map(|it| {
             self.update(now, *it, |history| {
@@ -113,7 +113,7 @@
         let Some(history) = histories.and_then(|it| it.get_mut(&request.fingerprint)) else {
             return false;
         };
-        let is_news = history.record_success(now + EPOCH);
+        let is_news = history.record_success(now + START_OFFSET);
         if is_news {
             history.mark_local();
         }
@@ -128,14 +128,14 @@
     }
 
     /// Takes what another host, or the store, tells; returns the requests that are refused from now on.
-    pub fn merge(&mut self, now: Duration, told: &[wire::Suspect]) -> Vec<QuarantineEntry> {
-        let now = now + EPOCH;
+    pub fn merge(&mut self, now: Duration, suspects: &[wire::Suspect]) -> Vec<QuarantineEntry> {
+        let now = now + START_OFFSET;
         let attributed = self.attributed.clone();
         let request = |it: &wire::Suspect| RequestKey {
             workspace: it.workspace,
             fingerprint: it.fingerprint,
         };
-        let res = told.iter().filter_map(|it| {
+        let res = suspects.iter().filter_map(|it| {
             self.update(now, request(it), |history| {
                 if history.merge(now, it, &attributed) {
                     history.mark_remote();
@@ -143,7 +143,7 @@
             })
         });
         let res: Vec<QuarantineEntry> = res.collect();
-        let requests: Vec<RequestKey> = told.iter().map(request).collect();
+        let requests: Vec<RequestKey> = suspects.iter().map(request).collect();
         self.attribute_crashes(&requests);
         res
     }
@@ -159,23 +159,23 @@
             DigestScope::Changes => Scope::Local,
             DigestScope::Full => Scope::Full,
         };
-        self.collect_suspects(now + EPOCH, scope)
+        self.collect_suspects(now + START_OFFSET, scope)
     }
 
     /// Returns what the sum of this host's data centre tells.
     pub fn suspects_for_summary(&mut self, now: Duration) -> Vec<wire::Suspect> {
-        self.collect_suspects(now + EPOCH, Scope::Summary)
+        self.collect_suspects(now + START_OFFSET, Scope::Summary)
     }
 
     /// Returns the requests that are refused.
     pub fn entries(&self, now: Duration) -> Vec<QuarantineEntry> {
-        let now = now + EPOCH;
+        let now = now + START_OFFSET;
         all(&self.histories).filter_map(|(request, it)| entry(request, it, now)).collect()
     }
 
     /// Returns a request as it is told, for the store.
     pub fn suspect(&self, now: Duration, request: RequestKey) -> Option<wire::Suspect> {
-        Some(self.history(request)?.to_wire(now + EPOCH, request))
+        Some(self.history(request)?.to_wire(now + START_OFFSET, request))
     }
 
     /// Returns how many requests something is known against.
@@ -189,24 +189,24 @@
 
     fn collect_suspects(&mut self, now: Duration, scope: Scope) -> Vec<wire::Suspect> {
         self.prune(now);
-        let mut told: Vec<(RequestKey, &mut CrashHistory)> = all_mut(&mut self.histories)
+        let mut suspects: Vec<(RequestKey, &mut CrashHistory)> = all_mut(&mut self.histories)
             .filter(|(_, it)| {
-                let is_whole = scope != Scope::Local;
-                0 < it.n_sends_left(scope) || is_whole && it.remaining(now).is_some()
+                let is_full = scope != Scope::Local;
+                0 < it.n_sends_left(scope) || is_full && it.remaining(now).is_some()
             })
             .collect();
-        if MAX_PER_DIGEST < told.len() {
+        if MAX_PER_DIGEST < suspects.len() {
             // What was told least goes first, of that what is known most of; the others have their rotation. With all
             // that is new alike, one of 300 that became new together was not told at all for three seconds.
-            self.rotation = (self.rotation + MAX_PER_DIGEST) % told.len();
-            told.rotate_left(self.rotation);
-            told.sort_by_key(|it| Reverse((it.1.n_sends_left(scope), it.1.n_crashes())));
+            self.rotation = (self.rotation + MAX_PER_DIGEST) % suspects.len();
+            suspects.rotate_left(self.rotation);
+            suspects.sort_by_key(|it| Reverse((it.1.n_sends_left(scope), it.1.n_crashes())));
         }
-        let tell = |(request, history): (RequestKey, &mut CrashHistory)| {
+        let send = |(request, history): (RequestKey, &mut CrashHistory)| {
             history.mark_sent(scope);
             history.to_wire(now, request)
         };
-        told.into_iter().take(MAX_PER_DIGEST).map(tell).collect()
+        suspects.into_iter().take(MAX_PER_DIGEST).map(send).collect()
     }
 
     /// Changes what is known of a request; returns the verdict if it is refused from now on.
@@ -226,9 +226,9 @@
     ///
     /// **NOTE:** After all that ran there has been noted: of two with the same ends neither explains the other's.
     fn attribute_crashes(&mut self, requests: &[RequestKey]) {
-        let lethal =
+        let over_threshold =
             requests.iter().filter_map(|it| self.history(*it)).filter(|it| it.is_over_threshold());
-        let new: Vec<u32> = lethal
+        let new: Vec<u32> = over_threshold
             .flat_map(CrashHistory::upstreams)
             .filter(|it| !self.attributed.contains(it))
             .collect();
@@ -247,13 +247,13 @@
     fn history_mut(&mut self, now: Duration, request: RequestKey) -> &mut CrashHistory {
         let histories = self.histories.entry(request.workspace).or_default();
         if !histories.contains_key(&request.fingerprint) && MAX_PER_WORKSPACE <= histories.len() {
-            let least = histories
+            let evicted = histories
                 .iter()
                 .min_by_key(|it| {
                     (it.1.remaining(now).is_some(), it.1.n_crashes(), it.1.last_crash())
                 })
                 .map(|it| *it.0);
-            if let Some(it) = least {
+            if let Some(it) = evicted {
                 histories.remove(&it);
             }
         }
--- a/crates/portfield/src/slo.rs
+++ b/crates/portfield/src/slo.rs
@@ -70,9 +70,9 @@
         if self.total == 0 {
             return 0.0;
         }
-        let rate = |bad: u64, target: f64| bad as f64 / self.total as f64 / (1.0 - target);
-        let latency = rate(self.late.max(self.slow), LATENCY_TARGET);
-        rate(self.failed, AVAILABILITY_TARGET).max(latency)
+        let burn_rate = |bad: u64, target: f64| bad as f64 / self.total as f64 / (1.0 - target);
+        let latency = burn_rate(self.late.max(self.slow), LATENCY_TARGET);
+        burn_rate(self.failed, AVAILABILITY_TARGET).max(latency)
     }
 }
 
@@ -90,10 +90,10 @@
 
 /// Judges the burn of the windows of [`WINDOW_MINUTES`].
 pub fn burn_alert(tallies: &[Tally; WINDOW_MINUTES.len()]) -> Alert {
-    let [five, thirty, hour, six] = tallies.map(|it| it.burn_rate());
-    if FAST_BURN_RATE <= hour && FAST_BURN_RATE <= five {
+    let [five_min, thirty_min, one_hour, six_hours] = tallies.map(|it| it.burn_rate());
+    if FAST_BURN_RATE <= one_hour && FAST_BURN_RATE <= five_min {
         Alert::Fast
-    } else if SLOW_BURN_RATE <= six && SLOW_BURN_RATE <= thirty {
+    } else if SLOW_BURN_RATE <= six_hours && SLOW_BURN_RATE <= thirty_min {
         Alert::Slow
     } else {
         Alert::None
@@ -110,23 +110,23 @@
     /// Counts a request that ended.
     pub fn record(&mut self, now: Duration, id: WorkspaceId, service: &Service, sample: Sample) {
         let minute = now.as_secs() / 60;
-        let all = self.minutes.entry((id, service.id)).or_default();
-        while all
+        let minutes = self.minutes.entry((id, service.id)).or_default();
+        while minutes
             .front()
             .is_some_and(|it| it.0 + WINDOW_MINUTES[WINDOW_MINUTES.len() - 1] <= minute)
         {
-            all.pop_front();
+            minutes.pop_front();
         }
-        if all.back().is_none_or(|it| it.0 != minute) {
-            all.push_back((minute, Tally::default()));
+        if minutes.back().is_none_or(|it| it.0 != minute) {
+            minutes.push_back((minute, Tally::default()));
         }
-        let Some((_, tally)) = all.back_mut() else { return };
-        let first_limit = Duration::from_millis(service.first_token);
-        let gap_limit = Duration::from_millis(service.token_gap);
+        let Some((_, tally)) = minutes.back_mut() else { return };
+        let max_first_byte = Duration::from_millis(service.first_token);
+        let max_token_gap = Duration::from_millis(service.token_gap);
         tally.total += 1;
         tally.failed += u64::from(sample.first_byte.is_none());
-        tally.late += u64::from(sample.first_byte.is_some_and(|it| first_limit < it));
-        tally.slow += u64::from(gap_limit < sample.token_gap);
+        tally.late += u64::from(sample.first_byte.is_some_and(|it| max_first_byte < it));
+        tally.slow += u64::from(max_token_gap < sample.token_gap);
     }
 
     /// Returns the tallies of every workspace and service over each window.
@@ -135,12 +135,12 @@
         now: Duration,
     ) -> impl Iterator<Item = ((WorkspaceId, ServiceId), [Tally; WINDOW_MINUTES.len()])> + '_ {
         let minute = now.as_secs() / 60;
-        self.minutes.iter().map(move |(key, all)| {
+        self.minutes.iter().map(move |(key, minutes)| {
             (
                 *key,
                 WINDOW_MINUTES.map(|window| {
                     let mut res = Tally::default();
-                    let recent = all.iter().rev().take_while(|it| minute < it.0 + window);
+                    let recent = minutes.iter().rev().take_while(|it| minute < it.0 + window);
                     recent.for_each(|it| res.add(&it.1));
                     res
                 }),
--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Loads that ask for more than there is, and what callers get.
 
-mod agenda;
 mod emulator;
+mod event_queue;
 
 use std::time::Duration;
 
--- a/crates/portfield/tests/emulator/mod.rs
+++ b/crates/portfield/tests/emulator/mod.rs
@@ -16,7 +16,7 @@
     wire::Digest,
 };
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 
 /// Time over which shares are kept.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -140,7 +140,7 @@
     hosts: Vec<Balancer>,
     engines: Vec<Engine>,
     candidates: Vec<Candidate>,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     n_digests: u64,
     draws: fastrand::Rng,
     got: HashMap<u32, Got>,
@@ -160,14 +160,14 @@
             hosts: (0..fleet.n_hosts).map(new_host).collect(),
             engines: (0..fleet.n_engines).map(|_| Engine::default()).collect(),
             candidates: (0..fleet.n_engines).map(candidate).collect(),
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             n_digests: 0,
             draws: fastrand::Rng::with_seed(seed),
             got: HashMap::new(),
             tokens: HashMap::new(),
         };
         demands.iter().for_each(|it| res.schedule(it));
-        res.agenda.push(START, Event::Digest);
+        res.events.push(START, Event::Digest);
         res
     }
 
@@ -182,7 +182,7 @@
             }
             let ask = Ask { job: self.job(demand), asked: at, has_come_back: false };
             self.got.entry(demand.workspace).or_default().asked += 1;
-            self.agenda.push(at, Event::Ask(ask));
+            self.events.push(at, Event::Ask(ask));
         }
     }
 
@@ -213,7 +213,7 @@
     }
 
     fn run(&mut self) {
-        while let Some((now, event)) = self.agenda.pop() {
+        while let Some((now, event)) = self.events.pop() {
             match event {
                 Event::Ask(ask) => self.ask(now, ask),
                 Event::First { host, run, ask } => self.first(now, host, run, &ask),
@@ -236,11 +236,11 @@
                 let prompt = ask.job.prompt.as_ref().expect("engines' requests have prompts");
                 let first = read + FIRST;
                 let end = first + EVENT * (prompt.output / EVENT_TOKENS);
-                self.agenda.push(first, Event::First { host, run, ask });
-                self.agenda.push(end, Event::End { host, run });
+                self.events.push(first, Event::First { host, run, ask });
+                self.events.push(end, Event::End { host, run });
             }
             Placement::Refuse { retry, .. } if !ask.has_come_back => {
-                self.agenda.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
+                self.events.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
             }
             Placement::Refuse { .. } => self.got(&ask).refused += 1,
         }
@@ -283,7 +283,7 @@
             others.for_each(|it| host.merge(now, it));
         }
         if now < START + self.fleet.length {
-            self.agenda.push(now + PERIOD, Event::Digest);
+            self.events.push(now + PERIOD, Event::Digest);
         }
     }
 }
--- a/crates/portfield/tests/evacuation.rs
+++ b/crates/portfield/tests/evacuation.rs
@@ -8,38 +8,41 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// A store that has just come back from a copy of itself.
-const COPY: MissingRows = MissingRows::MayReturn { restored_at: SECOND };
+const RESTORED: MissingRows = MissingRows::MayReturn { restored_at: SECOND };
 
-fn order(data_centre: &str, row: u64) -> EvacuationRow {
+fn active(data_centre: &str, row: u64) -> EvacuationRow {
     EvacuationRow { data_centre: data_centre.to_owned(), row_version: row, is_lifted: false }
 }
 
-fn lift(data_centre: &str, row: u64) -> EvacuationRow {
-    EvacuationRow { is_lifted: true, ..order(data_centre, row) }
+fn lifted(data_centre: &str, row: u64) -> EvacuationRow {
+    EvacuationRow { is_lifted: true, ..active(data_centre, row) }
 }
 
-fn told(changes: Vec<EvacuationChange>) -> Vec<String> {
+fn describe(changes: Vec<EvacuationChange>) -> Vec<String> {
     let sign = |it: &EvacuationChange| if it.is_lifted { "-" } else { "+" };
     changes.iter().map(|it| format!("{}{}", sign(it), it.data_centre)).collect()
 }
 
-fn in_force(it: &Evacuations) -> Vec<&str> {
+fn active_centres(it: &Evacuations) -> Vec<&str> {
     it.data_centres().collect()
 }
 
 #[test]
-fn one_order_is_taken_back_while_another_stands() {
+fn lifting_one_evacuation_leaves_the_others_active() {
     let mut it = Evacuations::default();
-    assert_eq!(told(it.apply(5, [order("north", 5)])), ["+north"]);
-    assert_eq!(told(it.apply(6, [order("south", 6), order("north", 6)])), ["+south"]);
-    assert_eq!(told(it.apply(8, [lift("north", 8)])), ["-north"]);
-    assert_eq!(in_force(&it), ["south"]);
-    assert_eq!(it.apply(7, [lift("south", 7)]), [], "an older version changes nothing");
-    assert_eq!(told(it.replace(9, [order("east", 9)], MissingRows::Deleted)), ["-south", "+east"]);
+    assert_eq!(describe(it.apply(5, [active("north", 5)])), ["+north"]);
+    assert_eq!(describe(it.apply(6, [active("south", 6), active("north", 6)])), ["+south"]);
+    assert_eq!(describe(it.apply(8, [lifted("north", 8)])), ["-north"]);
+    assert_eq!(active_centres(&it), ["south"]);
+    assert_eq!(it.apply(7, [lifted("south", 7)]), [], "an older version changes nothing");
+    assert_eq!(
+        describe(it.replace(9, [active("east", 9)], MissingRows::Deleted)),
+        ["-south", "+east"]
+    );
 }
 
 #[test]
-fn a_fleet_without_orders_tells_no_version() {
+fn without_evacuations_the_version_stays_zero() {
     let mut it = Evacuations::default();
     it.replace(500, [], MissingRows::Deleted);
     it.apply(501, []);
@@ -48,54 +51,57 @@
 
 /// The copy is of before an order: it stands until the operator has written it again, and no longer than that takes.
 #[test]
-fn an_order_that_the_store_lost_stands_until_it_is_written_again() {
+fn an_evacuation_lost_by_the_store_stays_active_until_it_is_rewritten() {
     let mut it = Evacuations::default();
-    it.apply(530, [order("north", 530)]);
-    it.replace(StoreVersion::new(1, 512), [], COPY);
-    assert_eq!(in_force(&it), ["north"]);
-    it.apply(StoreVersion::new(1, 520), [order("north", 520)]);
+    it.apply(530, [active("north", 530)]);
+    it.replace(StoreVersion::new(1, 512), [], RESTORED);
+    assert_eq!(active_centres(&it), ["north"]);
+    it.apply(StoreVersion::new(1, 520), [active("north", 520)]);
     assert_eq!(it.expire(SECOND + EVACUATION_GRACE), []);
-    assert_eq!(in_force(&it), ["north"]);
-    it.replace(StoreVersion::new(2, 512), [], COPY);
-    assert_eq!(told(it.expire(SECOND + EVACUATION_GRACE)), ["-north"], "nobody wrote it again");
+    assert_eq!(active_centres(&it), ["north"]);
+    it.replace(StoreVersion::new(2, 512), [], RESTORED);
+    assert_eq!(describe(it.expire(SECOND + EVACUATION_GRACE)), ["-north"], "nobody wrote it again");
 }
 
 /// The copy is of before an order was taken back: its row is the one that was there before.
 #[test]
-fn an_order_that_was_taken_back_does_not_come_back_with_a_copy() {
+fn a_lifted_evacuation_does_not_return_from_a_backup() {
     let mut it = Evacuations::default();
-    it.apply(480, [order("north", 480)]);
-    it.apply(530, [lift("north", 530)]);
+    it.apply(480, [active("north", 480)]);
+    it.apply(530, [lifted("north", 530)]);
     let version = |number| StoreVersion::new(1, number);
-    assert_eq!(it.replace(version(500), [order("north", 480)], COPY), []);
-    assert_eq!(in_force(&it), Vec::<&str>::new());
+    assert_eq!(it.replace(version(500), [active("north", 480)], RESTORED), []);
+    assert_eq!(active_centres(&it), Vec::<&str>::new());
     // The operator takes it back once more, and later orders it anew.
-    it.apply(version(504), [lift("north", 504)]);
-    assert_eq!(told(it.apply(version(530), [order("north", 530)])), ["+north"]);
+    it.apply(version(504), [lifted("north", 504)]);
+    assert_eq!(describe(it.apply(version(530), [active("north", 530)])), ["+north"]);
 }
 
 /// A number alone is no order: the store gives out the same ones again.
 #[test]
-fn a_later_era_goes_before_a_higher_number() {
+fn a_later_era_outranks_a_higher_number() {
     let mut it = Evacuations::default();
-    it.apply(530, [order("north", 530)]);
-    assert_eq!(told(it.apply(StoreVersion::new(1, 505), [lift("north", 505)])), ["-north"]);
-    assert_eq!(it.apply(531, [order("north", 531)]), [], "an answer of the store before");
+    it.apply(530, [active("north", 530)]);
+    assert_eq!(describe(it.apply(StoreVersion::new(1, 505), [lifted("north", 505)])), ["-north"]);
+    assert_eq!(it.apply(531, [active("north", 531)]), [], "an answer of the store before");
 }
 
 #[test]
-fn another_host_s_orders_are_taken_with_what_is_known_of_them() {
+fn merging_a_snapshot_keeps_expiries_and_lifted_rows() {
     let mut first = Evacuations::default();
-    first.apply(480, [order("north", 480), order("south", 480)]);
-    first.apply(490, [lift("north", 490)]);
-    first.replace(StoreVersion::new(1, 470), [], COPY);
+    first.apply(480, [active("north", 480), active("south", 480)]);
+    first.apply(490, [lifted("north", 490)]);
+    first.replace(StoreVersion::new(1, 470), [], RESTORED);
     let mut second = Evacuations::default();
-    second.apply(3, [order("east", 3)]);
-    let list = first.snapshot(SECOND);
-    assert_eq!(told(second.merge(SECOND, first.version(), list.clone())), ["-east", "+south"]);
-    assert_eq!(second.merge(SECOND, first.version(), list), []);
+    second.apply(3, [active("east", 3)]);
+    let snapshot = first.snapshot(SECOND);
+    assert_eq!(
+        describe(second.merge(SECOND, first.version(), snapshot.clone())),
+        ["-east", "+south"]
+    );
+    assert_eq!(second.merge(SECOND, first.version(), snapshot), []);
     // It keeps what the store has lost no longer than the first does, and knows what is over.
-    assert_eq!(told(second.expire(SECOND + EVACUATION_GRACE)), ["-south"]);
+    assert_eq!(describe(second.expire(SECOND + EVACUATION_GRACE)), ["-south"]);
     let version = StoreVersion::new(2, 481);
-    assert_eq!(second.replace(version, [order("north", 480)], COPY), []);
+    assert_eq!(second.replace(version, [active("north", 480)], RESTORED), []);
 }
--- a/crates/portfield/tests/agenda/mod.rs
+++ b/crates/portfield/tests/event_queue/mod.rs
@@ -5,22 +5,22 @@
 
 /// Events by their moments.
 #[derive(Debug)]
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     events: BTreeMap<(Duration, u64), E>,
-    n_events: u64,
+    n_pushed: u64,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { events: BTreeMap::new(), n_events: 0 }
+        Self { events: BTreeMap::new(), n_pushed: 0 }
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// Puts down what happens at a moment.
     pub fn push(&mut self, at: Duration, event: E) {
-        self.n_events += 1;
-        self.events.insert((at, self.n_events), event);
+        self.n_pushed += 1;
+        self.events.insert((at, self.n_pushed), event);
     }
 
     /// Takes the next event and its moment.
--- a/crates/portfield/tests/flood.rs
+++ b/crates/portfield/tests/flood.rs
@@ -1,15 +1,15 @@
 //! A flood at hosts that are short of processor time: what is served of it.
 
-mod agenda;
+mod event_queue;
 mod rationed;
 
 use rationed::{Flood, Got, play};
 
 /// What a host of the fleet passes on when nothing is refused, in requests a second.
-const BEARABLE: f64 = 120.0;
+const CAPACITY: f64 = 120.0;
 
 /// Returns what is served a second, once the platform has had time to look at the hosts.
-fn served(rate: f64, seed: u64) -> f64 {
+fn served_per_second(rate: f64, seed: u64) -> f64 {
     let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
     let steady = &served[3..9];
     steady.iter().sum::<u32>() as f64 / steady.len() as f64
@@ -27,15 +27,15 @@
 /// bear come back to it at once. Evidence: such hosts accepted 2,050 to 3,030 connections a second, refused 1,400 to
 /// 2,000 requests and placed 2 to 50; out of rotation they had 3 to 13 requests left and placed none.
 #[test]
-fn a_flood_is_served_no_less_than_what_one_host_bears() {
+fn an_overloaded_host_keeps_its_normal_throughput() {
     for seed in 1..=3 {
-        let bearable = served(BEARABLE, seed);
+        let baseline = served_per_second(CAPACITY, seed);
         for times in [2.0, 5.0, 13.0] {
-            let got = served(BEARABLE * times, seed);
+            let served_rate = served_per_second(CAPACITY * times, seed);
             let text = format!(
-                "seed {seed}: {got:.0} a second of {times} times the rate, {bearable:.0} of it"
+                "seed {seed}: {served_rate:.0} a second of {times} times the rate, {baseline:.0} of it"
             );
-            assert!(0.9 * bearable <= got, "{text}");
+            assert!(0.9 * baseline <= served_rate, "{text}");
         }
     }
 }
@@ -46,7 +46,7 @@
 /// Cause: a host that was calm for 1.5 s was ready again. The platform sent it the whole flood once more, and the hosts
 /// beside it lost the part that they had served.
 #[test]
-fn hosts_that_a_flood_just_fills_take_nobody_new() {
+fn hosts_filled_by_an_overload_stay_out_of_rotation() {
     for seed in 1..=3 {
         let rate = 600.0;
         let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -15,7 +15,7 @@
 const N_RUNS: usize = 300;
 
 /// Runs a property on values from a fixed seed.
-fn check<A: Arbitrary + std::fmt::Debug>(property: impl Fn(A) -> bool) {
+fn check_property<A: Arbitrary + std::fmt::Debug>(property: impl Fn(A) -> bool) {
     let mut values = Gen::from_size_and_seed(60, SEED);
     for _ in 0..N_RUNS {
         let value = A::arbitrary(&mut values);
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn no_order_of_delivery_lowers_the_revision() {
-    check(|revisions: Vec<u8>| {
+fn the_revision_never_decreases() {
+    check_property(|revisions: Vec<u8>| {
         let mut it = Adopted::default();
         let mut highest = 0;
         revisions.iter().all(|revision| {
@@ -46,7 +46,7 @@
 /// last of each life arrives: the counter is what was served in all lives.
 #[test]
 fn counters_do_not_depend_on_the_order_of_frames() {
-    check(|order: Vec<u8>| {
+    check_property(|order: Vec<u8>| {
         let frame = |life: u64, sequence: u64| wire::UsageSet {
             shard: Some(EAST.into()),
             incarnation: life,
@@ -116,7 +116,7 @@
     let fleet = small_fleet();
     let shard = fleet.shard_of(&fleet.upstreams[0]);
     let upstream = fleet.upstreams[0].id;
-    check(|steps: Vec<Step>| {
+    check_property(|steps: Vec<Step>| {
         let mut now = Duration::from_secs(1);
         let host = IpAddr::from([127, 0, 0, 1]);
         let mut owner = Owner::new(now, shard, 1, Limits::default());
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn any_text_is_taken_or_refused_with_reasons() {
-    check(|text: String| match Intent::parse(&text) {
+fn any_text_is_parsed_or_rejected_with_reasons() {
+    check_property(|text: String| match Intent::parse(&text) {
         Ok(_) => true,
         Err(err) => !err.mistakes().is_empty() && !err.to_string().is_empty(),
     });
@@ -174,8 +174,8 @@
 
 /// Members as they come from outside, whatever they say.
 #[test]
-fn any_gossip_leaves_this_host_alive() {
-    check(|raw: Vec<(u8, u8, u8, bool)>| {
+fn no_gossip_removes_this_host() {
+    check_property(|raw: Vec<(u8, u8, u8, bool)>| {
         let me = ListEntry {
             host: IpAddr::from([127, 0, 0, 1]),
             address: ([127, 0, 0, 1], 9090).into(),
@@ -201,7 +201,7 @@
 
 /// A new owner that knows of no request grants nothing that the upstream's report says runs.
 #[test]
-fn a_new_owner_respects_what_runs_already() {
+fn a_new_owner_counts_running_requests() {
     let fleet = small_fleet();
     let shard = fleet.shard_of(&fleet.upstreams[0]);
     let (upstream, workspace) = (fleet.upstreams[0].id, fleet.workspaces[0].id);
--- a/crates/portfield/tests/rationed/mod.rs
+++ b/crates/portfield/tests/rationed/mod.rs
@@ -8,7 +8,7 @@
 
 use portfield::balance::{Answered, Governor};
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 
 /// Part of a core that a host has.
 const CORE: f64 = 0.12;
@@ -120,7 +120,7 @@
 struct World {
     flood: Flood,
     hosts: Vec<Host>,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     n_questions: u64,
     draws: fastrand::Rng,
     /// Hosts to which the caller has a connection that waits for its next request; it takes the one used last.
@@ -136,7 +136,7 @@
         let mut res = Self {
             flood,
             hosts: (0..flood.n_hosts).map(|_| Host::default()).collect(),
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             n_questions: 0,
             draws: fastrand::Rng::with_seed(seed),
             idle: Vec::new(),
@@ -145,23 +145,23 @@
         let mut at = START;
         let end = START + Duration::from_secs(flood.seconds);
         while at < end {
-            res.agenda.push(at, Event::Ask(Ask { asked: at, sent: at, has_come_back: false }));
+            res.events.push(at, Event::Ask(Ask { asked: at, sent: at, has_come_back: false }));
             at += Duration::from_secs_f64(-(1.0 - res.draws.f64()).ln() / flood.rate);
         }
         let phase = res.draws.f64();
-        res.agenda.push(START + READY_PERIOD.mul_f64(phase), Event::Question);
+        res.events.push(START + READY_PERIOD.mul_f64(phase), Event::Question);
         (0..flood.n_hosts).for_each(|host| {
             let work = Work::Timer { due: START };
-            res.agenda.push(START, Event::Work { host, work });
+            res.events.push(START, Event::Work { host, work });
         });
         (0..flood.seconds)
-            .for_each(|it| res.agenda.push(START + Duration::from_secs(it), Event::Look));
+            .for_each(|it| res.events.push(START + Duration::from_secs(it), Event::Look));
         res
     }
 
     fn run(&mut self) {
         let end = START + Duration::from_secs(self.flood.seconds);
-        while let Some((now, event)) = self.agenda.pop() {
+        while let Some((now, event)) = self.events.pop() {
             if end <= now {
                 return;
             }
@@ -225,13 +225,13 @@
             }
             Work::Event { n_left } => {
                 let work = Work::Event { n_left: n_left - 1 };
-                self.agenda.push(now + PACE, Event::Work { host, work });
+                self.events.push(now + PACE, Event::Work { host, work });
                 EVENT
             }
             Work::Timer { due } => {
                 self.hosts[host].governor.observe(now, now.saturating_sub(due));
                 let due = now + LOAD_PERIOD;
-                self.agenda.push(due, Event::Work { host, work: Work::Timer { due } });
+                self.events.push(due, Event::Work { host, work: Work::Timer { due } });
                 Duration::ZERO
             }
             Work::Ready { number } => {
@@ -239,7 +239,7 @@
                 REFUSAL
             }
         };
-        self.agenda.push(now + cost.div_f64(CORE), Event::Turn { host });
+        self.events.push(now + cost.div_f64(CORE), Event::Turn { host });
     }
 
     /// Reads a request and returns what that costs.
@@ -250,7 +250,7 @@
         let is_late = ask.sent + OBJECTIVE < now;
         if !refused && !is_late {
             self.count(now, |it| &mut it.served, 1);
-            self.agenda
+            self.events
                 .push(now + PACE, Event::Work { host, work: Work::Event { n_left: N_EVENTS } });
             return PLACING;
         }
@@ -260,7 +260,7 @@
         self.count(now, |it| &mut it.refused, 1);
         let left = (ask.asked + DEADLINE).saturating_sub(now);
         if !ask.has_come_back && retry <= left / 3 {
-            self.agenda.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
+            self.events.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
         }
         if refused { REFUSAL } else { PLACING }
     }
@@ -272,9 +272,9 @@
             self.hosts[host].is_out = MISSES <= self.hosts[host].misses;
             self.hosts[host].question = Some(number);
             self.enqueue(now, host, Work::Ready { number });
-            self.agenda.push(now + READY_PATIENCE, Event::Patience { host, number });
+            self.events.push(now + READY_PATIENCE, Event::Patience { host, number });
         }
-        self.agenda.push(now + READY_PERIOD, Event::Question);
+        self.events.push(now + READY_PERIOD, Event::Question);
     }
 
     fn answer_ready(&mut self, host: usize, number: u64) {
--- a/crates/portfield/tests/suspend.rs
+++ b/crates/portfield/tests/suspend.rs
@@ -9,7 +9,7 @@
 }
 
 /// A host that looks each 25 ms and then stands still until `at`.
-fn woken(at: Duration) -> SuspendDetector {
+fn resumed(at: Duration) -> SuspendDetector {
     let mut res = SuspendDetector::default();
     (0..40).for_each(|n| assert_eq!(res.tick(ms(n * 25)), None));
     assert!(res.is_state_usable(ms(1000)));
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn who_stood_still_trusts_nothing_until_it_has_heard_all() {
-    let mut it = woken(ms(8000));
+fn after_a_suspension_state_is_unusable_until_all_of_it_is_confirmed() {
+    let mut it = resumed(ms(8000));
     assert!(!it.is_state_usable(ms(8000)));
     it.confirm_from_store(ms(8010), CachedState::Config);
     assert!(!it.is_state_usable(ms(8020)), "the list may be old");
@@ -30,22 +30,22 @@
 
 /// The answer to a held call comes while the host stands still, and lies in its socket until it wakes.
 #[test]
-fn an_answer_to_a_call_from_before_says_nothing_of_the_time_since() {
-    let mut it = woken(ms(8000));
+fn an_answer_to_a_call_from_before_the_suspension_confirms_nothing() {
+    let mut it = resumed(ms(8000));
     it.confirm_from_store(ms(900), CachedState::Config);
     it.confirm_from_store(ms(900), CachedState::Upstreams);
     assert!(!it.is_state_usable(ms(8020)));
 }
 
 #[test]
-fn who_hears_nobody_serves_after_a_while() {
-    let it = woken(ms(8000));
+fn an_isolated_host_uses_its_state_after_a_timeout() {
+    let it = resumed(ms(8000));
     assert!(!it.is_state_usable(ms(10_900)));
     assert!(it.is_state_usable(ms(11_000)));
 }
 
 #[test]
-fn lateness_of_a_busy_host_and_a_clock_that_steps_back_are_no_standstill() {
+fn late_ticks_and_backward_clock_steps_are_not_suspensions() {
     let mut it = SuspendDetector::default();
     for at in [0, 700, 1400, 200, 200, 1500, 2900] {
         assert_eq!(it.tick(ms(at)), None, "{at}");
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn who_stands_still_again_begins_anew() {
-    let mut it = woken(ms(8000));
+fn a_second_suspension_resets_the_confirmations() {
+    let mut it = resumed(ms(8000));
     it.confirm_from_peer(CachedState::Config);
     assert_eq!(it.tick(ms(12_000)), Some(ms(4000)));
     it.confirm_from_peer(CachedState::Upstreams);
