--- a/crates/portfield/src/suspend.rs
+++ b/crates/portfield/src/suspend.rs
@@ -1,30 +1,30 @@
-//! What a host that stood still trusts of what it knows.
+//! Detects that a host was suspended, and whether its cached state may be used afterwards.
 //!
-//! A machine may be suspended, or a process stopped, for seconds, while the fleet goes on: keys are revoked, upstreams
-//! leave or start anew, configurations are replaced. What the host knew is as old as the time that it stood still,
-//! and what waits in its sockets says nothing of the time since.
+//! A machine may be suspended, or a process stopped, for seconds while the fleet goes on: keys are
+//! revoked, upstreams leave or restart, configurations change. The cached state is then as old as
+//! the suspension was long, and messages left in the socket buffers describe the time before it.
 
 use std::time::Duration;
 
-/// Time without a look at the clock above which a host stood still.
+/// Time between two ticks from which the host counts as suspended.
 ///
-/// What it knows has to be in force within two seconds of a change, and was up to half a second old before. A host
-/// short of processor time is late by some tenths of a second.
+/// Cached state must reflect a change within two seconds, and may have been half a second old
+/// before the suspension. A host short of CPU time ticks a few tenths of a second late.
 const MIN_SUSPENSION: Duration = Duration::from_millis(1500);
-/// Time after which a host that hears nobody trusts what it knows all the same, as one that is cut off does: it
-/// serves its callers rather than refusing them until somebody is there.
+/// Time after which a host that reaches neither the store nor other hosts uses its cached state
+/// anyway: it then serves requests instead of refusing them.
 const ISOLATED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a host knows of the fleet.
+/// Fleet state that a host caches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CachedState {
-    /// The configuration, with the workspaces' keys.
+    /// The configuration, including the API keys of the workspaces.
     Config,
     /// The list of upstreams.
     Upstreams,
 }
 
-/// Whether a host has stood still, and what it has heard since.
+/// Detects suspensions of the host, and tracks which cached state was confirmed since.
 ///
 /// # Examples
 ///
@@ -44,7 +44,7 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct SuspendDetector {
-    /// When it last looked at the clock, if it did.
+    /// Time of the latest tick, if any.
     last_tick: Option<Duration>,
     resumed: Option<Resumed>,
 }
@@ -52,15 +52,16 @@
 #[derive(Debug, Clone, Copy)]
 struct Resumed {
     at: Duration,
-    /// It has heard since what is in force.
+    /// The configuration was confirmed since.
     has_config: bool,
+    /// The list of upstreams was confirmed since.
     has_upstreams: bool,
 }
 
 impl SuspendDetector {
-    /// Looks at the clock; returns for how long the host stood still, if it did.
+    /// Records the current time; returns the length of the suspension if one has just ended.
     ///
-    /// A clock that reads less than before is no time gone by.
+    /// A clock that steps backwards is not a suspension.
     pub fn tick(&mut self, now: Duration) -> Option<Duration> {
         let gap = self.last_tick.map_or(Duration::ZERO, |it| now.saturating_sub(it));
         self.last_tick = self.last_tick.max(Some(now));
@@ -71,8 +72,8 @@
         Some(gap)
     }
 
-    /// Notes that the store answered a call made at `asked`: an answer to an earlier one may have waited here all
-    /// the while.
+    /// Records that the store answered a call sent at `requested_at`. Answers to calls from before
+    /// the suspension are ignored: they may have waited in a socket buffer.
     pub fn confirm_from_store(&mut self, requested_at: Duration, what: CachedState) {
         let Some(it) = self.resumed.as_mut().filter(|it| it.at <= requested_at) else { return };
         match what {
@@ -81,17 +82,19 @@
         }
     }
 
-    /// Notes that another host said after this one woke that it knows nothing newer of something.
+    /// Records that another host, after the end of the suspension, reported no newer version of
+    /// `what`.
     pub fn confirm_from_peer(&mut self, what: CachedState) {
         self.confirm_from_store(Duration::MAX, what);
     }
 
-    /// Returns when the host last woke, `None` if it never stood still.
+    /// Returns when the latest suspension ended, `None` if there was none.
     pub fn resumed_at(&self) -> Option<Duration> {
         self.resumed.map(|it| it.at)
     }
 
-    /// Returns whether what the host knows may be used.
+    /// Returns whether the cached state may be used: all of it was confirmed since the latest
+    /// suspension, or a timeout has passed since.
     pub fn is_state_usable(&self, now: Duration) -> bool {
         self.resumed
             .is_none_or(|it| (it.has_config && it.has_upstreams) || it.at + ISOLATED_TIMEOUT <= now)
