--- a/crates/portfield/src/digest_scope.rs
+++ b/crates/portfield/src/digest_scope.rs
@@ -1,13 +1,13 @@
-//! How much a message to other hosts tells.
+//! How much state a digest to other hosts carries.
 
-/// How often what is new is repeated in digests, against lost datagrams.
+/// Number of digests that carry each update, to tolerate lost datagrams.
 pub(crate) const DIGESTS_PER_UPDATE: u32 = 3;
 
-/// How much a message to other hosts tells of something that changes seldom.
+/// How much of a slowly changing state a digest carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestScope {
-    /// What became known of late.
+    /// Recent changes only.
     Changes,
-    /// All that still matters: for hosts that have just started, or missed it.
+    /// All relevant state, for hosts that have just started or missed changes.
     Full,
 }
--- a/crates/portfield/src/idempotency.rs
+++ b/crates/portfield/src/idempotency.rs
@@ -1,48 +1,49 @@
-//! At-most-once execution by idempotency key: what a claim row says, and what follows.
+//! At-most-once execution by idempotency key: the claim stored under a key, and the decision that
+//! follows from it.
 //!
-//! Before a request with a key is sent upstream, its router writes a row that names the
-//! request. Only who wrote the row sends. The row is given up if the request certainly did
-//! not run, and keeps the answer if it ended (compare the IETF draft *The Idempotency-Key
-//! HTTP Header Field*).
+//! Before a request with a key is sent upstream, its router writes a row that names the request.
+//! Only the router that wrote the row sends the request. The row is freed if the request certainly
+//! did not run, and stores the answer once it has finished (compare the IETF draft *The
+//! Idempotency-Key HTTP Header Field*).
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use crate::{fleet::hex, ids::WorkspaceId};
 
-/// Longest answer that is kept with its key, in bytes.
+/// Longest answer that is stored with its key, in bytes.
 pub const MAX_KEPT_ANSWER: usize = 64 << 10;
 
-/// What became of the request that a key names.
+/// State of the request that claimed a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// A router may send it, or did.
+    /// A router may send the request, or has sent it.
     Claimed,
-    /// It certainly did not run; who comes next may claim it.
+    /// The request certainly did not run; the key may be claimed again.
     Free,
-    /// It ran; with the answer's status and, if it was short text, its body.
+    /// The request ran; holds the answer's status and, if it was short text, its body.
     Done {
         /// HTTP status.
         status: u16,
-        /// Body, if it is kept.
+        /// Body, if it was stored.
         body: Option<String>,
     },
 }
 
-/// The row of one key.
+/// Row stored under one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Id of the request that claimed the key, never used twice.
+    /// Unique id of the request that claimed the key.
     pub request: String,
-    /// Hash of what the key stands for: method, path and body.
+    /// Hash of the request content: method, path and body.
     pub content: String,
-    /// What became of it.
+    /// State of that request.
     pub state: ClaimState,
 }
 
 impl Claim {
-    /// Builds the claim of a request.
+    /// Builds the claim of a request from its id and the parts of its content.
     pub fn new(request: impl Into<String>, content: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for it in content {
@@ -53,18 +54,18 @@
         Self { request: request.into(), content, state: ClaimState::Claimed }
     }
 
-    /// Writes the row.
+    /// Encodes the row.
     pub fn to_row(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a row; an empty one is none.
+    /// Decodes a row; returns `None` if it is empty or not a claim.
     pub fn from_row(row: &str) -> Option<Self> {
         serde_json::from_str(row).ok()
     }
 }
 
-/// Returns the row's key for a workspace's idempotency key; workspaces cannot meet.
+/// Returns the row key of an idempotency key; keys of different workspaces never collide.
 ///
 /// # Examples
 ///
@@ -80,19 +81,19 @@
 /// What a router does about a key, given the row that it found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Write the claim over the row found.
+    /// Write the claim over the row.
     Claim,
-    /// The row is this request's own: a write that seemed lost was applied.
+    /// The row is from this request: a write that seemed lost was applied.
     AlreadyHeld,
     /// Another request may have run under the key.
     Conflict,
-    /// The key stands for another request content.
+    /// The key was used for a request with other content.
     Mismatch,
-    /// The request ran: give the kept answer.
+    /// The request ran; return the stored answer.
     Replay(u16, Option<String>),
 }
 
-/// Judges the row found for a key.
+/// Decides what to do about the row found under a key.
 ///
 /// # Examples
 ///
--- a/crates/portfield/src/ids.rs
+++ b/crates/portfield/src/ids.rs
@@ -2,9 +2,9 @@
 
 use std::net::IpAddr;
 
-/// A host, named by its IP number.
+/// A host, identified by its IP address.
 pub type HostId = IpAddr;
-/// A workspace, numbered by the configuration; a number is never used again.
+/// A workspace, numbered by the configuration; numbers are never reused.
 pub type WorkspaceId = u32;
 /// A service, numbered by the configuration.
 pub type ServiceId = u32;
@@ -12,11 +12,11 @@
 pub type DataCentreId = u32;
 /// An upstream, numbered by the configuration.
 pub type UpstreamId = u32;
-/// A ticket, numbered by the router that holds the request.
+/// A ticket, numbered by the router that holds its request.
 pub type TicketId = u64;
-/// A loan of a slot, numbered by the owner that lends.
+/// A loan of a slot, numbered by the shard owner that lends it.
 pub type LoanId = u64;
-/// One life of a process; a later life has a larger number.
+/// One run of a process; a later run has a larger number.
 pub type Incarnation = u64;
 /// A revision of the fleet configuration.
 pub type Revision = u64;
--- a/crates/portfield/src/slo.rs
+++ b/crates/portfield/src/slo.rs
@@ -1,6 +1,5 @@
-//! Service-level objectives: what each request used of its error budget, and how fast the
-//! budget burns (*The Site Reliability Workbook*, chapter 5: alerting on burn rates over
-//! several windows).
+//! Service-level objectives: per-request results and error-budget burn rates over several windows
+//! (*The Site Reliability Workbook*, chapter 5, "Alerting on SLOs").
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,41 +13,42 @@
     ids::{ServiceId, WorkspaceId},
 };
 
-/// Part of the requests whose first token and whose time between tokens must be in time.
+/// Fraction of requests that must meet the first-token limit, and fraction that must meet the
+/// token-gap limit.
 pub const LATENCY_TARGET: f64 = 0.95;
-/// Part of the requests that must be answered.
+/// Fraction of requests that must be answered completely.
 pub const AVAILABILITY_TARGET: f64 = 0.999;
-/// SlidingWindows that burn rates are told over, in minutes.
+/// Windows that burn rates are computed over, in minutes.
 pub const WINDOW_MINUTES: [u64; 4] = [5, 30, 60, 360];
-/// A fast burn: both the hour and the last five minutes burn at least this fast.
+/// Burn rate of a fast burn; both the 1-hour and the 5-minute window must reach it.
 pub const FAST_BURN_RATE: f64 = 14.4;
-/// A slow burn: both the six hours and the last half hour burn at least this fast.
+/// Burn rate of a slow burn; both the 6-hour and the 30-minute window must reach it.
 pub const SLOW_BURN_RATE: f64 = 6.0;
 
-/// How one request ended, against its service's objectives.
+/// Result of one request, measured against its service's objectives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sample {
-    /// From its arrival to its first byte; none where it was not answered.
+    /// Time from arrival to the first byte; `None` if the request was not answered.
     pub first_byte: Option<Duration>,
-    /// Mean time between its tokens; zero where it had none.
+    /// Mean time between tokens; zero if there was at most one.
     pub token_gap: Duration,
 }
 
-/// Requests of one window.
+/// Request counts of one window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All that ended.
+    /// Finished requests.
     pub total: u64,
-    /// Those that were not answered, or not whole.
+    /// Requests that were not answered, or only partly.
     pub failed: u64,
-    /// Those whose first token was late.
+    /// Requests whose first token came late.
     pub late: u64,
-    /// Those whose tokens came too slowly.
+    /// Requests whose token gap was too long.
     pub slow: u64,
 }
 
 impl Tally {
-    /// Adds another window's or router's requests.
+    /// Adds the counts of another window or router.
     pub fn add(&mut self, other: &Self) {
         self.total += other.total;
         self.failed += other.failed;
@@ -56,7 +56,7 @@
         self.slow += other.slow;
     }
 
-    /// Returns the highest burn rate of the three objectives; 1 uses up the budget exactly.
+    /// Returns the highest burn rate of the three objectives; at 1 the budget is used up exactly.
     ///
     /// # Examples
     ///
@@ -76,19 +76,19 @@
     }
 }
 
-/// Whether somebody is to look at a burn now, soon, or not.
+/// Alert level of an error budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Alert {
     /// The budget is safe.
     None,
-    /// It burns slowly but steadily.
+    /// The budget burns slowly but steadily.
     Slow,
-    /// It burns fast.
+    /// The budget burns fast.
     Fast,
 }
 
-/// Judges the burn of the windows of [`WINDOW_MINUTES`].
+/// Returns the alert level for the tallies of [`WINDOW_MINUTES`].
 pub fn burn_alert(tallies: &[Tally; WINDOW_MINUTES.len()]) -> Alert {
     let [five_min, thirty_min, one_hour, six_hours] = tallies.map(|it| it.burn_rate());
     if FAST_BURN_RATE <= one_hour && FAST_BURN_RATE <= five_min {
@@ -100,14 +100,14 @@
     }
 }
 
-/// What one router remembers of the last hours, a tally a minute.
+/// One router's tallies of the last hours, one per minute.
 #[derive(Debug, Clone, Default)]
 pub struct SlidingWindows {
     minutes: BTreeMap<(WorkspaceId, ServiceId), VecDeque<(u64, Tally)>>,
 }
 
 impl SlidingWindows {
-    /// Counts a request that ended.
+    /// Counts a finished request.
     pub fn record(&mut self, now: Duration, id: WorkspaceId, service: &Service, sample: Sample) {
         let minute = now.as_secs() / 60;
         let minutes = self.minutes.entry((id, service.id)).or_default();
--- a/crates/portfield/src/timer.rs
+++ b/crates/portfield/src/timer.rs
@@ -1,11 +1,11 @@
-//! A timer service that parts subscribe to.
+//! Timers of a state machine.
 //!
-//! The service itself reads no clock: whoever drives it hands the time in, a process from
-//! its monotonic clock and a replay from virtual time.
+//! Reads no clock: the caller passes the time, a process from its monotonic clock and a replay from
+//! virtual time.
 
 use std::{collections::BTreeSet, time::Duration};
 
-/// Pending timers, each with the key its subscriber is told.
+/// Pending timers, each with the key that is returned when it is due.
 ///
 /// # Examples
 ///
@@ -31,17 +31,17 @@
 }
 
 impl<K: Ord + Clone> Timers<K> {
-    /// Asks for `key` to be told at the instant `at`.
+    /// Schedules `key` for the time `at`.
     pub fn schedule(&mut self, at: Duration, key: K) {
         self.pending.insert((at, key));
     }
 
-    /// Returns the instant of the earliest timer.
+    /// Returns the time of the earliest timer.
     pub fn next_due(&self) -> Option<Duration> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Takes the earliest timer that is due at `now`.
+    /// Removes the earliest timer and returns its key, if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<K> {
         if now < self.next_due()? {
             return None;
