--- a/crates/portfield/src/catalog/directory.rs
+++ b/crates/portfield/src/catalog/directory.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a host knows, by incarnation.
+//! The list of upstreams that a host knows, by id.
 
 use std::{
     collections::{BTreeMap, HashSet, VecDeque},
@@ -9,50 +9,51 @@
 use super::{DrainMarks, State, StoreVersion, Upstream, UpstreamEntry, upstream::incarnation_hash};
 use crate::digest_scope::DigestScope;
 
-/// Time that an entry that lapsed while the store was away is kept after its return.
+/// Time after the end of a store outage for which an entry is kept that lapsed during the outage.
 ///
-/// The platform says that a live upstream's entry is back within about two seconds.
+/// The platform specifies that a live upstream registers again within about two seconds.
 pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2000);
 
-/// Upstreams that are gone and still told of to hosts that know an older list: all of a fleet of several
-/// hundred; a host that is further behind takes the whole list.
+/// Removed entries remembered for incremental updates of other hosts, enough for all upstreams of a
+/// fleet of several hundred. A host that is further behind fetches the full list.
 const MAX_REMOVED: usize = 1024;
 
-/// One change of the list.
+/// A change of one entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryChange {
-    /// An entry is new or has changed.
+    /// The entry is new or has changed.
     Set(UpstreamEntry),
-    /// The entry with this id is gone.
+    /// The entry with this id was removed.
     Removed(String),
-    /// The row with this id is there, and is no entry of an upstream.
+    /// The row with this id exists, but does not describe an upstream.
     Invalid(String),
 }
 
-/// An upstream that a change of the list concerned.
+/// An upstream that was affected by a change of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedUpstream {
     /// Its id.
     pub id: String,
-    /// Its state, `None` where it is no longer known.
+    /// Its state, `None` if it was removed.
     pub state: Option<State>,
 }
 
-/// What changed since an older version of the list.
+/// Changes since an older version of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delta {
     /// Ids of entries that are new or have changed.
     pub set: Vec<String>,
-    /// Ids of entries that are gone.
+    /// Ids of entries that were removed.
     pub removed: Vec<String>,
 }
 
-/// What a whole list says of entries that are missing from it.
+/// What it means that a row is missing from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingRows {
-    /// They are gone: the store answered all the while.
+    /// It was deleted: the store was reachable all the time.
     Deleted,
-    /// They may have lapsed while the store was away, and may come back.
+    /// It may have lapsed during an outage of the store, or be lost in a restore, and may be
+    /// written again.
     MayReturn {
         /// When the store answered again.
         restored_at: Duration,
@@ -65,30 +66,30 @@
     version: StoreVersion,
     entries: BTreeMap<String, KnownEntry>,
     removed: VecDeque<RemovedEntry>,
-    /// Since which version all changes are known; `None` while there is no list.
+    /// Oldest version since which all changes are known; `None` before the first full list.
     history_start: Option<StoreVersion>,
-    /// Upstreams that said that they drain.
+    /// Upstreams that reported that they are draining.
     drain_marks: DrainMarks,
 }
 
-/// An entry that is gone.
+/// An entry that was removed.
 #[derive(Debug)]
 struct RemovedEntry {
-    /// The version that told so.
+    /// Version of the list in which it was removed.
     version: StoreVersion,
     id: String,
-    /// The last version of its row, zero if that is not known.
+    /// Last version of its row, zero if unknown.
     row_version: u64,
 }
 
 #[derive(Debug, Clone)]
 struct KnownEntry {
     upstream: Arc<Upstream>,
-    /// The version that last told a change of it.
+    /// Version of the list in which it last changed.
     changed_in: StoreVersion,
-    /// The version of its row, zero if that is not known.
+    /// Version of its row, zero if unknown.
     row_version: u64,
-    /// When an entry that is missing counts as gone.
+    /// When it is removed, if it is missing from the store.
     expires_at: Option<Duration>,
 }
 
@@ -99,13 +100,13 @@
 }
 
 impl Directory {
-    /// Returns the store's version that the list is as of.
+    /// Returns the version of the store that the list reflects.
     pub fn version(&self) -> StoreVersion {
         self.version
     }
 
-    /// Applies changes up to a version of the store, and returns whom they concerned; an older version
-    /// changes nothing.
+    /// Applies changes up to a version of the store; returns the upstreams they affected. A version
+    /// older than the list is ignored.
     pub fn apply(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -120,8 +121,8 @@
         changes.into_iter().filter_map(|it| self.apply_change(it, missing)).collect()
     }
 
-    /// Takes a whole list as of a version of the store, and returns whose entries changed; an older
-    /// version changes nothing.
+    /// Replaces the list by the full list as of a version of the store; returns the upstreams that
+    /// changed. A version older than the list is ignored.
     pub fn replace(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -141,7 +142,7 @@
         absent.into_iter().chain(list).filter_map(|it| self.apply_change(it, missing)).collect()
     }
 
-    /// Returns what changed since an older version; `None` where that is not known.
+    /// Returns the changes since an older version, `None` if they are not all known.
     pub fn changes_since(&self, version: impl Into<StoreVersion>) -> Option<Delta> {
         let version = version.into();
         if version < self.history_start? {
@@ -157,21 +158,23 @@
         })
     }
 
-    /// Notes the version of the row that an entry was last read from.
+    /// Records the version of the row that an entry was last read from.
     pub fn set_row_version(&mut self, id: &str, row_version: u64) {
         if let Some(it) = self.entries.get_mut(id) {
             it.row_version = row_version;
         }
     }
 
-    /// Returns the version of the row that an entry was last read from, zero if that is not known.
+    /// Returns the version of the row that an entry was last read from, zero if unknown.
     pub fn row_version(&self, id: &str) -> u64 {
         self.entries.get(id).map_or(0, |it| it.row_version)
     }
 
-    /// Takes out of the list of a store that went back what is known to be over: an upstream that left, by the same
-    /// version of its row, one that was about to leave, and an earlier incarnation of one that has started anew. Each change
-    /// comes with its row's version.
+    /// Reconciles the list of a store restored from a backup with what is known; takes each change
+    /// with the version of its row.
+    ///
+    /// An upstream that left stays removed if its row has the version it had then, a draining one
+    /// stays draining, and an older incarnation does not replace a newer one.
     pub fn reconcile_restored(
         &self,
         list: impl IntoIterator<Item = (EntryChange, u64)>,
@@ -181,14 +184,15 @@
             .collect()
     }
 
-    /// Returns until when an entry is kept that is missing from the store.
+    /// Returns when an entry that is missing from the store is removed, `None` if it is not
+    /// missing.
     pub fn expires_at(&self, id: &str) -> Option<Duration> {
         self.entries.get(id)?.expires_at
     }
 
-    /// Keeps an entry that is missing from the store until a time.
+    /// Keeps an entry that is missing from the store until `expires_at`.
     ///
-    /// Counts as a change: a host that learns of the list from this one has to let go of it too.
+    /// Counts as a change, so that hosts that fetch the list from this one learn of the expiry.
     pub fn set_expiry(&mut self, id: &str, expires_at: Duration) {
         if let Some(it) = self.entries.get_mut(id) {
             it.expires_at = Some(expires_at);
@@ -196,19 +200,21 @@
         }
     }
 
-    /// Returns whether an entry that another host keeps though the store lacks it is to be taken from there.
+    /// Returns whether to accept an entry that another host still keeps although the store lacks
+    /// it.
     ///
-    /// Not where this host has let go of it: it may have followed the store while the other one could not.
+    /// Not if this host has already removed it: this one may have followed the store while the
+    /// other could not.
     pub fn accepts_unlisted(&self, id: &str) -> bool {
         self.is_empty() || self.entries.contains_key(id)
     }
 
-    /// Returns whether an entry did not come back in time.
+    /// Returns whether any entry has expired.
     pub fn has_expired(&self, now: Duration) -> bool {
         self.entries.values().any(|it| it.is_expired(now))
     }
 
-    /// Removes entries that did not come back in time; returns their ids.
+    /// Removes expired entries; returns their ids.
     pub fn expire(&mut self, now: Duration) -> Vec<String> {
         let expired = self.entries.iter().filter(|it| it.1.is_expired(now));
         let removed: Vec<String> = expired.map(|it| it.0.clone()).collect();
@@ -223,15 +229,16 @@
         self.entries.values().map(|it| &it.upstream)
     }
 
-    /// Returns the upstreams that take new requests, by their entries and by their own word.
+    /// Returns the upstreams that accept new requests, by their entries and their own reports.
     pub fn ready(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.all().filter(|it| self.effective_state(it) == State::Ready)
     }
 
-    /// Notes that an upstream said of itself that it drains; returns whether that is news.
+    /// Records that an upstream reported that it is draining; returns whether that is new.
+    /// `upstream` is its wire id.
     ///
-    /// Its word holds for its incarnation, also where its entry lapses and comes back: an entry that says `ready` is older,
-    /// however late it is read.
+    /// The mark applies to the incarnation, even if its entry lapses and returns: an entry that
+    /// says `ready` is older than the report, however late it is read.
     ///
     /// # Examples
     ///
@@ -246,24 +253,24 @@
         self.drain_marks.insert(upstream)
     }
 
-    /// Returns whether an upstream said of itself that it drains.
+    /// Returns whether an upstream reported that it is draining.
     pub fn is_marked_draining(&self, upstream: u32) -> bool {
         self.drain_marks.contains(upstream)
     }
 
-    /// Returns the upstreams that drain by their own word, while their entries say `ready`.
+    /// Returns the upstreams that reported that they are draining while their entries say `ready`.
     pub fn draining_unlisted(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         let is_entry_ready = |it: &&Arc<Upstream>| it.entry.state == State::Ready;
         self.all().filter(is_entry_ready).filter(|it| self.is_marked_draining(it.wire_id()))
     }
 
-    /// Returns the numbers of those that other hosts are told of in a digest.
+    /// Returns the wire ids of such upstreams to send in a digest.
     pub fn draining_for_digest(&mut self, scope: DigestScope) -> Vec<u32> {
         let unlisted = self.unlisted_wire_ids();
         self.drain_marks.take_for_digest(scope, |it| unlisted.contains(&it))
     }
 
-    /// Returns the numbers of those that the sum of a data centre names.
+    /// Returns the wire ids of such upstreams to send in a data centre's summary.
     pub fn draining_for_summary(&self) -> Vec<u32> {
         let unlisted = self.unlisted_wire_ids();
         self.drain_marks.for_summary(|it| unlisted.contains(&it))
@@ -273,7 +280,7 @@
         self.draining_unlisted().map(|it| it.wire_id()).collect()
     }
 
-    /// Returns whether an upstream takes new requests, as far as anything is known.
+    /// Returns the state of an upstream by its entry and its own report.
     fn effective_state(&self, upstream: &Upstream) -> State {
         if self.is_marked_draining(upstream.wire_id()) {
             return State::Draining;
@@ -281,7 +288,7 @@
         upstream.entry.state
     }
 
-    /// Returns whether another incarnation has an upstream's entry.
+    /// Returns whether another incarnation now has the entry of an upstream.
     pub fn is_restarted(&self, upstream: &Upstream) -> bool {
         let current = self.entries.get(&upstream.entry.id);
         current.is_some_and(|it| it.upstream.hash != upstream.hash)
@@ -328,7 +335,8 @@
                     ..entry.clone()
                 }
         };
-        // That an upstream becomes less cold is told on, and is no news to a reader of the log.
+        // Hosts pass on a change of the cold time only; it is not reported as a change of the
+        // upstream.
         let is_news = !self.entries.get(&id).is_some_and(differs_only_in_cold);
         let upstream = Arc::new(Upstream { hash: incarnation_hash(&entry), entry });
         let entry =
@@ -337,7 +345,7 @@
         is_news.then_some(ChangedUpstream { id, state })
     }
 
-    /// Returns what a copy of the store says of an upstream, as far as it may still hold.
+    /// Returns what a restored store's row says of an upstream, as far as it is not outdated.
     fn reconcile(&self, change: EntryChange, row_version: u64) -> Option<EntryChange> {
         let EntryChange::Set(mut entry) = change else { return Some(change) };
         let is_same_row = |it: &RemovedEntry| {
@@ -375,7 +383,7 @@
 }
 
 impl EntryChange {
-    /// Returns the id of the entry that it concerns.
+    /// Returns the id of the entry that changed.
     pub fn id(&self) -> &str {
         match self {
             Self::Set(it) => &it.id,
--- a/crates/portfield/src/catalog/draining.rs
+++ b/crates/portfield/src/catalog/draining.rs
@@ -1,21 +1,23 @@
-//! Upstreams that said of themselves that they drain, whatever their entries in the store say.
+//! Upstreams that reported in an answer that they are draining, whatever their entries in the store
+//! say.
 //!
-//! The load that this answers: an upstream that leaves while the store is away, or slow to tell, is sent requests by every
-//! host until the store tells, for as long as that takes. Its own word is there with its next answer.
+//! While the store is down or slow, the entry of a leaving upstream still says `ready`, and every
+//! host would keep sending it requests until the store catches up. Its own report arrives with its
+//! next answer.
 
 use std::{cmp::Reverse, collections::HashMap};
 
 use crate::digest_scope::{DIGESTS_PER_UPDATE, DigestScope};
 
-/// Upstreams remembered; beyond that the one that said so first is forgotten. All of a fleet of several hundred may leave
-/// in a release.
+/// Upstreams remembered, beyond which the oldest mark is dropped. In a release all upstreams of a
+/// fleet may leave, several hundred.
 const MAX_MARKS: usize = 1024;
-/// Upstreams named in one message to other hosts.
+/// Upstreams named in one digest.
 const MAX_PER_DIGEST: usize = 64;
 
-/// Upstreams that said that they drain, by the number of their incarnation.
+/// Upstreams that reported that they are draining, by wire id.
 ///
-/// A mark is never taken back: who starts anew has another number.
+/// A mark is never removed: a restarted upstream has another wire id.
 ///
 /// # Examples
 ///
@@ -30,20 +32,20 @@
 #[derive(Debug, Default)]
 pub struct DrainMarks {
     marks: HashMap<u32, Mark>,
-    /// How many there ever were.
+    /// Number of marks ever inserted.
     n_inserted: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Mark {
-    /// How many there were before it.
+    /// Number of marks inserted before this one.
     sequence: u64,
-    /// Messages that still name it.
+    /// Digests that still have to name it as a recent change.
     n_sends_left: u32,
 }
 
 impl DrainMarks {
-    /// Notes that an upstream drains; returns whether that is news.
+    /// Marks an upstream as draining; returns whether it was not marked yet.
     pub fn insert(&mut self, upstream: u32) -> bool {
         if self.contains(upstream) {
             return false;
@@ -58,13 +60,13 @@
         true
     }
 
-    /// Returns whether an upstream said so.
+    /// Returns whether an upstream is marked.
     pub fn contains(&self, upstream: u32) -> bool {
         self.marks.contains_key(&upstream)
     }
 
-    /// Returns those that other hosts are told of in a digest, the last ones first; `is_relevant` says which are
-    /// still to be told.
+    /// Returns the marks to send in a digest, newest first; `is_relevant` selects those that still
+    /// matter.
     pub fn take_for_digest(
         &mut self,
         scope: DigestScope,
@@ -79,7 +81,7 @@
         due.into_iter().map(|it| it.0).collect()
     }
 
-    /// Returns those that the sum of a data centre names, the last ones first.
+    /// Returns the marks to send in a data centre's summary, newest first.
     pub fn for_summary(&self, is_relevant: impl Fn(u32) -> bool) -> Vec<u32> {
         let mut due: Vec<_> = self.marks.iter().filter(|it| is_relevant(*it.0)).collect();
         due.sort_unstable_by_key(|it| Reverse(it.1.sequence));
--- a/crates/portfield/src/catalog/evacuation.rs
+++ b/crates/portfield/src/catalog/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that are to get nothing, as the operator ordered.
+//! Evacuations: orders of the operator that a data centre gets no requests.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,41 +7,42 @@
 
 use super::{MissingRows, StoreVersion};
 
-/// Time for which an order is kept that is missing from the store's copy, after the store went back.
+/// Time for which an evacuation is kept that is missing from a store restored from a backup.
 ///
-/// The operator writes again what the store has lost, within some seconds; until then the order stands. One that was
-/// taken back in what was lost ends with this time at the latest.
+/// The operator writes lost rows again within a few seconds, and the evacuation stays active until
+/// then. If the row that lifted it was lost, it ends after this time at the latest.
 pub const EVACUATION_GRACE: Duration = Duration::from_secs(5);
 
-/// Orders taken back that are remembered against a store that goes back: an operator gives a few a day.
+/// Lifted evacuations remembered in case the store is restored from a backup; an operator orders a
+/// few a day.
 const MAX_LIFTED: usize = 64;
 
-/// An order as it is read, or the news that it was taken back.
+/// A row of the store that orders or lifts an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationRow {
     /// Name of the data centre.
     pub data_centre: String,
-    /// Version of its row.
+    /// Version of the row.
     pub row_version: u64,
-    /// It was taken back.
+    /// Whether the row lifts the evacuation.
     pub is_lifted: bool,
 }
 
-/// An order that came into force, or no longer is.
+/// An evacuation that started or ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// Name of the data centre.
     pub data_centre: String,
-    /// It was taken back, or did not come back after the store had lost it.
+    /// Whether it ended: it was lifted, or the store lost its row and it was not written again.
     pub is_lifted: bool,
 }
 
-/// An order in force.
+/// An active evacuation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ActiveEvacuation {
     /// Version of its row.
     row_version: u64,
-    /// When it ends, where the store has lost it.
+    /// When it ends, if its row is missing from the store.
     expires_at: Option<Duration>,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// The orders in force, as of a version of the store.
+/// The active evacuations, as of a version of the store.
 ///
 /// # Examples
 ///
@@ -69,36 +70,36 @@
 pub struct Evacuations {
     version: StoreVersion,
     active: BTreeMap<String, ActiveEvacuation>,
-    /// Orders taken back, with the last version of their rows.
+    /// Lifted evacuations, each with the last version of its row.
     lifted: VecDeque<(String, u64)>,
 }
 
-/// The orders as one host tells another.
+/// The evacuations known to a host, as sent to other hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationSnapshot {
-    /// Those in force, each with the time that it is still kept where the store has lost it.
+    /// Active evacuations, each with the time left if its row is missing from the store.
     pub active: Vec<(EvacuationRow, Option<Duration>)>,
-    /// Those taken back that are remembered.
+    /// Lifted evacuations that are still remembered.
     pub lifted: Vec<EvacuationRow>,
 }
 
 impl Evacuations {
-    /// Returns the version that last told a change; zero while there never was an order.
+    /// Returns the version of the latest change; zero if there was never an evacuation.
     pub fn version(&self) -> StoreVersion {
         self.version
     }
 
-    /// Returns whether a data centre is to get nothing.
+    /// Returns whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &str) -> bool {
         self.active.contains_key(data_centre)
     }
 
-    /// Returns the data centres that are to get nothing.
+    /// Returns the evacuated data centres.
     pub fn data_centres(&self) -> impl Iterator<Item = &str> {
         self.active.keys().map(String::as_str)
     }
 
-    /// Applies changes up to a version of the store; an older version changes nothing.
+    /// Applies changes up to a version of the store; an older version is ignored.
     pub fn apply(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -115,10 +116,11 @@
         rows.filter_map(|it| self.apply_row(it)).collect()
     }
 
-    /// Takes all orders as of a version of the store; an older version changes nothing.
+    /// Replaces all evacuations as of a version of the store; an older version is ignored.
     ///
-    /// From a store that went back (`MissingRows::MayReturn`), an order that is missing is kept for [`EVACUATION_GRACE`], and
-    /// one that is known to be taken back stays so: its row has the version that it had before.
+    /// With [`MissingRows::MayReturn`], an evacuation that is missing is kept for
+    /// [`EVACUATION_GRACE`]. One that is known to be lifted stays lifted if its row has the version
+    /// it had before.
     pub fn replace(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -144,7 +146,7 @@
         res
     }
 
-    /// Takes another host's orders, as of a later version; an older one changes nothing.
+    /// Adopts the evacuations of another host if their version is newer.
     pub fn merge(
         &mut self,
         now: Duration,
@@ -173,7 +175,7 @@
         res
     }
 
-    /// Returns the orders as they are told to another host.
+    /// Returns the evacuations to send to another host.
     pub fn snapshot(&self, now: Duration) -> EvacuationSnapshot {
         let row = |name: &String, row_version: u64, is_lifted: bool| EvacuationRow {
             data_centre: name.clone(),
@@ -188,12 +190,12 @@
         EvacuationSnapshot { active: active.collect(), lifted: lifted.collect() }
     }
 
-    /// Returns whether an order did not come back in time.
+    /// Returns whether any evacuation has expired.
     pub fn has_expired(&self, now: Duration) -> bool {
         self.active.values().any(|it| it.is_expired(now))
     }
 
-    /// Ends the orders that did not come back in time.
+    /// Ends expired evacuations; returns the changes.
     pub fn expire(&mut self, now: Duration) -> Vec<EvacuationChange> {
         let expired = self.active.iter().filter(|it| it.1.is_expired(now));
         let expired: Vec<String> = expired.map(|it| it.0.clone()).collect();
@@ -210,7 +212,7 @@
         previous.is_none().then_some(EvacuationChange { data_centre, is_lifted: false })
     }
 
-    /// Notes that an order is missing from the store.
+    /// Handles an evacuation that is missing from the store.
     fn handle_missing(
         &mut self,
         data_centre: String,
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Returns whether a copy of the store tells an order that is known to be taken back.
+    /// Returns whether a row is that of an evacuation known to be lifted.
     fn is_lifted(&self, row: &EvacuationRow) -> bool {
         self.lifted
             .iter()
--- a/crates/portfield/src/catalog/mod.rs
+++ b/crates/portfield/src/catalog/mod.rs
@@ -1,4 +1,4 @@
-//! What a host knows of routes, services, workspaces and upstreams.
+//! Routes, services, workspaces and upstreams as a host knows them.
 
 mod directory;
 mod draining;
--- a/crates/portfield/src/catalog/routes.rs
+++ b/crates/portfield/src/catalog/routes.rs
@@ -2,16 +2,16 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be repeated, and whether they are answered by a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Safe,
     /// May run at most once.
     Unsafe,
-    /// Events; may run at most once.
+    /// Answered by a stream of events; may run at most once.
     Stream,
-    /// Events; another upstream may go on after the last event.
+    /// Answered by a stream of events, which another upstream may resume after the last event.
     ResumableStream,
 }
 
@@ -21,7 +21,7 @@
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 
-    /// Returns whether the answer is a series of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -30,22 +30,22 @@
 /// Who may use a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// Anybody.
+    /// Anyone.
     Public,
-    /// Holders of a workspace's key.
+    /// Callers with an API key of a workspace.
     ApiKey,
 }
 
-/// A service that a route goes to, with its part of the traffic.
+/// A service that a route sends requests to, with its share of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its weight against the others.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// Regions in which something may be served.
+/// Regions in which requests may be served; all regions if none is named.
 ///
 /// # Examples
 ///
@@ -67,7 +67,7 @@
         self.is_any() || self.names.iter().any(|it| it == region)
     }
 
-    /// Returns whether all are allowed.
+    /// Returns whether all regions are allowed.
     pub fn is_any(&self) -> bool {
         self.names.is_empty()
     }
@@ -79,37 +79,37 @@
     }
 }
 
-/// One route.
+/// A route of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// Host of the requests that it takes.
+    /// Host name of the requests that it matches.
     pub host: String,
-    /// Start of their paths, from slash to slash.
+    /// Path prefix of the requests that it matches; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How its requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time until a request has its whole answer.
+    /// Time limit until a request is answered completely.
     pub timeout: Duration,
-    /// Time to the first event, or to the answer, that callers are content with.
+    /// Target time to the first event, or to the answer if there are no events.
     pub latency_target: Duration,
     /// Longest pause between two events.
     pub max_gap: Option<Duration>,
-    /// Rank; zero comes first.
+    /// Priority of its requests; zero comes first.
     pub priority: i64,
-    /// Services, by weight.
+    /// Services that its requests are divided among.
     pub services: Vec<WeightedService>,
-    /// Upstreams that one request may be sent to.
+    /// Upstreams that one request may be sent to, at most.
     pub max_attempts: u32,
     /// Who may use it.
     pub access: Access,
-    /// Where its requests may be served.
+    /// Regions where its requests may be served.
     pub regions: Regions,
 }
 
 impl Route {
-    /// Picks a service by weight; `draw` is uniform from zero to one.
+    /// Picks a service by weight; `draw` is a uniform random number from 0 to 1.
     pub fn pick_service(&self, draw: f64) -> Option<&str> {
         let total: f64 = self.services.iter().map(|it| it.weight).sum();
         let mut left = draw * total;
@@ -121,70 +121,71 @@
     }
 }
 
-/// Figures of a service whose upstreams run a model.
+/// Capacity of the upstreams of a service that run a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests that an upstream runs at once.
+    /// Requests that an upstream runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into its memory.
+    /// Tokens that fit into its KV cache.
     pub kv_capacity: u64,
     /// Tokens in one event.
     pub event_tokens: u32,
 }
 
-/// How a service's upstreams are to be treated after their start.
+/// Limits for a service's upstreams just after their start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// Time for which one is cold.
+    /// Time for which an upstream is cold.
     pub duration: Duration,
-    /// Requests a second that a cold one takes, from all hosts together.
+    /// Requests a second that a cold upstream accepts, from all hosts together.
     pub max_rate: f64,
 }
 
-/// One service.
+/// A service of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Path of its upstreams' health answer.
+    /// Path of its upstreams' health check.
     pub health_path: String,
-    /// Connections that one upstream takes from all hosts together.
+    /// Connections that one upstream accepts, from all hosts together.
     pub max_connections: u32,
-    /// Set where the upstreams run a model.
+    /// Set if its upstreams run a model.
     pub engine: Option<EngineSpec>,
-    /// Set where the upstreams are cold after their start.
+    /// Set if its upstreams are cold after their start.
     pub cold_start: Option<ColdStart>,
 }
 
-/// Who is owed a share.
+/// A workspace, which is owed a share of the capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Keys of its callers.
+    /// API keys of its callers.
     pub api_keys: Vec<String>,
-    /// Rank that goes before a route's, where set.
+    /// Overrides the priority of a route, if set.
     pub priority: Option<i64>,
-    /// Where its requests may be served.
+    /// Regions where its requests may be served.
     pub regions: Regions,
 }
 
-/// Bounds on what callers send, and the fleet's capacity.
+/// Limits on requests and connections, and the fleet's capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// Largest request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body of a request.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a head to arrive.
+    /// Time limit for a request head to arrive.
     pub header_timeout: Duration,
     /// Time that a connection may be idle.
     pub idle_timeout: Duration,
-    /// Tokens that all engines handle in a second, one generated counted twice; zero unknown.
+    /// Tokens a second that all engines process together, each generated token counted twice; zero
+    /// if unknown.
     pub token_rate: f64,
 }
 
-/// One version of the configuration.
+/// One version of the configuration, indexed for lookups.
 ///
 /// # Examples
 ///
@@ -246,33 +247,33 @@
         self.version
     }
 
-    /// Returns the bounds.
+    /// Returns the limits.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Returns how many workspaces there are.
+    /// Returns the number of workspaces.
     pub fn n_workspaces(&self) -> usize {
         self.n_workspaces
     }
 
-    /// Returns the workspaces that have a key, each once for each key.
+    /// Returns the workspaces that have API keys, each once per key.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.workspaces.values()
     }
 
-    /// Finds the route with the longest prefix of a path, among those of a host.
+    /// Finds the route with the longest matching path prefix among those of a host name.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |it| it.0).to_ascii_lowercase();
         self.routes.get(&host)?.iter().find(|it| path.starts_with(&it.prefix))
     }
 
-    /// Finds a service.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Finds the workspace that holds a key.
+    /// Finds the workspace that owns an API key.
     pub fn workspace_by_key(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.workspaces.get(key)
     }
--- a/crates/portfield/src/catalog/upstream.rs
+++ b/crates/portfield/src/catalog/upstream.rs
@@ -1,52 +1,53 @@
-//! An upstream as it describes itself.
+//! Upstreams, as their entries in the store describe them.
 
 use std::{net::SocketAddr, time::Duration};
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// It is about to leave, and accepts none.
     Draining,
 }
 
-/// An upstream as it describes itself.
+/// Entry that an upstream writes to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// Its id, which it may keep when it starts anew.
+    /// Id of the upstream, which it may keep across restarts.
     pub id: String,
-    /// Unix millisecond of its start, where it tells it: with the id, its incarnation.
+    /// Start time in Unix milliseconds, if known; together with the id it identifies the
+    /// incarnation.
     pub started_ms: Option<u64>,
     /// Service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre that it runs in.
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// How long it stays cold, as of when it said so: until then it takes few requests a second, and ends when it
-    /// gets more. Zero where it is not.
+    /// Time for which it stays cold, as of when it wrote the entry; zero if it is warm. A cold
+    /// upstream accepts few requests a second, and crashes when it gets more.
     pub cold_remaining: Duration,
 }
 
-/// An upstream with its number.
+/// An upstream with the hash of its incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Hash of its incarnation: what hosts call it among themselves. What they know of an earlier one
-    /// (parts kept, requests, health, connections) does not hold for the next.
+    /// Hash of the incarnation. State that hosts keep of an upstream (cached prompt prefixes,
+    /// requests, health, connections) is not valid for its next incarnation.
     pub hash: u64,
-    /// Its entry.
+    /// Its entry in the store.
     pub entry: UpstreamEntry,
 }
 
 impl Upstream {
-    /// Returns what hosts call its incarnation among themselves.
+    /// Returns the id of its incarnation in messages between hosts: the low 32 bits of the hash.
     pub fn wire_id(&self) -> u32 {
         self.hash as u32
     }
--- a/crates/portfield/src/catalog/version.rs
+++ b/crates/portfield/src/catalog/version.rs
@@ -2,10 +2,11 @@
 
 use std::fmt;
 
-/// A version of the store: its counter, within one of its eras.
+/// Version of the store: its counter within an era.
 ///
-/// The counter goes back where the store comes back from a copy of itself, and gives its numbers out again. The era
-/// rises by one each time, so that of two versions the later one is known; by its number alone it is not.
+/// When the store is restored from a backup, its counter goes back and its numbers are reused. Each
+/// restore raises the era by one, so that the later of two versions is known; the number alone does
+/// not tell.
 ///
 /// # Examples
 ///
@@ -19,24 +20,24 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreVersion {
-    /// How often the store came back from a copy before.
+    /// Number of restores from a backup so far.
     pub era: u64,
-    /// Its counter, which each transaction raises.
+    /// Counter of the store, raised by each transaction.
     pub number: u64,
 }
 
 impl StoreVersion {
-    /// Above every version of a store: nothing is newer.
+    /// Above every version of a store; nothing is newer.
     pub const MAX: Self = Self::new(u64::MAX, u64::MAX);
 
-    /// Builds a version.
+    /// Builds a version from its era and number.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
 }
 
 impl From<u64> for StoreVersion {
-    /// Builds a version of a store that never went back.
+    /// Builds a version of a store that was never restored.
     fn from(number: u64) -> Self {
         Self::new(0, number)
     }
