--- a/crates/portfield/src/quarantine/broken_attempts.rs
+++ b/crates/portfield/src/quarantine/broken_attempts.rs
@@ -11,7 +11,7 @@
 const CONFIRMATION_WINDOW: Duration = Duration::from_secs(5);
 /// Most runs remembered: some ten engines that end together with all that runs on them. Beyond it the oldest
 /// are forgotten, and their upstreams' ends count against nobody.
-const MAX_ATTEMPTS: usize = 1024;
+const MAX_BROKEN: usize = 1024;
 /// Most ended upstreams remembered, for runs of theirs that are seen to break later.
 const MAX_CRASHED: usize = 256;
 
@@ -70,7 +70,7 @@
             return true;
         }
         self.attempts.push_back(BrokenAttempt { request, upstream, at: now });
-        if MAX_ATTEMPTS < self.attempts.len() {
+        if MAX_BROKEN < self.attempts.len() {
             self.attempts.pop_front();
         }
         false
