--- a/crates/portfield/src/quarantine/broken_attempts.rs
+++ b/crates/portfield/src/quarantine/broken_attempts.rs
@@ -1,31 +1,31 @@
-//! Runs that broke, until it is known whether their upstreams ended with them.
+//! Broken attempts, kept until it is known whether their upstreams crashed.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::fingerprint::Fingerprint;
 
-/// Time after a run broke in which its upstream may be found to have ended.
+/// Time after an attempt broke within which a crash of its upstream counts as the cause.
 ///
-/// Mostly a connection is refused within milliseconds. An upstream that is back before anybody looked is known
-/// by its new entry, which it writes some seconds after its end.
+/// Usually the next connection is refused within milliseconds. An upstream that restarts before any
+/// host probes it is recognized by its new entry, which it writes a few seconds after the crash.
 const CONFIRMATION_WINDOW: Duration = Duration::from_secs(5);
-/// Most runs remembered: some ten engines that end together with all that runs on them. Beyond it the oldest
-/// are forgotten, and their upstreams' ends count against nobody.
+/// Broken attempts remembered, enough for about ten engines that crash together with all their
+/// requests. Beyond it the oldest are dropped, and no crash is recorded for their requests.
 const MAX_BROKEN: usize = 1024;
-/// Most ended upstreams remembered, for runs of theirs that are seen to break later.
+/// Crashed upstreams remembered, for attempts that are seen to break after the crash.
 const MAX_CRASHED: usize = 256;
 
-/// A request as hosts tell each other of it.
+/// Key of a request in messages between hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// Who asks: hash of the workspace's name.
+    /// Caller: hash of the workspace's name.
     pub workspace: u32,
-    /// What is asked for.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
 }
 
 impl RequestKey {
-    /// Returns its fingerprint as logs and pages have it.
+    /// Returns the fingerprint as logs and pages show it.
     pub fn fingerprint_hex(&self) -> String {
         format!("{:016x}", self.fingerprint)
     }
@@ -38,10 +38,11 @@
     at: Duration,
 }
 
-/// Runs that broke of late, and upstreams that ended of late.
+/// Recently broken attempts and recently crashed upstreams.
 ///
-/// A run breaks with its upstream or with its connection only, and the host that sees it cannot tell which:
-/// it has to look. Either may be known first.
+/// An attempt breaks because its upstream crashed or only because its connection did. The host
+/// cannot tell which without probing the upstream, and may learn of the crash before or after the
+/// broken attempt.
 ///
 /// # Examples
 ///
@@ -53,7 +54,8 @@
 /// let mut attempts = BrokenAttempts::default();
 /// assert!(!attempts.record_break(Duration::ZERO, request, 3));
 /// assert_eq!(attempts.record_crash(Duration::from_millis(2), 3), [request]);
-/// assert!(attempts.record_break(Duration::from_millis(4), request, 3), "its upstream is known to have ended");
+/// let later = Duration::from_millis(4);
+/// assert!(attempts.record_break(later, request, 3), "its upstream is known to have crashed");
 /// ```
 #[derive(Debug, Default)]
 pub struct BrokenAttempts {
@@ -62,8 +64,8 @@
 }
 
 impl BrokenAttempts {
-    /// Notes that a run of a request at an upstream broke; returns whether the upstream is known to have
-    /// ended.
+    /// Records a broken attempt of a request at an upstream; returns whether the upstream is known
+    /// to have crashed.
     pub fn record_break(&mut self, now: Duration, request: RequestKey, upstream: u32) -> bool {
         self.prune(now);
         if self.crashed.iter().any(|it| it.0 == upstream) {
@@ -76,7 +78,8 @@
         false
     }
 
-    /// Notes that an upstream ended; returns the requests whose runs broke there before, each once.
+    /// Records that an upstream crashed; returns the requests whose attempts had broken there, each
+    /// once.
     pub fn record_crash(&mut self, now: Duration, upstream: u32) -> Vec<RequestKey> {
         self.prune(now);
         if !self.crashed.iter().any(|it| it.0 == upstream) {
--- a/crates/portfield/src/quarantine/crash_history.rs
+++ b/crates/portfield/src/quarantine/crash_history.rs
@@ -1,69 +1,71 @@
-//! What is known against one request, and whether it is enough.
+//! Crash history of one request, and whether it suffices for quarantine.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::broken_attempts::RequestKey;
 use crate::{digest_scope::DIGESTS_PER_UPDATE, wire};
 
-/// Upstreams that have to end under a request before it is refused.
+/// Upstreams that must crash while running a request before it is quarantined.
 ///
-/// All that runs at an upstream breaks with it, and is sent again: an innocent request is under two ends now and
-/// then while one upstream after the other ends, under three hardly ever (`tests/quarantine.rs` counts it).
+/// A crash breaks all requests at the upstream, which are then sent again. While upstreams crash
+/// one after another, an innocent request is now and then involved in two crashes, but hardly ever
+/// in three (`tests/quarantine.rs` counts this).
 pub const CRASH_THRESHOLD: usize = 3;
-/// Ends remembered of a request, the last ones.
+/// Crashes remembered per request, the latest ones.
 const MAX_CRASHES: usize = 6;
-/// Time after its last end for which a request is refused that ended [`CRASH_THRESHOLD`] upstreams; with each one more
-/// it doubles, up to 16 minutes.
+/// Time after its latest crash for which a request with [`CRASH_THRESHOLD`] crashes is quarantined.
+/// Each further crash doubles it, up to 16 minutes.
 ///
-/// Then it is tried again, and one more end suffices: the upstreams' software may have been replaced by then, and
-/// an innocent one is not turned away for long. A try that fails costs all that runs on one upstream.
+/// Afterwards the request may run again, and a single further crash quarantines it: the software of
+/// the upstreams may have been replaced, and an innocent request is not refused for long. A failed
+/// trial costs all requests at one upstream.
 const BASE_QUARANTINE: Duration = Duration::from_secs(120);
-/// Time after its last end after which nothing is known against a request any more: twice the longest time for
-/// which it is refused.
+/// Time after its latest crash for which a request is remembered: twice the longest quarantine.
 pub const RETENTION: Duration = Duration::from_secs(1920);
-/// Time for which it is remembered that a request ended well: longer than what other hosts say of its ends is
-/// on its way.
+/// Time for which a success of a request is remembered: longer than reports of earlier crashes take
+/// to arrive from other hosts.
 const SUCCESS_RETENTION: Duration = Duration::from_secs(10);
 
-/// Which digest something is suspect in.
+/// Digest that suspects are collected for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
-    /// This host's own: what it saw itself.
+    /// This host's own digest, with changes seen by this host.
     Local,
-    /// This host's own, with all requests that are refused: hosts that have just started, or could not be reached,
-    /// learn of them.
+    /// This host's own digest, with all quarantined requests as well, for hosts that have just
+    /// started or were unreachable.
     Full,
-    /// The sum of its data centre: what any host there saw, and all requests that are refused.
+    /// The summary of this host's data centre, with changes seen by any host there and all
+    /// quarantined requests.
     Summary,
 }
 
-/// An upstream that ended while the request ran there.
+/// Crash of an upstream while it ran the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Crash {
-    /// Number of its incarnation.
+    /// Wire id of the incarnation that crashed.
     upstream: u32,
     at: Duration,
 }
 
-/// What is known of a request that ran at an upstream that ended.
+/// Crashes of upstreams that ran a request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CrashHistory {
-    /// The last ends, of different upstreams, at most [`MAX_CRASHES`].
+    /// The latest crashes, at most [`MAX_CRASHES`], each of a different upstream.
     crashes: Vec<Crash>,
-    /// When it last ended well.
+    /// When it last succeeded.
     last_success: Option<Duration>,
-    /// This host's own digests in which it is still to be suspect.
+    /// Digests of this host that still have to carry it as a change.
     n_own_digests: u32,
-    /// The same of sums of its data centre.
+    /// Summaries of the data centre that still have to carry it as a change.
     n_summaries: u32,
-    /// This host saw one of the ends itself.
+    /// Whether this host saw one of the crashes itself.
     is_local: bool,
 }
 
 impl CrashHistory {
-    /// Notes an end; returns whether it was news.
+    /// Adds a crash; returns whether it is new.
     ///
-    /// Two hosts that saw the same one tell it as one, at the time of the earlier.
+    /// A crash reported by several hosts counts once, at the earliest reported time.
     pub(super) fn add_crash(&mut self, upstream: u32, at: Duration) -> bool {
         if self.last_success.is_some_and(|it| at <= it) {
             return false;
@@ -85,19 +87,20 @@
         is_newer
     }
 
-    /// Takes back an end that another request explains; one that is refused itself keeps it.
+    /// Removes a crash that is attributed to another request, unless this request is over the
+    /// threshold itself.
     pub(super) fn drop_crash(&mut self, upstream: u32) {
         if !self.is_over_threshold() {
             self.crashes.retain(|it| it.upstream != upstream);
         }
     }
 
-    /// Returns the upstreams that ended under it.
+    /// Returns the upstreams that crashed while running it.
     pub(super) fn upstreams(&self) -> impl Iterator<Item = u32> {
         self.crashes.iter().map(|it| it.upstream)
     }
 
-    /// Notes that the request ended well at that time; returns whether that was news.
+    /// Records a success at `at`, which removes earlier crashes; returns whether any were removed.
     pub(super) fn record_success(&mut self, at: Duration) -> bool {
         if self.last_success.is_some_and(|it| at <= it) {
             return false;
@@ -108,19 +111,19 @@
         self.crashes.len() < n_before
     }
 
-    /// Notes that this host saw something new of it.
+    /// Records that this host saw a change of it.
     pub(super) fn mark_local(&mut self) {
         self.n_own_digests = DIGESTS_PER_UPDATE;
         self.n_summaries = DIGESTS_PER_UPDATE;
         self.is_local = true;
     }
 
-    /// Notes that this host heard something new of it.
+    /// Records that another host reported a change of it.
     pub(super) fn mark_remote(&mut self) {
         self.n_summaries = DIGESTS_PER_UPDATE;
     }
 
-    /// Returns in how many digests of that kind it is still to be suspect as news.
+    /// Returns how many digests of a scope still have to carry it as a change.
     pub(super) fn n_sends_left(&self, scope: Scope) -> u32 {
         match scope {
             Scope::Local | Scope::Full => self.n_own_digests,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Notes that it is suspect.
+    /// Records that a digest of a scope carries it.
     pub(super) fn mark_sent(&mut self, scope: Scope) {
         let n_sends = match scope {
             Scope::Local | Scope::Full => &mut self.n_own_digests,
@@ -137,22 +140,22 @@
         *n_sends = n_sends.saturating_sub(1);
     }
 
-    /// Returns whether this host saw one of the ends itself.
+    /// Returns whether this host saw one of the crashes itself.
     pub(super) fn is_local(&self) -> bool {
         self.is_local
     }
 
-    /// Returns how many upstreams ended under it.
+    /// Returns the number of crashes.
     pub(super) fn n_crashes(&self) -> usize {
         self.crashes.len()
     }
 
-    /// Returns when the last one ended.
+    /// Returns the time of the latest crash.
     pub(super) fn last_crash(&self) -> Duration {
         self.crashes.iter().map(|it| it.at).max().unwrap_or_default()
     }
 
-    /// Returns for how long it is still refused, `None` where it may run.
+    /// Returns the time left in quarantine, `None` if it may run.
     pub(super) fn remaining(&self, now: Duration) -> Option<Duration> {
         if !self.is_over_threshold() {
             return None;
@@ -162,18 +165,18 @@
         (now < end).then(|| end - now)
     }
 
-    /// Returns whether as many upstreams ended under it as make a request lethal.
+    /// Returns whether it has at least [`CRASH_THRESHOLD`] crashes.
     pub(super) fn is_over_threshold(&self) -> bool {
         CRASH_THRESHOLD <= self.crashes.len()
     }
 
-    /// Returns whether nothing is known of it that still matters.
+    /// Returns whether it no longer has to be remembered.
     pub(super) fn is_expired(&self, now: Duration) -> bool {
         let is_crash_expired = self.crashes.is_empty() || self.last_crash() + RETENTION <= now;
         is_crash_expired && self.last_success.is_none_or(|it| it + SUCCESS_RETENTION <= now)
     }
 
-    /// Returns it as hosts tell each other.
+    /// Encodes it for messages to other hosts and for the store.
     pub(super) fn to_wire(&self, now: Duration, request: RequestKey) -> wire::Suspect {
         let age =
             |at: Duration| now.saturating_sub(at).as_millis().min(u128::from(u32::MAX)) as u32;
@@ -186,10 +189,10 @@
         }
     }
 
-    /// Takes what another host, or the store, tells of it, but for the upstreams that another request ended;
-    /// returns whether it was news.
+    /// Merges a report from another host or the store; returns whether anything was new.
     ///
-    /// A request that is lethal by what is suspect counts as such: two may have ended the same upstreams.
+    /// Skips crashes in `attributed`, unless the request is over the threshold already or by the
+    /// report: two requests may have crashed the same upstreams.
     pub(super) fn merge(
         &mut self,
         now: Duration,
--- a/crates/portfield/src/quarantine/fingerprint.rs
+++ b/crates/portfield/src/quarantine/fingerprint.rs
@@ -1,14 +1,14 @@
-//! What makes two requests the same one.
+//! Fingerprints of requests, which tell which requests count as the same.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Names a request by what it asks for and who asks: the same for every attempt, at every host.
+/// Identifies a request by its caller and content; equal for every attempt at every host.
 pub type Fingerprint = u64;
 
-/// What the fingerprint of a request is taken of.
+/// Input of the fingerprint of a request.
 ///
-/// Left out is what another attempt of the same caller changes: the attempt's id, its deadline, the key (a
-/// workspace has several, and they are replaced), the last event of a stream.
+/// Leaves out what differs between attempts of one caller: the attempt id, the deadline, the API
+/// key (a workspace has several and replaces them) and the last event id of a stream.
 ///
 /// # Examples
 ///
@@ -21,25 +21,26 @@
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
-    /// Who asks: hash of the workspace's name.
+    /// Caller: hash of the workspace's name.
     pub workspace: u32,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
 }
 
 impl RequestIdentity<'_> {
-    /// Returns the fingerprint.
+    /// Computes the fingerprint.
     ///
-    /// Every request pays for it: 0.1 us with a body of 700 bytes, 1 us with 18 KB, 60 us with 1 MB (release build,
-    /// one core), under a hundredth of what relaying it costs.
+    /// Called for every request. Takes 0.1 us with a body of 700 bytes, 1 us with 18 KB and 60 us
+    /// with 1 MB (release build, one core), less than 1 % of the cost of relaying the request.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hash = Xxh3::new();
         hash.update(&self.workspace.to_le_bytes());
-        // Each with its length, so that no two requests run together to the same bytes.
+        // Each part is preceded by its length, so that different requests never hash the same
+        // bytes.
         for it in [self.method.as_bytes(), self.target.as_bytes(), self.body] {
             hash.update(&(it.len() as u64).to_le_bytes());
             hash.update(it);
--- a/crates/portfield/src/quarantine/mod.rs
+++ b/crates/portfield/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Requests that end the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! - [`RequestIdentity`]: what makes two requests the same one
-//! - [`BrokenAttempts`]: runs that broke, until it is known whether their upstreams ended with them
-//! - `crash_history`: what is known against one request, and whether it is enough
-//! - [`Quarantine`]: all of them, over the whole fleet
+//! - [`RequestIdentity`]: which requests count as the same
+//! - [`BrokenAttempts`]: broken attempts whose upstreams may have crashed
+//! - `crash_history`: crashes during one request, and whether they suffice for quarantine
+//! - [`Quarantine`]: the crash histories of all requests, shared by the fleet
 
 mod broken_attempts;
 mod crash_history;
--- a/crates/portfield/src/quarantine/registry.rs
+++ b/crates/portfield/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! The requests that something is known against, over the whole fleet.
+//! Crash histories of all requests, shared by the fleet.
 
 use std::{
     cmp::Reverse,
@@ -13,38 +13,41 @@
 };
 use crate::{balance::Audience, digest_scope::DigestScope, wire};
 
-/// Requests told in one digest, of some 50 bytes each: what runs at an engine breaks with it, some twenty
-/// requests at nine hosts.
+/// Requests per digest, of some 50 bytes each. A crash of an engine breaks some twenty requests at
+/// nine hosts.
 const MAX_PER_DIGEST: usize = 24;
-/// Requests of one workspace that are remembered. One that sends many lethal ones pushes out its own only.
+/// Requests remembered per workspace, so that a workspace with many lethal requests only evicts its
+/// own.
 const MAX_PER_WORKSPACE: usize = 64;
-/// Upstreams remembered that lethal requests ended.
+/// Upstreams remembered whose crashes are attributed to quarantined requests.
 const MAX_ATTRIBUTED: usize = 256;
-/// Time between two looks for what is past.
+/// Time between two removals of expired histories.
 const PRUNE_PERIOD: Duration = Duration::from_secs(1);
-/// The time of a process's start: what happened before it has a time too.
+/// Time of the process start on the internal clock, so that events before the start have a time
+/// too.
 const START_OFFSET: Duration = Duration::from_secs(3600);
 
-/// Why a request is refused.
+/// A quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineEntry {
     /// The request.
     pub request: RequestKey,
-    /// Upstreams that ended under it, the last ones.
+    /// Upstreams that crashed while running it, as far as remembered.
     pub n_crashes: usize,
-    /// Time until it is tried again.
+    /// Time until it may run again.
     pub remaining: Duration,
-    /// This host saw one of the ends itself.
+    /// Whether this host saw one of the crashes itself.
     pub is_local: bool,
 }
 
-/// What the hosts know together of requests that end upstreams.
+/// Requests that crash upstreams, as known to all hosts together.
 ///
-/// The load that this answers: one request among thousands ends each upstream that runs it, and its caller
-/// sends it again and again, to any host. Each end breaks all that runs there. Each host notes under which
-/// requests of its own an upstream ended and tells the others; ends of different upstreams add up, also
-/// where three hosts saw one each. Two things speak for the others that ran there: a request that once ended well
-/// since has nothing against it, and an upstream that a lethal request ended speaks against no other.
+/// One request among thousands may crash each upstream that runs it, while its caller sends it
+/// again and again, to any host. Each crash breaks all requests at that upstream. Each host records
+/// which of its own requests an upstream was running when it crashed, and reports them to the
+/// others; crashes of different upstreams add up, even if three hosts saw one each. Two rules clear
+/// the innocent requests: a success removes earlier crashes, and a crash attributed to a
+/// quarantined request does not count against others.
 ///
 /// # Examples
 ///
@@ -63,28 +66,30 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     histories: Histories,
-    /// Upstreams that a lethal request ended, newest last: they speak against no other one.
+    /// Upstreams whose crashes are attributed to a quarantined request, newest last; they do not
+    /// count against other requests.
     attributed: VecDeque<u32>,
     pruned_at: Duration,
-    /// Turns of those that are told in every whole digest.
+    /// Offset of the rotation among suspects, if they do not all fit into a digest.
     rotation: usize,
 }
 
 impl Quarantine {
-    /// Returns why a request is refused, `None` where it may be sent.
+    /// Returns the quarantine entry of a request, `None` if it may run.
     pub fn entry(&self, now: Duration, request: RequestKey) -> Option<QuarantineEntry> {
         entry(request, self.history(request)?, now + START_OFFSET)
     }
 
-    /// Returns whether one more end under a request makes the verdict: what runs beside it is at risk.
+    /// Returns whether one more crash quarantines a request that may run; other requests at its
+    /// upstream are at risk.
     pub fn is_one_crash_away(&self, now: Duration, request: RequestKey) -> bool {
         self.history(request).is_some_and(|it| {
             CRASH_THRESHOLD <= it.n_crashes() + 1 && it.remaining(now + START_OFFSET).is_none()
         })
     }
 
-    /// Notes that an upstream ended while this host's runs of some requests were there; returns those that are
-    /// refused from now on.
+    /// Records that an upstream crashed while running `requests` of this host; returns those that
+    /// are quarantined as a result.
     pub fn record_crash(
         &mut self,
         now: Duration,
@@ -107,7 +112,7 @@
         res
     }
 
-    /// Notes that a request was answered whole; returns whether anything was held against it.
+    /// Records that a request was answered completely; returns whether that removed any crashes.
     pub fn record_success(&mut self, now: Duration, request: RequestKey) -> bool {
         let histories = self.histories.get_mut(&request.workspace);
         let Some(history) = histories.and_then(|it| it.get_mut(&request.fingerprint)) else {
@@ -120,14 +125,16 @@
         is_news
     }
 
-    /// Drops what is held against a request; returns it if anything was.
+    /// Lifts the quarantine of a request and removes its crashes; returns the request if there were
+    /// any.
     pub fn lift(&mut self, now: Duration, fingerprint: Fingerprint) -> Option<RequestKey> {
         let request =
             all(&self.histories).map(|it| it.0).find(|it| it.fingerprint == fingerprint)?;
         self.record_success(now, request).then_some(request)
     }
 
-    /// Takes what another host, or the store, tells; returns the requests that are refused from now on.
+    /// Merges reports from another host or the store; returns the requests that are quarantined as
+    /// a result.
     pub fn merge(&mut self, now: Duration, suspects: &[wire::Suspect]) -> Vec<QuarantineEntry> {
         let now = now + START_OFFSET;
         let attributed = self.attributed.clone();
@@ -148,7 +155,7 @@
         res
     }
 
-    /// Returns what this host's own digest of that number tells.
+    /// Returns the suspects to send in this host's digest with the given sequence number.
     pub fn suspects_for_digest(
         &mut self,
         now: Duration,
@@ -162,23 +169,23 @@
         self.collect_suspects(now + START_OFFSET, scope)
     }
 
-    /// Returns what the sum of this host's data centre tells.
+    /// Returns the suspects to send in the summary of this host's data centre.
     pub fn suspects_for_summary(&mut self, now: Duration) -> Vec<wire::Suspect> {
         self.collect_suspects(now + START_OFFSET, Scope::Summary)
     }
 
-    /// Returns the requests that are refused.
+    /// Returns all quarantined requests.
     pub fn entries(&self, now: Duration) -> Vec<QuarantineEntry> {
         let now = now + START_OFFSET;
         all(&self.histories).filter_map(|(request, it)| entry(request, it, now)).collect()
     }
 
-    /// Returns a request as it is told, for the store.
+    /// Encodes a request with its crashes for the store.
     pub fn suspect(&self, now: Duration, request: RequestKey) -> Option<wire::Suspect> {
         Some(self.history(request)?.to_wire(now + START_OFFSET, request))
     }
 
-    /// Returns how many requests something is known against.
+    /// Returns the number of requests with crashes.
     pub fn n_suspects(&self) -> usize {
         all(&self.histories).filter(|it| 0 < it.1.n_crashes()).count()
     }
@@ -196,8 +203,9 @@
             })
             .collect();
         if MAX_PER_DIGEST < suspects.len() {
-            // What was told least goes first, of that what is known most of; the others have their rotation. With all
-            // that is new alike, one of 300 that became new together was not told at all for three seconds.
+            // Suspects sent least often go first, of these the ones with most crashes; the others
+            // rotate. Without the rotation, one of 300 suspects that became known together was not
+            // sent for three seconds.
             self.rotation = (self.rotation + MAX_PER_DIGEST) % suspects.len();
             suspects.rotate_left(self.rotation);
             suspects.sort_by_key(|it| Reverse((it.1.n_sends_left(scope), it.1.n_crashes())));
@@ -209,7 +217,7 @@
         suspects.into_iter().take(MAX_PER_DIGEST).map(send).collect()
     }
 
-    /// Changes what is known of a request; returns the verdict if it is refused from now on.
+    /// Updates the history of a request; returns its entry if it is quarantined as a result.
     fn update(
         &mut self,
         now: Duration,
@@ -222,9 +230,11 @@
         entry(request, history, now).filter(|_| !was_refused)
     }
 
-    /// Takes ends that are attributed by those of some requests that are lethal back from all others.
+    /// Attributes the crashes of those of `requests` that are over the threshold to them, and
+    /// removes these crashes from all other requests.
     ///
-    /// **NOTE:** After all that ran there has been noted: of two with the same ends neither explains the other's.
+    /// **NOTE:** Call only after all requests at the upstream have been recorded: of two
+    /// requests with the same crashes, neither clears the other.
     fn attribute_crashes(&mut self, requests: &[RequestKey]) {
         let over_threshold =
             requests.iter().filter_map(|it| self.history(*it)).filter(|it| it.is_over_threshold());
@@ -243,7 +253,8 @@
         self.attributed.drain(..n_old);
     }
 
-    /// Returns a request's history, new if there is none; of too many of its workspace one is forgotten.
+    /// Returns the history of a request, created if missing; evicts another one if its workspace
+    /// has too many.
     fn history_mut(&mut self, now: Duration, request: RequestKey) -> &mut CrashHistory {
         let histories = self.histories.entry(request.workspace).or_default();
         if !histories.contains_key(&request.fingerprint) && MAX_PER_WORKSPACE <= histories.len() {
@@ -282,9 +293,9 @@
     })
 }
 
-/// By workspace, then by fingerprint.
+/// Crash histories by workspace and fingerprint.
 ///
-/// In order, so that what is told is the same in each life of a process that has heard the same.
+/// Ordered, so that the digests of a process depend only on what it has recorded.
 type Histories = BTreeMap<u32, BTreeMap<Fingerprint, CrashHistory>>;
 
 fn all(histories: &Histories) -> impl Iterator<Item = (RequestKey, &CrashHistory)> {
