--- a/crates/portfield/tests/directory.rs
+++ b/crates/portfield/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams through changes, outages of the store, and returns.
+//! The directory of upstreams through changes, outages of the store and restores from a backup.
 
 mod entries;
 
@@ -59,8 +59,9 @@
     assert_eq!(ready_ids(&it), ["a", "b"]);
 }
 
-/// A host that was cut off took the store's answer for the end of an outage; an upstream that left
-/// 1.9 s later was kept for two seconds more, over the time in which one that leaves may be used.
+/// A host that was cut off took the next answer of the store for the end of an outage. An upstream
+/// that left 1.9 s later was then kept for two more seconds, beyond the two seconds in which a
+/// leaving upstream may still be used.
 #[test]
 fn an_upstream_that_leaves_after_an_outage_is_kept_only_for_the_grace_period() {
     let mut it = two_ready();
@@ -70,7 +71,7 @@
     assert_eq!(ready_ids(&it), ["b"]);
 }
 
-/// A host that takes the list from another drops a held entry when that host does.
+/// A host that fetches the list from another removes an expiring entry when that host does.
 #[test]
 fn an_expiry_can_be_copied_to_another_host() {
     let mut it = two_ready();
@@ -87,7 +88,8 @@
     UpstreamEntry { started_ms: Some(started_ms), ..entry(id, State::Ready) }
 }
 
-/// Everything that hosts know of an upstream stands under its hash.
+/// State that hosts keep of an upstream is stored under its hash, and must not apply to its next
+/// incarnation.
 #[test]
 fn a_restarted_upstream_has_another_hash() {
     let mut it = two_ready();
@@ -103,7 +105,7 @@
         [EntryChange::Set(UpstreamEntry { state: State::Draining, ..started_at("a", 2_000) })],
         MissingRows::Deleted,
     );
-    assert_eq!(hash(&it), second, "it is the same one that leaves");
+    assert_eq!(hash(&it), second, "the same incarnation is draining");
 }
 
 #[test]
@@ -124,7 +126,7 @@
 #[test]
 fn changes_since_an_older_version_are_complete() {
     let mut it = two_ready();
-    assert_eq!(it.changes_since(4), None, "what came before is not known");
+    assert_eq!(it.changes_since(4), None, "earlier changes are not known");
     assert_eq!(it.changes_since(5).unwrap(), Delta { set: Vec::new(), removed: Vec::new() });
     it.apply(6, [EntryChange::Set(entry("c", State::Ready))], MissingRows::Deleted);
     it.apply(8, [EntryChange::Removed("a".to_owned())], MissingRows::Deleted);
@@ -139,8 +141,8 @@
     assert_eq!(delta(9), (String::new(), String::new()));
 }
 
-/// Two hosts: one hears of every change of a random series from the store, the other fetches from it
-/// now and then. They know the same in the end, whatever came in between.
+/// One host receives every change of a random series from the store, another fetches changes from
+/// it now and then; both must end with the same list.
 #[test]
 fn incremental_fetches_converge_with_the_store() {
     let mut rng = fastrand::Rng::with_seed(11);
@@ -164,9 +166,8 @@
     }
 }
 
-/// An entry that may only have lapsed goes from host to host with the time until which it is kept. A host
-/// that had heard of it from a third one kept it for good, and sent requests to an upstream that had
-/// left three seconds before.
+/// An entry that may only have lapsed is passed on with its expiry. A host that got it from a third
+/// host once kept it forever, and sent requests to an upstream that had left three seconds before.
 #[test]
 fn expiries_reach_hosts_that_fetch_from_other_hosts() {
     let mut rng = fastrand::Rng::with_seed(5);
@@ -217,7 +218,8 @@
     }
 }
 
-/// Craigmhor trouble-1, seed 669162740845: the store turned one host away, and served the others.
+/// Found by the Craigmhor trouble-1 simulation, seed 669162740845: the store refused one host and
+/// served the others, which then got a removed entry back from that host.
 #[test]
 fn a_removed_entry_does_not_return_from_a_host_that_lost_the_store() {
     let (mut here, mut cut) = (two_ready(), two_ready());
@@ -228,18 +230,15 @@
     fetch(&cut, &mut here);
     assert_eq!(ready_ids(&here), ["b", "c"]);
     let mut new = Directory::default();
-    assert!(
-        new.accepts_unlisted("a"),
-        "a host that has just started knows of nothing that is gone"
-    );
+    assert!(new.accepts_unlisted("a"), "a host that has just started has removed nothing");
     new.replace(5, [EntryChange::Set(entry("b", State::Ready))], MissingRows::Deleted);
     assert!(!new.accepts_unlisted("a"));
 }
 
-/// A store that has just come back from a copy of itself.
+/// A store that has just been restored from a backup.
 const RESTORED: MissingRows = MissingRows::MayReturn { restored_at: SECOND };
 
-/// Takes the list of a store that went back, each entry with the version of its row.
+/// Applies the list of a restored store, each entry with the version of its row.
 fn restore(it: &mut Directory, version: StoreVersion, list: &[(UpstreamEntry, u64)]) {
     let list = list.iter().map(|(entry, row)| (EntryChange::Set(entry.clone()), *row));
     let reconciled = it.reconcile_restored(list);
@@ -254,15 +253,19 @@
     it.apply(later, [EntryChange::Removed("c".to_owned())], MissingRows::Deleted);
     assert_eq!(ready_ids(&it), ["a", "b"]);
     it.apply(535, [EntryChange::Set(entry("c", State::Ready))], MissingRows::Deleted);
-    assert_eq!((ready_ids(&it).len(), it.version()), (2, later), "an answer of the store before");
+    assert_eq!(
+        (ready_ids(&it).len(), it.version()),
+        (2, later),
+        "an answer from before the restore"
+    );
     assert_eq!(
         it.changes_since(530).unwrap().removed,
         ["c"],
-        "told to hosts that know the store before"
+        "hosts with a version from before the restore learn of it"
     );
 }
 
-/// What the copy has lost may be written again, as after an outage.
+/// Upstreams may write entries again that the restore has lost, as after an outage.
 #[test]
 fn an_entry_missing_from_a_backup_is_kept_until_it_is_rewritten() {
     let mut it = two_ready();
@@ -274,7 +277,8 @@
     assert_eq!(it.expire(SECOND + REGISTRATION_GRACE), ["a"]);
 }
 
-/// The copy shows an upstream that left as ready: with its old row it stays gone, with a later one it is back.
+/// The backup lists an upstream as ready that has left. It stays removed if its row is the old one,
+/// and returns with a later row.
 #[test]
 fn a_removed_upstream_does_not_return_from_a_backup() {
     let mut it = two_ready();
@@ -294,12 +298,12 @@
     let list = [(entry("a", State::Ready), 4), (entry("b", State::Ready), 2)];
     restore(&mut it, StoreVersion::new(1, 500), &list);
     assert_eq!(ready_ids(&it), ["b"]);
-    // One that started anew under its id is another one.
+    // A restarted upstream with the same id is another incarnation.
     restore(&mut it, StoreVersion::new(2, 500), &[(started_at("a", 7), 4)]);
     assert_eq!(ready_ids(&it), ["a", "b"]);
 }
 
-/// That it becomes less cold is told to other hosts, and changes nothing else.
+/// A shorter cold time is passed on to other hosts, but not reported as a change of the upstream.
 #[test]
 fn a_change_of_cold_time_is_not_a_state_change() {
     let mut it = two_ready();
@@ -313,7 +317,8 @@
     assert_eq!(it.all().next().unwrap().entry.cold_remaining, Duration::from_millis(1800));
 }
 
-/// The marks of the later one were lost with it, and it was sent requests after it had said that it drains.
+/// The older incarnation once replaced the newer one, whose drain mark was lost, so that it was
+/// sent requests after it had reported that it was draining.
 #[test]
 fn an_older_incarnation_in_a_backup_does_not_replace_a_newer_one() {
     let mut it = two_ready();
@@ -325,7 +330,7 @@
         restore(&mut it, StoreVersion::new(era, 4), &list);
         assert_eq!(ready_ids(&it), ["b"], "era {era}");
         it.apply(StoreVersion::new(era, 9), [EntryChange::Set(started_at("a", 2_000))], RESTORED);
-        assert_eq!(ready_ids(&it), ["b"], "it writes its entry again");
+        assert_eq!(ready_ids(&it), ["b"], "the upstream rewrote its entry");
     }
     it.apply(
         StoreVersion::new(2, 11),
@@ -335,6 +340,6 @@
     assert_eq!(
         ready_ids(&it),
         ["a", "b"],
-        "a later change is of a new one, whatever its clock says"
+        "a later change is a new incarnation, whatever its clock says"
     );
 }
--- a/crates/portfield/tests/draining.rs
+++ b/crates/portfield/tests/draining.rs
@@ -1,4 +1,5 @@
-//! Upstreams that say of themselves that they drain: how long that holds, and how much is told of it.
+//! Upstreams that report that they are draining: how long the mark lasts, and how much of it is
+//! sent.
 
 mod entries;
 
@@ -18,7 +19,7 @@
     EntryChange::Set(UpstreamEntry { started_ms: Some(started_ms), ..entry("a", state) })
 }
 
-/// A list with one upstream that its entry calls ready, and that said that it drains.
+/// A directory with one upstream whose entry says `ready` and that reported that it is draining.
 fn self_reported() -> Directory {
     let mut res = Directory::default();
     res.replace(5, [set(1, State::Ready)], MissingRows::Deleted);
@@ -71,7 +72,7 @@
     });
     let n_marked = (0..5_000).filter(|it| marks.contains(*it)).count();
     assert_eq!(n_marked, 1024);
-    assert!(marks.contains(4_999) && !marks.contains(0), "the first ones are forgotten");
+    assert!(marks.contains(4_999) && !marks.contains(0), "the oldest marks are dropped");
     assert_eq!(marks.take_for_digest(DigestScope::Full, |_| true).len(), 64);
     assert_eq!(marks.for_summary(|_| true).len(), 64);
     let n_reported: usize =
--- a/crates/portfield/tests/entries/mod.rs
+++ b/crates/portfield/tests/entries/mod.rs
@@ -1,10 +1,10 @@
-//! Entries of upstreams, for tests of the list.
+//! Upstream entries for the tests of the directory.
 
 use std::time::Duration;
 
 use portfield::catalog::{State, UpstreamEntry};
 
-/// An entry of an upstream that does not tell when it was born.
+/// Returns an entry without a start time.
 pub fn entry(id: &str, state: State) -> UpstreamEntry {
     UpstreamEntry {
         id: id.to_owned(),
--- a/crates/portfield/tests/evacuation.rs
+++ b/crates/portfield/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! The operator's orders that a data centre gets nothing, through changes and a store that goes back.
+//! Evacuations through changes and restores of the store.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
-/// A store that has just come back from a copy of itself.
+/// A store that has just been restored from a backup.
 const RESTORED: MissingRows = MissingRows::MayReturn { restored_at: SECOND };
 
 fn active(data_centre: &str, row: u64) -> EvacuationRow {
@@ -34,7 +34,7 @@
     assert_eq!(describe(it.apply(6, [active("south", 6), active("north", 6)])), ["+south"]);
     assert_eq!(describe(it.apply(8, [lifted("north", 8)])), ["-north"]);
     assert_eq!(active_centres(&it), ["south"]);
-    assert_eq!(it.apply(7, [lifted("south", 7)]), [], "an older version changes nothing");
+    assert_eq!(it.apply(7, [lifted("south", 7)]), [], "an older version is ignored");
     assert_eq!(
         describe(it.replace(9, [active("east", 9)], MissingRows::Deleted)),
         ["-south", "+east"]
@@ -49,7 +49,8 @@
     assert_eq!(it.version(), StoreVersion::default());
 }
 
-/// The copy is of before an order: it stands until the operator has written it again, and no longer than that takes.
+/// The backup was made before the evacuation was ordered. It stays active until the operator has
+/// written it again, but no longer than the grace period.
 #[test]
 fn an_evacuation_lost_by_the_store_stays_active_until_it_is_rewritten() {
     let mut it = Evacuations::default();
@@ -60,10 +61,14 @@
     assert_eq!(it.expire(SECOND + EVACUATION_GRACE), []);
     assert_eq!(active_centres(&it), ["north"]);
     it.replace(StoreVersion::new(2, 512), [], RESTORED);
-    assert_eq!(describe(it.expire(SECOND + EVACUATION_GRACE)), ["-north"], "nobody wrote it again");
+    assert_eq!(
+        describe(it.expire(SECOND + EVACUATION_GRACE)),
+        ["-north"],
+        "it was not written again"
+    );
 }
 
-/// The copy is of before an order was taken back: its row is the one that was there before.
+/// The backup was made before the evacuation was lifted, and contains its old row.
 #[test]
 fn a_lifted_evacuation_does_not_return_from_a_backup() {
     let mut it = Evacuations::default();
@@ -72,18 +77,18 @@
     let version = |number| StoreVersion::new(1, number);
     assert_eq!(it.replace(version(500), [active("north", 480)], RESTORED), []);
     assert_eq!(active_centres(&it), Vec::<&str>::new());
-    // The operator takes it back once more, and later orders it anew.
+    // The operator lifts it again, and later orders a new one.
     it.apply(version(504), [lifted("north", 504)]);
     assert_eq!(describe(it.apply(version(530), [active("north", 530)])), ["+north"]);
 }
 
-/// A number alone is no order: the store gives out the same ones again.
+/// The store reuses version numbers after a restore.
 #[test]
 fn a_later_era_outranks_a_higher_number() {
     let mut it = Evacuations::default();
     it.apply(530, [active("north", 530)]);
     assert_eq!(describe(it.apply(StoreVersion::new(1, 505), [lifted("north", 505)])), ["-north"]);
-    assert_eq!(it.apply(531, [active("north", 531)]), [], "an answer of the store before");
+    assert_eq!(it.apply(531, [active("north", 531)]), [], "an answer from before the restore");
 }
 
 #[test]
@@ -100,7 +105,7 @@
         ["-east", "+south"]
     );
     assert_eq!(second.merge(SECOND, first.version(), snapshot), []);
-    // It keeps what the store has lost no longer than the first does, and knows what is over.
+    // It keeps a lost evacuation no longer than the first host does, and knows the lifted one.
     assert_eq!(describe(second.expire(SECOND + EVACUATION_GRACE)), ["-south"]);
     let version = StoreVersion::new(2, 481);
     assert_eq!(second.replace(version, [active("north", 480)], RESTORED), []);
--- a/crates/portfield/tests/event_queue/mod.rs
+++ b/crates/portfield/tests/event_queue/mod.rs
@@ -1,9 +1,9 @@
-//! What is to happen in virtual time, in order of time; what comes at the same moment, in the order in which it was
-//! put down.
+//! Events of a simulation in virtual time, ordered by time; simultaneous events keep the order in
+//! which they were pushed.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Events by their moments.
+/// Queue of pending events.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     events: BTreeMap<(Duration, u64), E>,
@@ -17,13 +17,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Puts down what happens at a moment.
+    /// Adds an event at a time.
     pub fn push(&mut self, at: Duration, event: E) {
         self.n_pushed += 1;
         self.events.insert((at, self.n_pushed), event);
     }
 
-    /// Takes the next event and its moment.
+    /// Removes the next event; returns it with its time.
     pub fn pop(&mut self) -> Option<(Duration, E)> {
         let ((at, _), event) = self.events.pop_first()?;
         Some((at, event))
--- a/crates/portfield/tests/flood.rs
+++ b/crates/portfield/tests/flood.rs
@@ -1,31 +1,33 @@
-//! A flood at hosts that are short of processor time: what is served of it.
+//! Overload of hosts that are short of CPU time: how much of it they still serve.
 
 mod event_queue;
 mod rationed;
 
 use rationed::{Flood, Got, play};
 
-/// What a host of the fleet passes on when nothing is refused, in requests a second.
+/// Requests a second that a host relays if none is refused.
 const CAPACITY: f64 = 120.0;
 
-/// Returns what is served a second, once the platform has had time to look at the hosts.
+/// Returns the requests served per second, once the platform has had time to check the hosts.
 fn served_per_second(rate: f64, seed: u64) -> f64 {
     let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
     let steady = &served[3..9];
     steady.iter().sum::<u32>() as f64 / steady.len() as f64
 }
 
-/// What users saw: a workspace asked for 44 million tokens in six seconds, was refused in every one of them, and got 16;
-/// another one got 54. Nearly all hosts were idle.
+/// A workspace asked for 44 million tokens in six seconds, was refused in each of them, and got 16;
+/// another got 54. Nearly all hosts were idle.
 ///
-/// Order of events: all of the workspace's callers come to one host with an eighth of a core, which passes on some
-/// 150 requests a second. They ask for ten times as many. The host falls behind, closes every connection after its
-/// answer, and tells who is refused to come back in 50 ms. Until the platform has asked twice, they come back to it, on new
-/// connections. Once it is out of rotation it has no connection left and serves nothing, while the next host is flooded.
+/// All callers of the workspace were sent to one host with an eighth of a core, which relays some
+/// 150 requests a second, and asked for ten times as many. The host fell behind, closed every
+/// connection after its answer and told refused callers to retry after 50 ms. They retried on new
+/// connections to the same host until the platform had checked it twice. Out of rotation, it had no
+/// connections left and served nothing, while the next host was overloaded.
 ///
-/// Cause: a host short of processor time closed also the connections that it could bear, and had those that it could not
-/// bear come back to it at once. Evidence: such hosts accepted 2,050 to 3,030 connections a second, refused 1,400 to
-/// 2,000 requests and placed 2 to 50; out of rotation they had 3 to 13 requests left and placed none.
+/// Cause: a host short of CPU time also closed the connections that it could serve, and had the
+/// others retry at once. Such hosts accepted 2,050 to 3,030 connections a second, refused 1,400 to
+/// 2,000 requests and placed 2 to 50; out of rotation they had 3 to 13 requests left and placed
+/// none.
 #[test]
 fn an_overloaded_host_keeps_its_normal_throughput() {
     for seed in 1..=3 {
@@ -33,24 +35,25 @@
         for times in [2.0, 5.0, 13.0] {
             let served_rate = served_per_second(CAPACITY * times, seed);
             let text = format!(
-                "seed {seed}: {served_rate:.0} a second of {times} times the rate, {baseline:.0} of it"
+                "seed {seed}: {served_rate:.0}/s served at {times} times the capacity, {baseline:.0}/s at capacity"
             );
             assert!(0.9 * baseline <= served_rate, "{text}");
         }
     }
 }
 
-/// Order of events: a flood of four times what a host bears. Three hosts after each other are taken out of rotation and
-/// serve on the connections that they have kept; each is calm, since nobody new comes.
+/// The load is four times what a host can serve. Three hosts are taken out of rotation one after
+/// another; each keeps serving its open connections and is no longer overloaded, since it gets no
+/// new ones.
 ///
-/// Cause: a host that was calm for 1.5 s was ready again. The platform sent it the whole flood once more, and the hosts
-/// beside it lost the part that they had served.
+/// Cause: a host that was not overloaded for 1.5 s reported ready again. The platform sent it the
+/// whole load once more, and the other hosts lost the part that they had served.
 #[test]
 fn hosts_filled_by_an_overload_stay_out_of_rotation() {
     for seed in 1..=3 {
         let rate = 600.0;
         let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
-        // Users call less than a half unfair.
+        // Less than half of the load counts as unfair to users.
         let least = served[6..].iter().min().expect("four seconds");
         assert!(rate / 2.0 <= f64::from(*least), "seed {seed}: {served:?}");
     }
--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties under random orders, repetitions and losses; the seeds are fixed, so that
-//! every run gives the same verdict.
+//! Properties under random orders, repetitions and losses, with fixed seeds so that every run gives
+//! the same result.
 
 use std::{collections::HashMap, net::IpAddr, time::Duration};
 
@@ -14,14 +14,14 @@
 const SEED: u64 = 0x5eed;
 const N_RUNS: usize = 300;
 
-/// Runs a property on values from a fixed seed.
+/// Checks a property with values from a fixed seed.
 fn check_property<A: Arbitrary + std::fmt::Debug>(property: impl Fn(A) -> bool) {
     let mut values = Gen::from_size_and_seed(60, SEED);
     for _ in 0..N_RUNS {
         let value = A::arbitrary(&mut values);
         assert!(property(value.clone()), "{value:?}");
     }
-    // The library's own entry point, to be sure that a failure would be seen.
+    // The entry point of the library, to be sure that it would report a failure.
     assert!(false.result(&mut values).is_failure());
 }
 
@@ -42,8 +42,8 @@
 
 const EAST: ShardKey = ShardKey { service: 1, data_centre: 2, part: 0 };
 
-/// Frames of an owner in three lives, in any order and any number of times, as long as the
-/// last of each life arrives: the counter is what was served in all lives.
+/// Frames of three incarnations of an owner arrive in any order, repeatedly, and the last frame of
+/// each arrives. The counter must be the sum of what all incarnations served.
 #[test]
 fn counters_do_not_depend_on_the_order_of_frames() {
     check_property(|order: Vec<u8>| {
@@ -66,12 +66,12 @@
         for life in 1..=3 {
             it.merge(EAST, &frame(life, 5));
         }
-        // Three lives served 50 each; only the last one's reservation still counts.
+        // Each incarnation served 50; only the reservation of the latest one still counts.
         it.total(1) == 155 * SCALE
     });
 }
 
-/// What may happen to an owner, in any order.
+/// An event of an owner, in a random order.
 #[derive(Debug, Clone)]
 enum Step {
     Register(u8),
@@ -110,7 +110,7 @@
     Intent::parse(&text).unwrap().number(&Fleet::default())
 }
 
-/// Whatever happens, no more requests hold a grant at once than there are slots.
+/// After any events, at most as many requests hold a grant as there are slots.
 #[test]
 fn an_owner_never_grants_more_than_its_slots() {
     let fleet = small_fleet();
@@ -143,7 +143,7 @@
                 Step::Progress(id, cost) => {
                     owner.progress(host, &wire::Progress { id: id.into(), cost: cost.into() });
                 }
-                // The router may still run what it held: it counts until reports clear it.
+                // The router may still run its requests: they count until reports clear them.
                 Step::RouterGone => owner.router_gone(now, host),
                 Step::Report => {
                     let running = held.len() as u32;
@@ -172,7 +172,7 @@
     });
 }
 
-/// Members as they come from outside, whatever they say.
+/// Random member lists from other hosts must not remove this host from its own view.
 #[test]
 fn no_gossip_removes_this_host() {
     check_property(|raw: Vec<(u8, u8, u8, bool)>| {
@@ -199,7 +199,8 @@
     });
 }
 
-/// A new owner that knows of no request grants nothing that the upstream's report says runs.
+/// A new owner has no requests yet, but must not grant slots that the report of the upstream shows
+/// as running.
 #[test]
 fn a_new_owner_counts_running_requests() {
     let fleet = small_fleet();
--- a/crates/portfield/tests/quarantine.rs
+++ b/crates/portfield/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end the upstreams that run them: what is known of them, and what is done.
+//! Requests that crash the upstreams that run them: what is recorded, and when they are
+//! quarantined.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -13,32 +14,32 @@
 
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-/// Time for which a request is refused that ended three upstreams.
+/// Quarantine after three crashes.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(120);
-/// Some time after a host's start.
+/// A time some time after the start of a host.
 const NOW: Duration = Duration::from_secs(100);
 
 fn request(fingerprint: u64) -> RequestKey {
     RequestKey { workspace: 7, fingerprint }
 }
 
-/// The fan-out of a host among few.
+/// Audience of a host in a small fleet.
 fn audience() -> Audience {
     let place = Place { host: 1, data_centre: 1, direct: 12 };
     Audience::new(Duration::ZERO, place, &[], 0)
 }
 
-/// Returns what a host tells in its next digest.
+/// Returns the suspects in the next digest of a host.
 fn own_suspects(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
     it.suspects_for_digest(now, &audience(), 1)
 }
 
-/// Returns what a host tells in a digest that tells all.
+/// Returns the suspects in a full digest of a host.
 fn all_suspects(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
     it.suspects_for_digest(now, &audience(), 8)
 }
 
-/// Lets a request end so many upstreams, numbered from `first`.
+/// Records `n` crashes of a request at upstreams numbered from `first`; returns the last new entry.
 fn crash(it: &mut Quarantine, request: RequestKey, first: u32, n: u32) -> Option<QuarantineEntry> {
     let record = |upstream| it.record_crash(NOW, &[request], upstream).pop();
     (first..first + n).filter_map(record).last()
@@ -115,8 +116,8 @@
     crash(&mut it, request(1), 11, 1);
     assert!(it.is_one_crash_away(NOW, request(1)));
     crash(&mut it, request(1), 12, 1);
-    assert!(!it.is_one_crash_away(NOW, request(1)), "it is not tried at all");
-    assert!(it.is_one_crash_away(NOW + FIRST_QUARANTINE, request(1)), "it is tried again");
+    assert!(!it.is_one_crash_away(NOW, request(1)), "it does not run at all");
+    assert!(it.is_one_crash_away(NOW + FIRST_QUARANTINE, request(1)), "it may run again");
     assert!(!it.is_one_crash_away(NOW, request(2)));
 }
 
@@ -129,17 +130,17 @@
     let suspects: Vec<Suspect> = hosts.iter_mut().flat_map(|it| own_suspects(it, NOW)).collect();
     for host in &mut hosts {
         assert_eq!(host.merge(NOW, &suspects), []);
-        assert_eq!(host.merge(NOW, &suspects), [], "told again");
+        assert_eq!(host.merge(NOW, &suspects), [], "reported again");
     }
     hosts[2].record_crash(NOW + MS, &[request(1)], 12);
     let suspects = own_suspects(&mut hosts[2], NOW + MS * 2);
-    // Another host's clock began at another time.
+    // Hosts do not share a clock.
     let entries = hosts[0].merge(NOW * 3, &suspects);
     assert_eq!(entries.len(), 1);
     assert!(hosts[0].entry(NOW * 3, request(1)).is_some());
 }
 
-/// A request that many send with the same bytes is there when an upstream ends of something else.
+/// A request that many callers send may be running when an upstream crashes for another reason.
 #[test]
 fn a_success_clears_earlier_crashes() {
     let mut it = Quarantine::default();
@@ -147,7 +148,7 @@
     crash(&mut it, request(1), 10, 2);
     assert!(it.record_success(NOW + MS, request(1)));
     assert_eq!(it.record_crash(NOW + MS * 2, &[request(1)], 12), []);
-    // Also where another host saw it end well, and the news of an earlier end comes later.
+    // A success seen by another host also clears an earlier crash that is reported later.
     let mut other = Quarantine::default();
     crash(&mut other, request(1), 20, 2);
     let before = own_suspects(&mut other, NOW);
@@ -160,7 +161,7 @@
     assert_eq!(third.record_crash(NOW + SECOND * 2, &[request(1)], 30), []);
 }
 
-/// Returns what was told, as it is some time later.
+/// Returns a report as it would read `time` later.
 fn later(told: &Suspect, time: Duration) -> Suspect {
     let mut res = told.clone();
     res.ends.iter_mut().for_each(|it| it.age += time.as_millis() as u32);
@@ -177,7 +178,7 @@
     own_suspects(&mut it, later);
     assert!(!it.record_crash(later + SECOND, &[request(1)], 13).is_empty());
     let again = later + SECOND + FIRST_QUARANTINE * 2;
-    assert!(it.entry(again - MS, request(1)).is_some(), "for twice as long");
+    assert!(it.entry(again - MS, request(1)).is_some(), "twice as long");
     assert_eq!(it.entry(again, request(1)), None);
 }
 
@@ -223,7 +224,7 @@
     crash(&mut it, other, 10, 3);
     for n in 0..10_000 {
         crash(&mut it, request(n), 100 + n as u32 * 3, 3);
-        assert!(it.entry(NOW, request(n)).is_some(), "the newest one holds");
+        assert!(it.entry(NOW, request(n)).is_some(), "the newest entry is kept");
     }
     assert!(it.entry(NOW, other).is_some());
     assert!(it.n_suspects() <= 100, "{}", it.n_suspects());
@@ -241,14 +242,14 @@
     assert!(it.entry(NOW + SECOND, request(1)).is_some());
 }
 
-/// Engines that end one after the other, with whatever runs there.
+/// Engines that crash one after another with all requests that they run.
 struct Simulation {
     now: Duration,
     rng: fastrand::Rng,
     quarantine: Quarantine,
-    /// RequestKey, engine, end of its run, attempts made.
+    /// Request, engine, end of the run, number of attempts.
     runs: Vec<(u64, u32, Duration, u32)>,
-    /// When each engine is back.
+    /// When each engine is up again.
     back_at: Vec<Duration>,
     n_incarnations: u32,
     n_sent: u64,
@@ -256,9 +257,10 @@
     n_broken: u32,
 }
 
-/// Numbers from which on requests are lethal.
+/// First id of lethal requests.
 const LETHAL_IDS: u64 = 1_000_000;
-/// Most attempts of one request: the first, and those of its caller or of a host that resumes its stream.
+/// Most attempts of one request: the first, and retries by its caller or by a host that resumes its
+/// stream.
 const MAX_ATTEMPTS: u32 = 4;
 
 impl Simulation {
@@ -291,7 +293,7 @@
         self.runs.push((id, engine, now + time, n_attempts));
     }
 
-    /// Ends an engine with all that runs there; who ran there is sent again.
+    /// Crashes an engine with all its requests, which are sent again.
     fn crash(&mut self, now: Duration, engine: u32) {
         self.back_at[engine as usize] = now + SECOND * 3;
         self.n_incarnations += 1;
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Plays 10 ms of 60 requests a second.
+    /// Simulates 10 ms at 60 requests a second.
     fn step(&mut self) {
         self.now += MS * 10;
         let now = self.now;
@@ -327,7 +329,7 @@
         (0..100).for_each(|_| self.step());
     }
 
-    /// Plays a minute, with an engine that ends each `period` on average.
+    /// Simulates a minute in which an engine crashes every `period` on average.
     fn run_minute(&mut self, period: Duration) {
         for _ in 0..6000 {
             self.step();
@@ -341,10 +343,10 @@
     }
 }
 
-/// Days full of ends of something else, ten seeds of a minute each with 36,000 requests, each tried up to four
-/// times. Refused of them, and the part of all runs that broke: 124 and 24 % where one of nine engines ends each
-/// second, 10 and 7 % where one does each four seconds; 101 and 15 %, 3 and 4 % at 60 engines. With two tries
-/// none can be refused.
+/// Ten seeds of a minute each with 36,000 requests, each sent up to four times, while engines crash
+/// for other reasons. Requests quarantined, and share of attempts that broke: 124 and 24 % with one
+/// crash a second among nine engines, 10 and 7 % with one every four seconds; 101 and 15 %, 3 and 4
+/// % at 60 engines. With two attempts per request none can be quarantined.
 #[test]
 fn few_innocent_requests_are_quarantined_during_frequent_crashes() {
     for (n_engines, period, max_refused) in
@@ -358,12 +360,15 @@
             n_sent += it.n_sent;
             n_broken += it.n_broken;
         }
-        assert!(n_refused <= max_refused, "{n_refused} of {n_sent} refused, {n_broken} runs broke");
+        assert!(
+            n_refused <= max_refused,
+            "{n_refused} of {n_sent} quarantined, {n_broken} attempts broke"
+        );
     }
 }
 
-/// A lethal request ends an engine each second, until it is known; another one comes each five seconds. Beside 120 of
-/// them 24 of 36,000 others are refused.
+/// A lethal request crashes an engine every second until it is quarantined, and a new one follows
+/// every five seconds. Beside 120 lethal requests, 24 of 36,000 others are quarantined.
 #[test]
 fn requests_beside_lethal_ones_are_not_quarantined() {
     let (mut n_lethal, mut n_refused, mut n_crashes) = (0, 0, 0);
@@ -389,5 +394,5 @@
         n_refused += it.refused.iter().filter(|it| **it < LETHAL_IDS).count();
     }
     assert_eq!((n_lethal, n_crashes), (120, 360));
-    assert!(n_refused <= 36, "{n_refused} others refused");
+    assert!(n_refused <= 36, "{n_refused} others quarantined");
 }
--- a/crates/portfield/tests/suspend.rs
+++ b/crates/portfield/tests/suspend.rs
@@ -1,4 +1,4 @@
-//! Hosts that stood still: what they trust, and what the others take from them.
+//! Suspended hosts: when they may use their cached state again.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(n)
 }
 
-/// A host that looks each 25 ms and then stands still until `at`.
+/// A host that ticks every 25 ms and is then suspended until `at`.
 fn resumed(at: Duration) -> SuspendDetector {
     let mut res = SuspendDetector::default();
     (0..40).for_each(|n| assert_eq!(res.tick(ms(n * 25)), None));
@@ -22,13 +22,13 @@
     let mut it = resumed(ms(8000));
     assert!(!it.is_state_usable(ms(8000)));
     it.confirm_from_store(ms(8010), CachedState::Config);
-    assert!(!it.is_state_usable(ms(8020)), "the list may be old");
+    assert!(!it.is_state_usable(ms(8020)), "the list may be stale");
     it.confirm_from_peer(CachedState::Upstreams);
     assert!(it.is_state_usable(ms(8030)));
-    assert_eq!(it.tick(ms(8040)), None, "noted once");
+    assert_eq!(it.tick(ms(8040)), None, "reported once");
 }
 
-/// The answer to a held call comes while the host stands still, and lies in its socket until it wakes.
+/// The answer to a long poll arrives during the suspension and waits in the socket buffer.
 #[test]
 fn an_answer_to_a_call_from_before_the_suspension_confirms_nothing() {
     let mut it = resumed(ms(8000));
