--- a/crates/portfield/src/quarantine/crash_history.rs
+++ b/crates/portfield/src/quarantine/crash_history.rs
@@ -74,15 +74,15 @@
             it.at = it.at.min(at);
             return false;
         }
-        let end = Crash { upstream, at };
+        let crash = Crash { upstream, at };
         if self.crashes.len() < MAX_CRASHES {
-            self.crashes.push(end);
+            self.crashes.push(crash);
             return true;
         }
         let Some(oldest) = self.crashes.iter_mut().min_by_key(|it| it.at) else { return false };
         let is_newer = oldest.at < at;
         if is_newer {
-            *oldest = end;
+            *oldest = crash;
         }
         is_newer
     }
--- a/crates/portfield/tests/quarantine.rs
+++ b/crates/portfield/tests/quarantine.rs
@@ -162,8 +162,8 @@
 }
 
 /// Returns a report as it would read `time` later.
-fn later(told: &Suspect, time: Duration) -> Suspect {
-    let mut res = told.clone();
+fn later(suspect: &Suspect, time: Duration) -> Suspect {
+    let mut res = suspect.clone();
     res.ends.iter_mut().for_each(|it| it.age += time.as_millis() as u32);
     res
 }
@@ -199,8 +199,8 @@
     let stored = it.suspect(NOW + SECOND * 20, request(1)).unwrap();
     let mut new = Quarantine::default();
     assert_eq!(new.merge(MS, &[stored]).len(), 1);
-    let left = new.entry(MS, request(1)).unwrap().remaining;
-    assert_eq!(left, FIRST_QUARANTINE - SECOND * 20, "the time before its own start counts");
+    let remaining = new.entry(MS, request(1)).unwrap().remaining;
+    assert_eq!(remaining, FIRST_QUARANTINE - SECOND * 20, "the time before its own start counts");
 }
 
 #[test]
@@ -253,7 +253,7 @@
     back_at: Vec<Duration>,
     n_incarnations: u32,
     n_sent: u64,
-    refused: HashSet<u64>,
+    quarantined: HashSet<u64>,
     n_broken: u32,
 }
 
@@ -273,22 +273,22 @@
             back_at: vec![Duration::ZERO; n_engines],
             n_incarnations: 0,
             n_sent: 0,
-            refused: HashSet::new(),
+            quarantined: HashSet::new(),
             n_broken: 0,
         }
     }
 
     fn send(&mut self, now: Duration, id: u64, n_attempts: u32) {
         if self.quarantine.entry(now, request(id)).is_some() {
-            self.refused.insert(id);
+            self.quarantined.insert(id);
             return;
         }
-        let running: Vec<usize> =
+        let up: Vec<usize> =
             (0..self.back_at.len()).filter(|it| self.back_at[*it] <= now).collect();
-        if running.is_empty() {
+        if up.is_empty() {
             return;
         }
-        let engine = running[self.rng.usize(..running.len())] as u32;
+        let engine = up[self.rng.usize(..up.len())] as u32;
         let time = Duration::from_millis(self.rng.u64(300..5000));
         self.runs.push((id, engine, now + time, n_attempts));
     }
@@ -349,20 +349,20 @@
 /// % at 60 engines. With two attempts per request none can be quarantined.
 #[test]
 fn few_innocent_requests_are_quarantined_during_frequent_crashes() {
-    for (n_engines, period, max_refused) in
+    for (n_engines, period, max_quarantined) in
         [(9, SECOND, 180), (9, SECOND * 4, 18), (60, MS * 250, 150), (60, SECOND, 6)]
     {
-        let (mut n_refused, mut n_sent, mut n_broken) = (0, 0, 0);
+        let (mut n_quarantined, mut n_sent, mut n_broken) = (0, 0, 0);
         for seed in 0..10 {
             let mut it = Simulation::new(seed, n_engines);
             it.run_minute(period);
-            n_refused += it.refused.len();
+            n_quarantined += it.quarantined.len();
             n_sent += it.n_sent;
             n_broken += it.n_broken;
         }
         assert!(
-            n_refused <= max_refused,
-            "{n_refused} of {n_sent} quarantined, {n_broken} attempts broke"
+            n_quarantined <= max_quarantined,
+            "{n_quarantined} of {n_sent} quarantined, {n_broken} attempts broke"
         );
     }
 }
@@ -371,7 +371,7 @@
 /// every five seconds. Beside 120 lethal requests, 24 of 36,000 others are quarantined.
 #[test]
 fn requests_beside_lethal_ones_are_not_quarantined() {
-    let (mut n_lethal, mut n_refused, mut n_crashes) = (0, 0, 0);
+    let (mut n_lethal, mut n_quarantined, mut n_crashes) = (0, 0, 0);
     for seed in 0..10 {
         let mut it = Simulation::new(seed, 9);
         for number in 0..12 {
@@ -379,9 +379,9 @@
             for _ in 0..5 {
                 it.run_second();
                 let now = it.now;
-                let n_before = it.refused.len();
+                let n_before = it.quarantined.len();
                 it.send(now, id, MAX_ATTEMPTS);
-                if it.refused.len() == n_before
+                if it.quarantined.len() == n_before
                     && let Some(run) = it.runs.last().copied()
                     && run.0 == id
                 {
@@ -390,9 +390,9 @@
                 }
             }
         }
-        n_lethal += it.refused.iter().filter(|it| LETHAL_IDS <= **it).count();
-        n_refused += it.refused.iter().filter(|it| **it < LETHAL_IDS).count();
+        n_lethal += it.quarantined.iter().filter(|it| LETHAL_IDS <= **it).count();
+        n_quarantined += it.quarantined.iter().filter(|it| **it < LETHAL_IDS).count();
     }
     assert_eq!((n_lethal, n_crashes), (120, 360));
-    assert!(n_refused <= 36, "{n_refused} others quarantined");
+    assert!(n_quarantined <= 36, "{n_quarantined} others quarantined");
 }
