--- a/crates/portfield/src/catalog/directory.rs
+++ b/crates/portfield/src/catalog/directory.rs
@@ -29,7 +29,7 @@
     Invalid(String),
 }
 
-/// An upstream that was affected by a change of the list.
+/// An upstream that changed in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedUpstream {
     /// Its id.
@@ -105,8 +105,8 @@
         self.version
     }
 
-    /// Applies changes up to a version of the store; returns the upstreams they affected. A version
-    /// older than the list is ignored.
+    /// Applies changes up to a version of the store; returns the upstreams that changed. `missing`
+    /// says what a removed row means. A version older than the list is ignored.
     pub fn apply(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -122,7 +122,7 @@
     }
 
     /// Replaces the list by the full list as of a version of the store; returns the upstreams that
-    /// changed. A version older than the list is ignored.
+    /// changed. `missing` says what an absent row means. A version older than the list is ignored.
     pub fn replace(
         &mut self,
         version: impl Into<StoreVersion>,
@@ -264,13 +264,13 @@
         self.all().filter(is_entry_ready).filter(|it| self.is_marked_draining(it.wire_id()))
     }
 
-    /// Returns the wire ids of such upstreams to send in a digest.
+    /// Returns the wire ids of [`Self::draining_unlisted`] to send in a digest.
     pub fn draining_for_digest(&mut self, scope: DigestScope) -> Vec<u32> {
         let unlisted = self.unlisted_wire_ids();
         self.drain_marks.take_for_digest(scope, |it| unlisted.contains(&it))
     }
 
-    /// Returns the wire ids of such upstreams to send in a data centre's summary.
+    /// Returns the wire ids of [`Self::draining_unlisted`] to send in a data centre's summary.
     pub fn draining_for_summary(&self) -> Vec<u32> {
         let unlisted = self.unlisted_wire_ids();
         self.drain_marks.for_summary(|it| unlisted.contains(&it))
