--- a/crates/portfield/tests/directory.rs
+++ b/crates/portfield/tests/directory.rs
@@ -208,8 +208,8 @@
     delta.set.retain(|it| from.expires_at(it).is_none() || to.accepts_unlisted(it));
     let entry = |id: &String| from.all().find(|it| it.entry.id == *id).unwrap().entry.clone();
     let set = delta.set.iter().map(|it| EntryChange::Set(entry(it)));
-    let gone = delta.removed.iter().cloned().map(EntryChange::Removed);
-    let changes: Vec<_> = set.chain(gone).collect();
+    let removed = delta.removed.iter().cloned().map(EntryChange::Removed);
+    let changes: Vec<_> = set.chain(removed).collect();
     to.apply(from.version(), changes, MissingRows::Deleted);
     for id in &delta.set {
         if let Some(until) = from.expires_at(id) {
--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -47,9 +47,9 @@
 #[test]
 fn counters_do_not_depend_on_the_order_of_frames() {
     check_property(|order: Vec<u8>| {
-        let frame = |life: u64, sequence: u64| wire::UsageSet {
+        let frame = |incarnation: u64, sequence: u64| wire::UsageSet {
             shard: Some(EAST.into()),
-            incarnation: life,
+            incarnation,
             sequence,
             usage: vec![wire::Usage {
                 workspace: 1,
@@ -60,11 +60,11 @@
         };
         let mut it = Counters::default();
         for byte in order {
-            let (life, sequence) = (u64::from(byte % 3) + 1, u64::from(byte / 3 % 4) + 1);
-            it.merge(EAST, &frame(life, sequence));
+            let (incarnation, sequence) = (u64::from(byte % 3) + 1, u64::from(byte / 3 % 4) + 1);
+            it.merge(EAST, &frame(incarnation, sequence));
         }
-        for life in 1..=3 {
-            it.merge(EAST, &frame(life, 5));
+        for incarnation in 1..=3 {
+            it.merge(EAST, &frame(incarnation, 5));
         }
         // Each incarnation served 50; only the reservation of the latest one still counts.
         it.total(1) == 155 * SCALE
@@ -121,12 +121,12 @@
         let host = IpAddr::from([127, 0, 0, 1]);
         let mut owner = Owner::new(now, shard, 1, Limits::default());
         owner.configure(now, &fleet);
-        let mut held: HashMap<u64, ()> = HashMap::new();
+        let mut granted: HashMap<u64, ()> = HashMap::new();
         for it in steps {
             match it {
                 Step::Register(id) => {
                     let id = u64::from(id);
-                    held.remove(&id);
+                    granted.remove(&id);
                     let workspace = fleet.workspaces[0].id;
                     owner.register(
                         now,
@@ -136,7 +136,7 @@
                 }
                 Step::Cancel(id) => owner.cancel(host, u64::from(id)),
                 Step::Finish(id) => {
-                    held.remove(&u64::from(id));
+                    granted.remove(&u64::from(id));
                     let done = wire::Done { id: id.into(), cost: 9, ..Default::default() };
                     owner.finish(now, host, &done);
                 }
@@ -146,7 +146,7 @@
                 // The router may still run its requests: they count until reports clear them.
                 Step::RouterGone => owner.router_gone(now, host),
                 Step::Report => {
-                    let running = held.len() as u32;
+                    let running = granted.len() as u32;
                     owner.report(now, upstream, Health::Up { running, leaving: false });
                 }
                 Step::Down => owner.report(now, upstream, Health::Down),
@@ -154,9 +154,9 @@
             }
             owner.dispatch(now);
             for answer in owner.take_answers().into_values() {
-                held.extend(answer.grants.iter().map(|it| (it.ticket, ())));
+                granted.extend(answer.grants.iter().map(|it| (it.ticket, ())));
             }
-            if 3 < held.len() {
+            if 3 < granted.len() {
                 return false;
             }
         }
