--- a/crates/portfield/src/catalog/draining.rs
+++ b/crates/portfield/src/catalog/draining.rs
@@ -25,7 +25,7 @@
 /// use portfield::catalog::DrainMarks;
 ///
 /// let mut marks = DrainMarks::default();
-/// assert!(marks.insert(7), "it is news");
+/// assert!(marks.insert(7), "newly marked");
 /// assert!(!marks.insert(7));
 /// assert!(marks.contains(7) && !marks.contains(8));
 /// ```
