--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties under random orders, repetitions and losses; the seeds are fixed, so that
-//! every run gives the same verdict.
+//! Properties under random orders, repetitions and losses, with fixed seeds so that every run gives
+//! the same result.
 
 use std::{collections::HashMap, net::IpAddr, time::Duration};
 
@@ -14,20 +14,20 @@
 const SEED: u64 = 0x5eed;
 const N_RUNS: usize = 300;
 
-/// Runs a property on values from a fixed seed.
-fn check<A: Arbitrary + std::fmt::Debug>(property: impl Fn(A) -> bool) {
+/// Checks a property with values from a fixed seed.
+fn check_property<A: Arbitrary + std::fmt::Debug>(property: impl Fn(A) -> bool) {
     let mut values = Gen::from_size_and_seed(60, SEED);
     for _ in 0..N_RUNS {
         let value = A::arbitrary(&mut values);
         assert!(property(value.clone()), "{value:?}");
     }
-    // The library's own entry point, to be sure that a failure would be seen.
+    // The entry point of the library, to be sure that it would report a failure.
     assert!(false.result(&mut values).is_failure());
 }
 
 #[test]
-fn no_order_of_delivery_lowers_the_revision() {
-    check(|revisions: Vec<u8>| {
+fn the_revision_never_decreases() {
+    check_property(|revisions: Vec<u8>| {
         let mut it = Adopted::default();
         let mut highest = 0;
         revisions.iter().all(|revision| {
@@ -42,14 +42,14 @@
 
 const EAST: ShardKey = ShardKey { service: 1, data_centre: 2, part: 0 };
 
-/// Frames of an owner in three lives, in any order and any number of times, as long as the
-/// last of each life arrives: the counter is what was served in all lives.
+/// Frames of three incarnations of an owner arrive in any order, repeatedly, and the last frame of
+/// each arrives. The counter must be the sum of what all incarnations served.
 #[test]
 fn counters_do_not_depend_on_the_order_of_frames() {
-    check(|order: Vec<u8>| {
-        let frame = |life: u64, sequence: u64| wire::UsageSet {
+    check_property(|order: Vec<u8>| {
+        let frame = |incarnation: u64, sequence: u64| wire::UsageSet {
             shard: Some(EAST.into()),
-            incarnation: life,
+            incarnation,
             sequence,
             usage: vec![wire::Usage {
                 workspace: 1,
@@ -60,18 +60,18 @@
         };
         let mut it = Counters::default();
         for byte in order {
-            let (life, sequence) = (u64::from(byte % 3) + 1, u64::from(byte / 3 % 4) + 1);
-            it.merge(EAST, &frame(life, sequence));
+            let (incarnation, sequence) = (u64::from(byte % 3) + 1, u64::from(byte / 3 % 4) + 1);
+            it.merge(EAST, &frame(incarnation, sequence));
         }
-        for life in 1..=3 {
-            it.merge(EAST, &frame(life, 5));
+        for incarnation in 1..=3 {
+            it.merge(EAST, &frame(incarnation, 5));
         }
-        // Three lives served 50 each; only the last one's reservation still counts.
+        // Each incarnation served 50; only the reservation of the latest one still counts.
         it.total(1) == 155 * SCALE
     });
 }
 
-/// What may happen to an owner, in any order.
+/// An event of an owner, in a random order.
 #[derive(Debug, Clone)]
 enum Step {
     Register(u8),
@@ -110,23 +110,23 @@
     Intent::parse(&text).unwrap().number(&Fleet::default())
 }
 
-/// Whatever happens, no more requests hold a grant at once than there are slots.
+/// After any events, at most as many requests hold a grant as there are slots.
 #[test]
 fn an_owner_never_grants_more_than_its_slots() {
     let fleet = small_fleet();
     let shard = fleet.shard_of(&fleet.upstreams[0]);
     let upstream = fleet.upstreams[0].id;
-    check(|steps: Vec<Step>| {
+    check_property(|steps: Vec<Step>| {
         let mut now = Duration::from_secs(1);
         let host = IpAddr::from([127, 0, 0, 1]);
         let mut owner = Owner::new(now, shard, 1, Limits::default());
         owner.configure(now, &fleet);
-        let mut held: HashMap<u64, ()> = HashMap::new();
+        let mut granted: HashMap<u64, ()> = HashMap::new();
         for it in steps {
             match it {
                 Step::Register(id) => {
                     let id = u64::from(id);
-                    held.remove(&id);
+                    granted.remove(&id);
                     let workspace = fleet.workspaces[0].id;
                     owner.register(
                         now,
@@ -136,17 +136,17 @@
                 }
                 Step::Cancel(id) => owner.cancel(host, u64::from(id)),
                 Step::Finish(id) => {
-                    held.remove(&u64::from(id));
+                    granted.remove(&u64::from(id));
                     let done = wire::Done { id: id.into(), cost: 9, ..Default::default() };
                     owner.finish(now, host, &done);
                 }
                 Step::Progress(id, cost) => {
                     owner.progress(host, &wire::Progress { id: id.into(), cost: cost.into() });
                 }
-                // The router may still run what it held: it counts until reports clear it.
+                // The router may still run its requests: they count until reports clear them.
                 Step::RouterGone => owner.router_gone(now, host),
                 Step::Report => {
-                    let running = held.len() as u32;
+                    let running = granted.len() as u32;
                     owner.report(now, upstream, Health::Up { running, leaving: false });
                 }
                 Step::Down => owner.report(now, upstream, Health::Down),
@@ -154,9 +154,9 @@
             }
             owner.dispatch(now);
             for answer in owner.take_answers().into_values() {
-                held.extend(answer.grants.iter().map(|it| (it.ticket, ())));
+                granted.extend(answer.grants.iter().map(|it| (it.ticket, ())));
             }
-            if 3 < held.len() {
+            if 3 < granted.len() {
                 return false;
             }
         }
@@ -165,17 +165,17 @@
 }
 
 #[test]
-fn any_text_is_taken_or_refused_with_reasons() {
-    check(|text: String| match Intent::parse(&text) {
+fn any_text_is_parsed_or_rejected_with_reasons() {
+    check_property(|text: String| match Intent::parse(&text) {
         Ok(_) => true,
         Err(err) => !err.mistakes().is_empty() && !err.to_string().is_empty(),
     });
 }
 
-/// Members as they come from outside, whatever they say.
+/// Random member lists from other hosts must not remove this host from its own view.
 #[test]
-fn any_gossip_leaves_this_host_alive() {
-    check(|raw: Vec<(u8, u8, u8, bool)>| {
+fn no_gossip_removes_this_host() {
+    check_property(|raw: Vec<(u8, u8, u8, bool)>| {
         let me = ListEntry {
             host: IpAddr::from([127, 0, 0, 1]),
             address: ([127, 0, 0, 1], 9090).into(),
@@ -199,9 +199,10 @@
     });
 }
 
-/// A new owner that knows of no request grants nothing that the upstream's report says runs.
+/// A new owner has no requests yet, but must not grant slots that the report of the upstream shows
+/// as running.
 #[test]
-fn a_new_owner_respects_what_runs_already() {
+fn a_new_owner_counts_running_requests() {
     let fleet = small_fleet();
     let shard = fleet.shard_of(&fleet.upstreams[0]);
     let (upstream, workspace) = (fleet.upstreams[0].id, fleet.workspaces[0].id);
