--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -127,7 +127,7 @@
         self.left = Some((id, self.now));
         // One scheduler sees it first; the others learn the revision from its probes.
         let (life, fleet) = (self.hosts[0].lives.0, self.fleet.clone());
-        self.feed(0, life, portfield::schedule::Event::Offered(fleet));
+        self.feed(0, life, portfield::schedule::Event::Config(fleet));
     }
 
     fn cut(&mut self, at: usize, ways: &[bool; 2]) {
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -20,7 +20,7 @@
     ids::{HostId, TicketId, UpstreamId},
     member::ListEntry,
     route::{self, Router},
-    schedule::{self, Health, Limits, Scheduler},
+    schedule::{self, Health, OwnerConfig, Scheduler},
     wire,
 };
 
@@ -198,7 +198,8 @@
         host.ticks.0 = Duration::MAX;
         // As a wall clock would give it: hosts started one after the other.
         let incarnation = 1_000_000 + 10 * idx as u64 + self.now.as_millis() as u64;
-        let settings = schedule::Settings { me, incarnation, limits: Limits::default() };
+        let settings =
+            schedule::SchedulerConfig { entry: me, incarnation, owner: OwnerConfig::default() };
         host.scheduler = Some(Scheduler::new(settings));
         // Hosts look at different moments.
         let offset = Duration::from_millis(37 * idx as u64 % 1000);
@@ -415,7 +416,7 @@
             return;
         }
         let (life, fleet) = (self.hosts[idx].lives.0, self.fleet.clone());
-        self.feed(idx, life, schedule::Event::Offered(fleet));
+        self.feed(idx, life, schedule::Event::Config(fleet));
         self.after(WATCH, Event::Watch(idx));
     }
 
@@ -426,21 +427,21 @@
         // The list lags so much that it also names the dead.
         let entries = (0..self.hosts.len()).map(|it| self.entry(it)).collect();
         let life = self.hosts[idx].lives.0;
-        self.feed(idx, life, schedule::Event::Listed(entries));
+        self.feed(idx, life, schedule::Event::HostList(entries));
         self.after(LIST, Event::List(idx));
     }
 
     fn report(&mut self, idx: usize) {
         let Some(scheduler) = &self.hosts[idx].scheduler else { return };
         let life = self.hosts[idx].lives.0;
-        for (id, _) in scheduler.watched() {
+        for (id, _) in scheduler.watched_upstreams() {
             let engine = &self.engines[&id];
             let running = engine.report(self.now.saturating_sub(LAG));
             let health = match engine.alive {
                 true => Health::Up { running, leaving: false },
                 false => Health::Down,
             };
-            self.feed(idx, life, schedule::Event::Report(id, health));
+            self.feed(idx, life, schedule::Event::UpstreamHealth(id, health));
         }
         self.after(REPORT, Event::Report(idx));
     }
--- a/crates/portfield-replay/src/sim/net.rs
+++ b/crates/portfield-replay/src/sim/net.rs
@@ -73,7 +73,7 @@
         self.count(router, scheduler, CALL_COST);
         self.sessions.insert((router, scheduler));
         let ip = self.hosts[router].ip;
-        let up = schedule::Event::RouterUp(ip);
+        let up = schedule::Event::RouterConnected(ip);
         self.after(delay, Event::Scheduler(scheduler, life, up));
         self.after(delay * 2, Event::RouterUp(router, host));
     }
@@ -85,19 +85,19 @@
         }
         self.count(router, scheduler, frame.encoded_len() + FRAME_COST);
         let (ip, life) = (self.hosts[router].ip, self.hosts[scheduler].lives.0);
-        let event = schedule::Event::Router(ip, frame);
+        let event = schedule::Event::RouterFrame(ip, frame);
         let delay = self.delay(self.hosts[router].centre, self.hosts[scheduler].centre);
         self.after(delay, Event::Scheduler(scheduler, life, event));
     }
 
     pub(super) fn act_scheduler(&mut self, from: usize, action: schedule::Action) {
         match action {
-            schedule::Action::Router(host, frame) => self.send_owner(from, host, frame),
-            schedule::Action::Peer(address, frame) => self.send_peer(from, address, frame),
-            schedule::Action::Probe(address, target, request) => {
+            schedule::Action::SendToRouter(host, frame) => self.send_owner(from, host, frame),
+            schedule::Action::SendToPeer(address, frame) => self.send_peer(from, address, frame),
+            schedule::Action::SendProbe(address, target, request) => {
                 self.send_probe(from, address, target, request);
             }
-            schedule::Action::Fetch(address) => {
+            schedule::Action::FetchConfig(address) => {
                 let to = self.at_address(address);
                 let (life, delay) = self.reach(from, to);
                 if life.is_none() {
@@ -108,7 +108,7 @@
                     return;
                 };
                 let own = self.hosts[from].lives.0;
-                let event = schedule::Event::Offered((*fleet).clone());
+                let event = schedule::Event::Config((*fleet).clone());
                 self.after(delay * 2, Event::Scheduler(from, own, event));
             }
         }
@@ -134,14 +134,14 @@
         // Where only the way back is cut, the frame arrives and the sender can't know.
         let lives = self.hosts[to].lives.0;
         if life.is_some() || !self.is_cut(a, b) {
-            let event = schedule::Event::Peer(frame.clone());
+            let event = schedule::Event::PeerFrame(frame.clone());
             self.after(delay, Event::Scheduler(to, lives, event));
         }
         let scheduler = self.hosts[to].scheduler.as_ref().filter(|_| life.is_some());
         let reply = scheduler.map(|it| it.peer_reply(&frame));
         let time = if reply.is_some() { delay * 2 } else { CALL_TIMEOUT };
         self.count(from, to, reply.as_ref().map_or(0, wire::PeerReply::encoded_len));
-        let event = schedule::Event::PeerSent(frame, reply);
+        let event = schedule::Event::PeerReply(frame, reply);
         self.after(time, Event::Scheduler(from, own, event));
     }
 
@@ -158,7 +158,7 @@
         let own = self.hosts[from].lives.0;
         let Some(life) = life else {
             if request.target.is_empty() && self.refuses(from, to) {
-                let event = schedule::Event::Refused(target);
+                let event = schedule::Event::ProbeRefused(target);
                 self.after(delay * 2, Event::Scheduler(from, own, event));
             }
             return;
@@ -170,12 +170,12 @@
             alive = last.is_some();
             time += if alive { further * 2 } else { PROBE_TIMEOUT };
         }
-        let probed = schedule::Event::Probed(request.clone());
+        let probed = schedule::Event::ProbeRequest(request.clone());
         self.after(delay, Event::Scheduler(to, life, probed));
         let Some(scheduler) = self.hosts[to].scheduler.as_mut() else { return };
         let reply = wire::ProbeReply { alive, ..scheduler.probe_reply(&request) };
         self.count(from, to, reply.encoded_len());
-        let event = schedule::Event::Answered(target, reply);
+        let event = schedule::Event::ProbeReply(target, reply);
         self.after(time, Event::Scheduler(from, own, event));
     }
 
@@ -190,7 +190,7 @@
                 delay += PING_LIMIT;
             }
             let (ip, life) = (self.hosts[router].ip, self.hosts[scheduler].lives.0);
-            let down = schedule::Event::RouterDown(ip);
+            let down = schedule::Event::RouterDisconnected(ip);
             self.after(delay, Event::Scheduler(scheduler, life, down));
             let host = self.hosts[scheduler].ip;
             self.after(delay, Event::RouterDown(router, host));
--- a/crates/portfield-replay/src/slopes.rs
+++ b/crates/portfield-replay/src/slopes.rs
@@ -12,7 +12,7 @@
     fleet::{Fleet, Intent, Kind, ServiceIntent, UpstreamIntent, WorkspaceIntent, hash_token},
     ids::HostId,
     member::{ListEntry, View},
-    schedule::{Health, Limits, Owner, ShardKey},
+    schedule::{Health, OwnerConfig, ShardKey, ShardOwner},
     wire,
 };
 use prost::Message;
@@ -80,8 +80,12 @@
     let fleet = fleet(n_workspaces, N_UPSTREAMS);
     let shard =
         ShardKey { service: fleet.services[0].id, data_centre: fleet.data_centres[0].id, part: 0 };
-    let limits = Limits { recovery: Duration::ZERO, queue: u32::MAX, ..Limits::default() };
-    let mut owner = Owner::new(Duration::ZERO, shard, 1, limits);
+    let config = OwnerConfig {
+        recovery_time: Duration::ZERO,
+        max_queued: u32::MAX,
+        ..OwnerConfig::default()
+    };
+    let mut owner = ShardOwner::new(Duration::ZERO, shard, 1, config);
     owner.configure(Duration::ZERO, &fleet);
     let host = HostId::from([127, 0, 0, 1]);
     let before = resident();
@@ -93,7 +97,7 @@
     }
     let bytes = resident().saturating_sub(before) / N_TICKETS;
     for it in &fleet.upstreams {
-        owner.report(Duration::ZERO, it.id, Health::Up { running: 0, leaving: false });
+        owner.record_health(Duration::ZERO, it.id, Health::Up { running: 0, leaving: false });
     }
     let mut n_ended = 0;
     while n_ended < N_TICKETS {
@@ -106,7 +110,7 @@
         }
     }
     let ticket = start.elapsed() / N_TICKETS as u32;
-    Cost { ticket, steps: owner.steps() as f64 / N_TICKETS as f64, bytes }
+    Cost { ticket, steps: owner.n_examined() as f64 / N_TICKETS as f64, bytes }
 }
 
 /// Replays the size to design for in virtual time and returns what it measured.
@@ -236,12 +240,12 @@
         sets: vec![set],
         ..Default::default()
     };
-    let mut owner = Owner::new(Duration::ZERO, shard(2), 1, Limits::default());
+    let mut owner = ShardOwner::new(Duration::ZERO, shard(2), 1, OwnerConfig::default());
     owner.set_peers([shard(1), shard(2)].into_iter());
     let start = Instant::now();
     let bytes = frame.encode_to_vec();
     if let Ok(it) = wire::PeerShard::decode(bytes.as_slice()) {
-        owner.hear(Duration::ZERO, &it);
+        owner.handle_frame(Duration::ZERO, &it);
     }
     (start.elapsed().as_secs_f64() * 1e6, bytes.len())
 }
--- a/crates/portfield-scheduler/src/grpc.rs
+++ b/crates/portfield-scheduler/src/grpc.rs
@@ -54,7 +54,7 @@
         if let Ok(target) = request.target.parse() {
             alive = self.shell.probe_for(target).await;
         }
-        self.shell.feed(Event::Probed(request.clone()));
+        self.shell.feed(Event::ProbeRequest(request.clone()));
         let reply = self.shell.read(|it| it.probe_reply(&request));
         Ok(Response::new(wire::ProbeReply { alive, ..reply }))
     }
@@ -65,7 +65,7 @@
     ) -> Result<Response<wire::PeerReply>, Status> {
         let frame = request.into_inner();
         let reply = self.shell.read(|it| it.peer_reply(&frame));
-        self.shell.feed(Event::Peer(frame));
+        self.shell.feed(Event::PeerFrame(frame));
         Ok(Response::new(reply))
     }
 
--- a/crates/portfield-scheduler/src/shell.rs
+++ b/crates/portfield-scheduler/src/shell.rs
@@ -72,8 +72,8 @@
             data_centre: settings.data_centre.clone(),
             leaving: false,
         };
-        let limits = schedule::Limits::default();
-        let core = schedule::Settings { me, incarnation: clock::life(), limits };
+        let owner = schedule::OwnerConfig::default();
+        let core = schedule::SchedulerConfig { entry: me, incarnation: clock::life(), owner };
         Arc::new(Self {
             rt,
             links: settings.links.clone(),
@@ -112,14 +112,14 @@
         state.sessions.insert(host, Session { number, sender });
         drop(state);
         log::info!(host:% = host, session = number; "router up");
-        self.feed(Event::RouterUp(host));
+        self.feed(Event::RouterConnected(host));
         number
     }
 
     /// Takes in a router's frame, if it comes by the newest session.
     pub(crate) fn hear(self: &Arc<Self>, host: HostId, number: u64, frame: wire::RouterFrame) {
         if self.is_current(host, number) {
-            self.feed(Event::Router(host, frame));
+            self.feed(Event::RouterFrame(host, frame));
         }
     }
 
@@ -130,7 +130,7 @@
         }
         self.lock().sessions.remove(&host);
         log::info!(host:% = host, session = number; "router down");
-        self.feed(Event::RouterDown(host));
+        self.feed(Event::RouterDisconnected(host));
     }
 
     /// Ticks whenever something is due.
@@ -161,7 +161,7 @@
     pub(crate) fn adopt(self: &Arc<Self>, fleet: Fleet) {
         let old = self.read(|it| it.fleet().revision);
         let revision = fleet.revision;
-        self.feed(Event::Offered(fleet));
+        self.feed(Event::Config(fleet));
         if old < revision {
             log::info!(revision, old; "configuration in force");
         }
@@ -186,33 +186,33 @@
             ..Default::default()
         });
         if let Ok(reply) = self.ask(address, request).await {
-            self.feed(Event::Answered(address.ip(), reply));
+            self.feed(Event::ProbeReply(address.ip(), reply));
         }
     }
 
     fn act(self: &Arc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Router(host, frame) => {
+            Action::SendToRouter(host, frame) => {
                 if let Some(it) = state.sessions.get(&host) {
                     let _ = it.sender.try_send(frame);
                 }
             }
-            Action::Peer(address, frame) => {
+            Action::SendToPeer(address, frame) => {
                 let shell = self.clone();
                 self.rt.spawn(async move { shell.send_peer(address, frame).await });
             }
-            Action::Probe(address, host, request) => {
+            Action::SendProbe(address, host, request) => {
                 let shell = self.clone();
                 self.rt.spawn(async move {
                     let is_direct = request.target.is_empty();
                     match shell.ask(address, request).await {
-                        Ok(reply) => shell.feed(Event::Answered(host, reply)),
-                        Err(Failure::Refused) if is_direct => shell.feed(Event::Refused(host)),
+                        Ok(reply) => shell.feed(Event::ProbeReply(host, reply)),
+                        Err(Failure::Refused) if is_direct => shell.feed(Event::ProbeRefused(host)),
                         Err(_) => (),
                     }
                 });
             }
-            Action::Fetch(address) => self.rt.spawn(self.clone().fetch(address)),
+            Action::FetchConfig(address) => self.rt.spawn(self.clone().fetch(address)),
         }
     }
 
@@ -223,7 +223,7 @@
             channel.scheduler().exchange(sent).await.ok()
         };
         let res = clock::timeout(PEER_TIMEOUT, call).await.flatten();
-        self.feed(Event::PeerSent(frame, res.map(tonic::Response::into_inner)));
+        self.feed(Event::PeerReply(frame, res.map(tonic::Response::into_inner)));
     }
 
     async fn ask(
--- a/crates/portfield-scheduler/src/watch.rs
+++ b/crates/portfield-scheduler/src/watch.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     ids::UpstreamId,
-    schedule::{Event, Health, Status},
+    schedule::{Event, Health, ShardStatus},
 };
 use portfield_net::{clock, http1::Target, platform::Platform, rpc, rt::Runtime, store};
 use serde::Deserialize;
@@ -43,7 +43,7 @@
         if let Ok(Some((hosts, fresh))) = platform.hosts_changed(&tag).await {
             tag = fresh;
             let entries = hosts.iter().map(|it| it.entry()).collect();
-            shell.feed(Event::Listed(entries));
+            shell.feed(Event::HostList(entries));
         }
         clock::sleep(period).await;
     }
@@ -63,7 +63,7 @@
 
 async fn watch_upstreams(shell: Arc<Shell>, period: Duration) {
     loop {
-        for (id, address) in shell.read(|it| it.watched()) {
+        for (id, address) in shell.read(|it| it.watched_upstreams()) {
             shell.rt.spawn(report(shell.clone(), id, address));
         }
         clock::sleep(period).await;
@@ -76,18 +76,18 @@
         Ok(it) => Health::Up { running: it.running, leaving: it.leaving },
         Err(_) => Health::Down,
     };
-    shell.feed(Event::Report(id, health));
+    shell.feed(Event::UpstreamHealth(id, health));
 }
 
 async fn send_metrics(shell: Arc<Shell>) {
     loop {
         clock::sleep(METRICS_PERIOD).await;
         let all = shell.read(|it| it.status());
-        let sum = |f: fn(&Status) -> u64| all.iter().map(f).sum();
+        let sum = |f: fn(&ShardStatus) -> u64| all.iter().map(f).sum();
         shell.metrics.gauge("shards", all.len() as u64);
         shell.metrics.gauge("slots", sum(|it| u64::from(it.slots)));
         shell.metrics.gauge("slots_used", sum(|it| u64::from(it.used)));
-        let waiting = |it: &Status| it.backlog.iter().map(|it| u64::from(it.waiting)).sum();
+        let waiting = |it: &ShardStatus| it.backlog.iter().map(|it| u64::from(it.waiting)).sum();
         shell.metrics.gauge("waiting", sum(waiting));
         let (sent, received) = rpc::traffic();
         shell.metrics.gauge("control_bytes", sent + received);
--- a/crates/portfield/src/schedule/estimate.rs
+++ b/crates/portfield/src/schedule/cost_estimator.rs
@@ -31,20 +31,20 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::schedule::Estimates;
+/// use portfield::schedule::CostEstimator;
 ///
-/// let mut estimates = Estimates::default();
+/// let mut estimator = CostEstimator::default();
 /// for _ in 0..100 {
-///     estimates.learn(7, 1000, 100);
+///     estimator.observe(7, 1000, 100);
 /// }
-/// assert!(estimates.estimate(7, 1000) < 110);
+/// assert!(estimator.estimate(7, 1000) < 110);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Estimates {
+pub struct CostEstimator {
     learned: HashMap<WorkspaceId, Learned>,
 }
 
-impl Estimates {
+impl CostEstimator {
     /// Returns the expected cost in tokens; a `hint` of zero is none.
     pub fn estimate(&self, id: WorkspaceId, hint: u32) -> u32 {
         let learned = self.learned.get(&id);
@@ -59,7 +59,7 @@
     }
 
     /// Takes in what a request did cost.
-    pub fn learn(&mut self, id: WorkspaceId, hint: u32, cost: u32) {
+    pub fn observe(&mut self, id: WorkspaceId, hint: u32, cost: u32) {
         let cost = f64::from(cost.max(1));
         let it = self.learned.entry(id).or_insert(Learned {
             mean: cost,
--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -10,41 +10,41 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{Incarnation, WorkspaceId},
     wire,
 };
 
-/// Cost divided by share, times [`SCALE`].
-pub type Virtual = u64;
+/// Cost divided by share, times [`UNITS_PER_TOKEN`].
+pub type VirtualCost = u64;
 
 /// Virtual units in one token of a workspace with share 1.
-pub const SCALE: u64 = 1 << 16;
+pub const UNITS_PER_TOKEN: u64 = 1 << 16;
 
 /// Turns a cost in tokens into virtual units.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield::schedule::{SCALE, to_virtual};
+/// use portfield::schedule::{UNITS_PER_TOKEN, virtual_cost};
 ///
-/// assert_eq!(to_virtual(10, 2), 5 * SCALE);
+/// assert_eq!(virtual_cost(10, 2), 5 * UNITS_PER_TOKEN);
 /// ```
-pub fn to_virtual(cost: u32, share: u32) -> Virtual {
-    u64::from(cost) * SCALE / u64::from(share.max(1))
+pub fn virtual_cost(cost: u32, share: u32) -> VirtualCost {
+    u64::from(cost) * UNITS_PER_TOKEN / u64::from(share.max(1))
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Entry {
     /// Served and reserved here.
-    served: Virtual,
-    reserved: Virtual,
-    lift: Virtual,
+    served: VirtualCost,
+    reserved: VirtualCost,
+    lift: VirtualCost,
     /// Sum over all owners, reservations and lift included.
-    total: Virtual,
+    total: VirtualCost,
     /// Reservations of all owners.
-    pending: Virtual,
+    pending: VirtualCost,
     /// Tickets waiting here, and owners elsewhere that have some.
     waiting: u32,
     elsewhere: u32,
@@ -59,7 +59,7 @@
     }
 
     /// Returns the counter without what is only reserved.
-    fn settled(&self) -> Virtual {
+    fn settled(&self) -> VirtualCost {
         self.total - self.pending
     }
 }
@@ -76,13 +76,13 @@
     entries: HashMap<WorkspaceId, Entry>,
     seen: BTreeMap<(ShardKey, Incarnation), Seen>,
     /// Workspaces with tickets here, by counter.
-    local: BTreeSet<(Virtual, WorkspaceId)>,
+    local: BTreeSet<(VirtualCost, WorkspaceId)>,
     /// Workspaces with tickets anywhere, by counter.
-    active: BTreeSet<(Virtual, WorkspaceId)>,
+    active: BTreeSet<(VirtualCost, WorkspaceId)>,
     /// The same by settled counter: the least is the floor for who comes back.
-    settled: BTreeSet<(Virtual, WorkspaceId)>,
+    settled: BTreeSet<(VirtualCost, WorkspaceId)>,
     /// Settled counter of the workspace served last.
-    clock: Virtual,
+    clock: VirtualCost,
     version: u64,
     /// Whether the other owners' counters are known, so that a lift would be true.
     complete: bool,
@@ -93,27 +93,27 @@
     ///
     /// **NOTE:** A new owner that lifted before would lift over what it doesn't know yet, and
     /// the lift would stay.
-    pub fn set_complete(&mut self) {
+    pub fn enable_lifts(&mut self) {
         self.complete = true;
     }
 
     /// Returns a workspace's counter.
-    pub fn total(&self, id: WorkspaceId) -> Virtual {
+    pub fn total(&self, id: WorkspaceId) -> VirtualCost {
         self.entries.get(&id).map_or(0, |it| it.total)
     }
 
     /// Returns the local workspace to serve next, with its counter.
-    pub fn least_local(&self) -> Option<(Virtual, WorkspaceId)> {
+    pub fn least_served_local(&self) -> Option<(VirtualCost, WorkspaceId)> {
         self.local.first().copied()
     }
 
     /// Returns the workspaces with tickets anywhere, the least served first.
-    pub fn active(&self) -> impl Iterator<Item = (Virtual, WorkspaceId)> + '_ {
+    pub fn active(&self) -> impl Iterator<Item = (VirtualCost, WorkspaceId)> + '_ {
         self.active.iter().copied()
     }
 
     /// Returns whether a workspace has tickets here.
-    pub fn is_local(&self, id: WorkspaceId) -> bool {
+    pub fn has_local_tickets(&self, id: WorkspaceId) -> bool {
         self.entries.get(&id).is_some_and(|it| 0 < it.waiting)
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Reserves the estimate of a request that was granted.
-    pub fn reserve(&mut self, id: WorkspaceId, amount: Virtual) {
+    pub fn reserve(&mut self, id: WorkspaceId, amount: VirtualCost) {
         let settled = self.entries.get(&id).map_or(0, Entry::settled);
         self.clock = self.clock.max(settled);
         self.change(id, |it| {
@@ -141,7 +141,7 @@
     }
 
     /// Takes back what is left of a reservation.
-    pub fn release(&mut self, id: WorkspaceId, amount: Virtual) {
+    pub fn release(&mut self, id: WorkspaceId, amount: VirtualCost) {
         self.change(id, |it| {
             it.reserved -= amount;
             it.pending -= amount;
@@ -151,7 +151,7 @@
     }
 
     /// Counts service, out of the reservation as far as `reserved` goes.
-    pub fn serve(&mut self, id: WorkspaceId, amount: Virtual, reserved: Virtual) {
+    pub fn record_served(&mut self, id: WorkspaceId, amount: VirtualCost, reserved: VirtualCost) {
         let covered = amount.min(reserved);
         self.change(id, |it| {
             it.served += amount;
@@ -164,7 +164,7 @@
 
     /// Lifts whoever is so far behind the best served that catching up would starve the
     /// others for longer than `limit`; happens after a cut heals.
-    pub fn clamp(&mut self, limit: Virtual) {
+    pub fn clamp_lag(&mut self, limit: VirtualCost) {
         let Some((most, _)) = self.active.last().copied() else { return };
         let floor = most.saturating_sub(limit);
         while let Some((total, id)) = self.active.first().copied() {
@@ -204,7 +204,7 @@
     }
 
     /// Forgets the reservations and tickets of an owner that is silent; what it served stays.
-    pub fn silence(&mut self, shard: ShardKey) {
+    pub fn expire_owner(&mut self, shard: ShardKey) {
         self.retire_before(shard, Incarnation::MAX);
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Returns what is known of all other owners, for an owner that starts with nothing.
-    pub fn seen_sets(&self) -> Vec<wire::UsageSet> {
+    pub fn remote_usage_sets(&self) -> Vec<wire::UsageSet> {
         let sets = self.seen.iter().map(|((shard, incarnation), it)| wire::UsageSet {
             shard: Some((*shard).into()),
             incarnation: *incarnation,
@@ -245,7 +245,7 @@
 
     /// Ends one incarnation of the counters here: what it served stays as another owner's
     /// would, and counting starts anew.
-    pub fn seal(&mut self, shard: ShardKey, incarnation: Incarnation) {
+    pub fn close_incarnation(&mut self, shard: ShardKey, incarnation: Incarnation) {
         let mut sealed = Seen { sequence: u64::MAX, usage: BTreeMap::new() };
         for (id, it) in self.entries.iter_mut().filter(|(_, it)| 0 < it.served) {
             let served = std::mem::take(&mut it.served);
@@ -312,12 +312,12 @@
         }
     }
 
-    fn lift_to(&mut self, id: WorkspaceId, floor: Virtual) {
+    fn lift_to(&mut self, id: WorkspaceId, floor: VirtualCost) {
         let entry = self.entries[&id];
         self.raise_lift(id, entry.lift + (floor - entry.total));
     }
 
-    fn raise_lift(&mut self, id: WorkspaceId, value: Virtual) {
+    fn raise_lift(&mut self, id: WorkspaceId, value: VirtualCost) {
         let old = self.entries.get(&id).map_or(0, |it| it.lift);
         if value <= old {
             return;
@@ -359,10 +359,10 @@
 }
 
 fn move_key(
-    set: &mut BTreeSet<(Virtual, WorkspaceId)>,
+    set: &mut BTreeSet<(VirtualCost, WorkspaceId)>,
     id: WorkspaceId,
-    (old, was_in): (Virtual, bool),
-    (new, is_in): (Virtual, bool),
+    (old, was_in): (VirtualCost, bool),
+    (new, is_in): (VirtualCost, bool),
 ) {
     if was_in {
         set.remove(&(old, id));
--- a/crates/portfield/src/schedule/decision.rs
+++ b/crates/portfield/src/schedule/decision.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{HostId, LoanId, TicketId, UpstreamId},
     wire,
@@ -88,11 +88,11 @@
 
 /// The last decisions, the oldest first.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Decisions {
+pub(super) struct DecisionLog {
     all: VecDeque<Decision>,
 }
 
-impl Decisions {
+impl DecisionLog {
     /// Remembers a decision.
     pub(super) fn push(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
         self.all.push_back(Decision { at, host, ticket, step });
--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -3,9 +3,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    key::ShardKey,
-    peer::Arrival,
+    peer::DeliveryStatus,
     scheduler::{Action, Scheduler},
+    shard_key::ShardKey,
 };
 use crate::{fleet::Fleet, ids::HostId, member::rank, wire};
 
@@ -36,7 +36,7 @@
         for it in &frame.shards {
             let Some(to) = it.to.as_ref().map(ShardKey::from) else { continue };
             match self.owners.get_mut(&to) {
-                Some(owner) => owner.hear(now, it),
+                Some(owner) => owner.handle_frame(now, it),
                 None if it.from == it.to => self.standby.entry(to).or_default().keep(it),
                 None => (),
             }
@@ -58,10 +58,10 @@
             let taken =
                 |reply: &wire::PeerReply| it.to.is_some_and(|to| !reply.not_owned.contains(&to));
             let arrival = match reply.is_some_and(taken) {
-                true => Arrival::Confirmed,
-                false => Arrival::Unknown,
+                true => DeliveryStatus::Confirmed,
+                false => DeliveryStatus::Unknown,
             };
-            owner.frame_sent(now, it, arrival);
+            owner.record_delivery(now, it, arrival);
         }
     }
 
@@ -97,7 +97,7 @@
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
         let mut batches: BTreeMap<HostId, Vec<wire::PeerShard>> = BTreeMap::new();
-        let frames: Vec<_> = self.owners.values_mut().flat_map(|it| it.frames(now)).collect();
+        let frames: Vec<_> = self.owners.values_mut().flat_map(|it| it.due_frames(now)).collect();
         for frame in frames {
             let keys = (frame.from.as_ref(), frame.to.as_ref());
             let (Some(from), Some(to)) = keys else { continue };
@@ -111,7 +111,7 @@
         for (host, shards) in batches {
             let Some(it) = self.view.get(host) else { continue };
             let frame = wire::PeerFrame { from: me.to_string(), shards };
-            self.actions.push(Action::Peer(it.address, frame));
+            self.actions.push(Action::SendToPeer(it.address, frame));
         }
     }
 
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -6,12 +6,12 @@
 };
 
 use super::{
-    counters::{Counters, SCALE, Virtual, to_virtual},
-    estimate::Estimates,
-    key::ShardKey,
+    cost_estimator::CostEstimator,
+    counters::{Counters, UNITS_PER_TOKEN, VirtualCost, virtual_cost},
     peer::Peers,
-    queue::{Queues, Waiting},
-    slots::{Health, Pace, Slots},
+    queue::{QueuedTicket, TicketQueues},
+    shard_key::ShardKey,
+    slots::{Health, InterTokenLatency, Slots},
 };
 use crate::{
     fleet::Fleet,
@@ -28,31 +28,31 @@
 
 /// What an owner keeps to, in tokens and times.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct OwnerConfig {
     /// Time in which a new owner only collects registrations.
-    pub recovery: Duration,
+    pub recovery_time: Duration,
     /// Lead of a local workspace, in tokens at the mean share, that a peer's must be
     /// behind before a slot is lent to it.
-    pub lend_lead: u32,
+    pub lend_threshold: u32,
     /// Largest debt, in tokens at the mean share, that is made up for after a cut.
-    pub catch_up: u32,
+    pub max_lag: u32,
     /// Tickets of one workspace that wait at one owner.
-    pub queue: u32,
+    pub max_queued: u32,
     /// Time between two regular frames to a peer.
-    pub exchange: Duration,
+    pub exchange_period: Duration,
     /// Bytes a second for regular frames to all peers.
-    pub exchange_rate: u32,
+    pub exchange_bandwidth: u32,
 }
 
-impl Default for Limits {
+impl Default for OwnerConfig {
     fn default() -> Self {
         Self {
-            recovery: Duration::from_millis(300),
-            lend_lead: 250,
-            catch_up: 50_000,
-            queue: 4096,
-            exchange: Duration::from_millis(250),
-            exchange_rate: 4000,
+            recovery_time: Duration::from_millis(300),
+            lend_threshold: 250,
+            max_lag: 50_000,
+            max_queued: 4096,
+            exchange_period: Duration::from_millis(250),
+            exchange_bandwidth: 4000,
         }
     }
 }
@@ -70,7 +70,7 @@
     place: Place,
     hint: u32,
     cost: u32,
-    reserved: Virtual,
+    reserved: VirtualCost,
 }
 
 /// What an owner shows of one workspace.
@@ -81,12 +81,12 @@
     /// Tickets that wait here.
     pub waiting: u32,
     /// Its counter.
-    pub counter: Virtual,
+    pub counter: VirtualCost,
 }
 
 /// What an owner shows of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Status {
+pub struct ShardStatus {
     /// The shard.
     pub shard: ShardKey,
     /// Slots configured.
@@ -99,15 +99,15 @@
 
 /// The owner of one shard.
 #[derive(Debug, Clone)]
-pub struct Owner {
+pub struct ShardOwner {
     pub(super) shard: ShardKey,
     pub(super) incarnation: Incarnation,
-    pub(super) limits: Limits,
+    pub(super) limits: OwnerConfig,
     pub(super) counters: Counters,
     pub(super) slots: Slots,
     pub(super) peers: Peers,
-    queues: Queues,
-    estimates: Estimates,
+    queues: TicketQueues,
+    estimates: CostEstimator,
     shares: HashMap<WorkspaceId, u32>,
     mean_share: u32,
     objective: Duration,
@@ -118,19 +118,24 @@
     steps: u64,
 }
 
-impl Owner {
+impl ShardOwner {
     /// Builds an owner that collects registrations before its first grant.
-    pub fn new(now: Duration, shard: ShardKey, incarnation: Incarnation, limits: Limits) -> Self {
+    pub fn new(
+        now: Duration,
+        shard: ShardKey,
+        incarnation: Incarnation,
+        limits: OwnerConfig,
+    ) -> Self {
         Self {
             shard,
             incarnation,
-            granting: now + limits.recovery,
+            granting: now + limits.recovery_time,
             limits,
             counters: Counters::default(),
             slots: Slots::default(),
             peers: Peers::default(),
-            queues: Queues::default(),
-            estimates: Estimates::default(),
+            queues: TicketQueues::default(),
+            estimates: CostEstimator::default(),
             shares: HashMap::new(),
             mean_share: 1,
             objective: Duration::ZERO,
@@ -152,12 +157,12 @@
     }
 
     /// Returns when it grants its first slot.
-    pub fn granting(&self) -> Duration {
+    pub fn recovery_end(&self) -> Duration {
         self.granting
     }
 
     /// Returns how many workspaces its decisions looked at so far, for benches.
-    pub fn steps(&self) -> u64 {
+    pub fn n_examined(&self) -> u64 {
         self.steps
     }
 
@@ -172,13 +177,13 @@
             );
         }
         let id = ticket.workspace;
-        if !self.shares.contains_key(&id) || self.limits.queue <= self.queues.n_waiting(id) {
+        if !self.shares.contains_key(&id) || self.limits.max_queued <= self.queues.n_waiting(id) {
             let retry = self.retry_after(now, id).as_millis() as u32;
             let refusal = wire::Refusal { ticket: ticket.id, retry };
             self.answer(host).refusals.push(refusal);
             return;
         }
-        self.queues.push(Waiting {
+        self.queues.push(QueuedTicket {
             host,
             id: ticket.id,
             workspace: id,
@@ -210,14 +215,14 @@
             self.slots.confirm(id);
         }
         let rest = run.estimate.saturating_sub(run.cost);
-        let reserved = to_virtual(rest, self.share(run.workspace));
+        let reserved = virtual_cost(rest, self.share(run.workspace));
         self.counters.reserve(run.workspace, reserved);
         let res = Run { workspace: run.workspace, place, hint: 0, cost: run.cost, reserved };
         self.runs.insert((host, run.id), res);
     }
 
     /// Counts what a running request has cost so far.
-    pub fn progress(&mut self, host: HostId, progress: &wire::Progress) {
+    pub fn record_progress(&mut self, host: HostId, progress: &wire::Progress) {
         let Some(mut run) = self.runs.get(&(host, progress.id)).copied() else { return };
         self.charge(&mut run, progress.cost);
         self.runs.insert((host, progress.id), run);
@@ -229,13 +234,13 @@
         self.charge(&mut run, done.cost);
         self.counters.release(run.workspace, run.reserved);
         if !done.declined && !done.failed {
-            self.estimates.learn(run.workspace, run.hint, done.cost);
+            self.estimates.observe(run.workspace, run.hint, done.cost);
         }
         match run.place {
             Place::Own(id) => {
                 self.slots.free(now, id);
                 let measured = Duration::from_micros(u64::from(done.pace) * 100);
-                let pace = Pace { measured, objective: self.objective };
+                let pace = InterTokenLatency { measured, objective: self.objective };
                 if !done.declined {
                     self.slots.learn(now, id, (!done.failed).then_some(pace));
                 }
@@ -245,7 +250,7 @@
     }
 
     /// Forgets a router that is gone: its tickets end, its slots are in doubt.
-    pub fn router_gone(&mut self, now: Duration, host: HostId) {
+    pub fn remove_router(&mut self, now: Duration, host: HostId) {
         for id in self.queues.cancel_host(host) {
             self.count_waiting(id);
         }
@@ -262,7 +267,7 @@
     }
 
     /// Takes in an upstream's load report.
-    pub fn report(&mut self, now: Duration, id: UpstreamId, health: Health) {
+    pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
         self.slots.report(now, id, health);
     }
 
@@ -272,7 +277,7 @@
             return;
         }
         if self.knows_peers(now) {
-            self.counters.set_complete();
+            self.counters.enable_lifts();
         }
         self.use_borrowed(now);
         while self.slots.any_free(now) {
@@ -298,7 +303,7 @@
     }
 
     /// Returns what the owner shows of itself.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ShardStatus {
         let (slots, used) = self.slots.usage();
         let mut backlog: Vec<_> = self
             .queues
@@ -306,11 +311,11 @@
             .map(|(id, waiting)| WorkspaceStatus { id, waiting, counter: self.counters.total(id) })
             .collect();
         backlog.sort_unstable_by_key(|it| it.counter);
-        Status { shard: self.shard, slots, used, backlog }
+        ShardStatus { shard: self.shard, slots, used, backlog }
     }
 
     /// Returns a workspace's counter.
-    pub fn counter(&self, id: WorkspaceId) -> Virtual {
+    pub fn counter(&self, id: WorkspaceId) -> VirtualCost {
         self.counters.total(id)
     }
 
@@ -329,8 +334,8 @@
     }
 
     /// Returns a cost in tokens at the mean share in virtual units.
-    pub(super) fn at_mean(&self, cost: u32) -> Virtual {
-        u64::from(cost) * SCALE / u64::from(self.mean_share)
+    pub(super) fn at_mean(&self, cost: u32) -> VirtualCost {
+        u64::from(cost) * UNITS_PER_TOKEN / u64::from(self.mean_share)
     }
 
     fn share(&self, id: WorkspaceId) -> u32 {
@@ -346,20 +351,20 @@
         if delta == 0 {
             return;
         }
-        let amount = to_virtual(delta, self.share(run.workspace));
-        self.counters.serve(run.workspace, amount, run.reserved);
+        let amount = virtual_cost(delta, self.share(run.workspace));
+        self.counters.record_served(run.workspace, amount, run.reserved);
         run.reserved = run.reserved.saturating_sub(amount);
         run.cost = cost;
     }
 
     fn choose(&mut self) -> Option<Choice> {
-        let local = self.counters.least_local();
-        let lead = self.at_mean(self.limits.lend_lead);
+        let local = self.counters.least_served_local();
+        let lead = self.at_mean(self.limits.lend_threshold);
         // Where something waits here, a few looks at workspaces elsewhere must do.
         let n_looks = if local.is_some() { MAX_LOOKS } else { usize::MAX };
         for (total, id) in self.counters.active().take(n_looks) {
             self.steps += 1;
-            if self.counters.is_local(id) {
+            if self.counters.has_local_tickets(id) {
                 return Some(Choice::Local(id));
             }
             if local.is_some_and(|(least, _)| least < total + lead) {
@@ -390,7 +395,7 @@
 
     fn use_borrowed(&mut self, now: Duration) {
         while let Some((lender, loan)) = self.peers.take_borrowed() {
-            let least = self.counters.least_local();
+            let least = self.counters.least_served_local();
             let ticket = least.and_then(|(_, id)| self.queues.pop(now, id));
             match ticket {
                 Some(ticket) => self.grant(now, ticket, Place::Borrowed(lender, loan)),
@@ -399,10 +404,10 @@
         }
     }
 
-    fn grant(&mut self, now: Duration, ticket: Waiting, place: Place) {
-        let Waiting { host, id, workspace, hint, .. } = ticket;
+    fn grant(&mut self, now: Duration, ticket: QueuedTicket, place: Place) {
+        let QueuedTicket { host, id, workspace, hint, .. } = ticket;
         let estimate = self.estimates.estimate(workspace, hint);
-        let reserved = to_virtual(estimate, self.share(workspace));
+        let reserved = virtual_cost(estimate, self.share(workspace));
         self.counters.reserve(workspace, reserved);
         self.count_waiting(workspace);
         self.runs.insert((host, id), Run { workspace, place, hint, cost: 0, reserved });
--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -8,7 +8,7 @@
 
 use prost::Message;
 
-use super::{key::ShardKey, owner::Owner};
+use super::{owner::ShardOwner, shard_key::ShardKey};
 use crate::{
     ids::{Incarnation, LoanId, UpstreamId, WorkspaceId},
     wire,
@@ -58,7 +58,7 @@
 
 /// What is known of a frame that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
+pub enum DeliveryStatus {
     /// The receiver took it in.
     Confirmed,
     /// It may or may not have arrived.
@@ -134,7 +134,7 @@
     }
 }
 
-impl Owner {
+impl ShardOwner {
     /// Sets the other shards of the service, this one's successor among them as itself.
     pub fn set_peers(&mut self, list: impl Iterator<Item = ShardKey>) {
         self.peers.configure(list);
@@ -143,7 +143,7 @@
     }
 
     /// Takes in what a peer says.
-    pub fn hear(&mut self, now: Duration, frame: &wire::PeerShard) {
+    pub fn handle_frame(&mut self, now: Duration, frame: &wire::PeerShard) {
         let Some(from) = frame.from.as_ref().map(ShardKey::from) else { return };
         if from == self.shard {
             // Another host takes itself for the owner: its counts are true all the same.
@@ -171,11 +171,11 @@
         peer.told_all |= frame.complete;
         self.hear_usage(from, frame);
         self.hear_loans(now, from, frame);
-        self.counters.clamp(self.at_mean(self.limits.catch_up));
+        self.counters.clamp_lag(self.at_mean(self.limits.max_lag));
     }
 
     /// Returns the frames that are due, and puts off the next by what these cost.
-    pub fn frames(&mut self, now: Duration) -> Vec<wire::PeerShard> {
+    pub fn due_frames(&mut self, now: Duration) -> Vec<wire::PeerShard> {
         self.silence_lost(now);
         let want = self.want(now);
         let keys: Vec<_> = self.peers.peers.keys().copied().collect();
@@ -189,15 +189,15 @@
             res.push(frame);
         }
         if 0 < bytes {
-            let rate = u64::from(self.limits.exchange_rate);
+            let rate = u64::from(self.limits.exchange_bandwidth);
             let pause = Duration::from_millis(bytes as u64 * 1000 / rate);
-            self.postpone(now + pause.max(self.limits.exchange));
+            self.postpone(now + pause.max(self.limits.exchange_period));
         }
         res
     }
 
     /// Returns when a frame is due next.
-    pub fn next_frame(&self) -> Duration {
+    pub fn next_frame_at(&self) -> Duration {
         let version = self.counters.version();
         let due = |it: &Peer| {
             let urgent = it.has_loans();
@@ -218,12 +218,17 @@
     ///
     /// Returned slots are named again, as that is idempotent; a lent slot is not lent
     /// again but stays in doubt until the upstream's load reports clear it.
-    pub fn frame_sent(&mut self, now: Duration, frame: &wire::PeerShard, arrived: Arrival) {
+    pub fn record_delivery(
+        &mut self,
+        now: Duration,
+        frame: &wire::PeerShard,
+        arrived: DeliveryStatus,
+    ) {
         let Some(to) = frame.to.as_ref().map(ShardKey::from) else { return };
         let Some(peer) = self.peers.peers.get_mut(&to) else { return };
         let sending = peer.sending.take();
-        peer.unsure = arrived == Arrival::Unknown;
-        if arrived == Arrival::Confirmed {
+        peer.unsure = arrived == DeliveryStatus::Unknown;
+        if arrived == DeliveryStatus::Confirmed {
             peer.acked = peer.acked.max(sending.unwrap_or(0));
             return;
         }
@@ -246,7 +251,7 @@
     /// Goes on under a later number: another host took itself for the owner meanwhile, and
     /// the peers no longer listen to this one's.
     pub(super) fn renumber(&mut self, incarnation: Incarnation) {
-        self.counters.seal(self.shard, self.incarnation);
+        self.counters.close_incarnation(self.shard, self.incarnation);
         self.incarnation = incarnation;
         for it in self.peers.peers.values_mut() {
             it.pulls = true;
@@ -257,7 +262,7 @@
     pub(super) fn knows_peers(&self, now: Duration) -> bool {
         let own = self.shard;
         let mut others = self.peers.peers.iter().filter(|(key, _)| **key != own);
-        self.granting() + PEER_LIMIT <= now || others.all(|(_, it)| it.told_all)
+        self.recovery_end() + PEER_LIMIT <= now || others.all(|(_, it)| it.told_all)
     }
 
     /// Returns whether no peer was heard yet.
@@ -360,7 +365,7 @@
         peer.sending = Some(peer.acked);
         if regular || new_want {
             peer.sending = Some(version);
-            peer.next = now + self.limits.exchange;
+            peer.next = now + self.limits.exchange_period;
             let (since, full) = (peer.acked, std::mem::take(&mut peer.pulls));
             let tells_held = full || peer.next_held <= now;
             if tells_held {
@@ -389,7 +394,7 @@
         });
         res.lifts = self.counters.lifts_since(since);
         if full {
-            res.sets.extend(self.counters.seen_sets());
+            res.sets.extend(self.counters.remote_usage_sets());
         }
     }
 
@@ -416,7 +421,7 @@
             peer.acked = 0;
             peer.pulls = true;
             let lent = std::mem::take(&mut peer.lent);
-            self.counters.silence(key);
+            self.counters.expire_owner(key);
             for loan in lent.into_keys() {
                 self.slots.doubt_loan(now, loan);
             }
@@ -424,7 +429,7 @@
     }
 }
 
-impl Owner {
+impl ShardOwner {
     /// Takes over the counters that an earlier owner sent ahead.
     pub(super) fn restore(
         &mut self,
@@ -439,7 +444,7 @@
         let lifts = lifts.iter().map(|(id, value)| wire::Lift { workspace: *id, value: *value });
         self.counters.merge_lifts(&lifts.collect::<Vec<_>>());
         // The life before has ended: what it had reserved is registered anew.
-        self.counters.silence(self.shard);
+        self.counters.expire_owner(self.shard);
     }
 
     /// Returns the frame that hands everything known to the next owner.
--- a/crates/portfield/src/schedule/queue.rs
+++ b/crates/portfield/src/schedule/queue.rs
@@ -12,7 +12,7 @@
 
 /// A ticket that waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedTicket {
     /// The router that holds the request.
     pub host: HostId,
     /// The router's number for it.
@@ -31,20 +31,20 @@
 
 #[derive(Debug, Clone, Default)]
 struct Queue {
-    interactive: VecDeque<Waiting>,
-    batch: VecDeque<Waiting>,
+    interactive: VecDeque<QueuedTicket>,
+    batch: VecDeque<QueuedTicket>,
     len: u32,
 }
 
 /// The queues of one shard.
 #[derive(Debug, Clone, Default)]
-pub struct Queues {
+pub struct TicketQueues {
     queues: HashMap<WorkspaceId, Queue>,
     /// Tickets that still wait; a queue may hold cancelled ones until they come up.
     live: HashMap<(HostId, TicketId), WorkspaceId>,
 }
 
-impl Queues {
+impl TicketQueues {
     /// Returns how many tickets wait.
     pub fn len(&self) -> usize {
         self.live.len()
@@ -61,7 +61,7 @@
     }
 
     /// Adds a ticket; one that waits already stays where it is.
-    pub fn push(&mut self, ticket: Waiting) {
+    pub fn push(&mut self, ticket: QueuedTicket) {
         let key = (ticket.host, ticket.id);
         if self.live.insert(key, ticket.workspace).is_some() {
             return;
@@ -75,7 +75,7 @@
     }
 
     /// Takes the workspace's next ticket.
-    pub fn pop(&mut self, now: Duration, id: WorkspaceId) -> Option<Waiting> {
+    pub fn pop(&mut self, now: Duration, id: WorkspaceId) -> Option<QueuedTicket> {
         loop {
             let ticket = self.queues.get_mut(&id)?.pop_any(now)?;
             if self.live.remove(&(ticket.host, ticket.id)).is_some() {
@@ -125,7 +125,7 @@
 }
 
 impl Queue {
-    fn pop_any(&mut self, now: Duration) -> Option<Waiting> {
+    fn pop_any(&mut self, now: Duration) -> Option<QueuedTicket> {
         let aged = self.batch.front().is_some_and(|it| it.since + AGEING <= now);
         if aged {
             return self.batch.pop_front();
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -8,9 +8,9 @@
 };
 
 use super::{
-    decision::{Decision, Decisions, Step},
-    key::ShardKey,
-    owner::{Limits, Owner, Status},
+    decision::{Decision, DecisionLog, Step},
+    owner::{OwnerConfig, ShardOwner, ShardStatus},
+    shard_key::ShardKey,
     slots::Health,
     standby::Standby,
 };
@@ -25,40 +25,40 @@
 const JOIN_LIMIT: Duration = Duration::from_secs(3);
 /// What a scheduler is told at its start.
 #[derive(Debug, Clone)]
-pub struct Settings {
+pub struct SchedulerConfig {
     /// This host.
-    pub me: ListEntry,
+    pub entry: ListEntry,
     /// Larger than that of any earlier life.
     pub incarnation: Incarnation,
     /// What its owners keep to.
-    pub limits: Limits,
+    pub owner: OwnerConfig,
 }
 
 /// What happens to a scheduler.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The platform's host list was read.
-    Listed(Vec<ListEntry>),
+    HostList(Vec<ListEntry>),
     /// A configuration was read, from the platform or a peer.
-    Offered(Fleet),
+    Config(Fleet),
     /// A router's frame arrived.
-    Router(HostId, wire::RouterFrame),
+    RouterFrame(HostId, wire::RouterFrame),
     /// A router opened its session.
-    RouterUp(HostId),
+    RouterConnected(HostId),
     /// A router's session ended.
-    RouterDown(HostId),
+    RouterDisconnected(HostId),
     /// A peer's frame arrived.
-    Peer(wire::PeerFrame),
+    PeerFrame(wire::PeerFrame),
     /// A frame to a peer was answered, or its answer is lost.
-    PeerSent(wire::PeerFrame, Option<wire::PeerReply>),
+    PeerReply(wire::PeerFrame, Option<wire::PeerReply>),
     /// A probe of a host was answered, with the membership that came along.
-    Answered(HostId, wire::ProbeReply),
+    ProbeReply(HostId, wire::ProbeReply),
     /// A probe was refused: nothing listens at the host's address.
-    Refused(HostId),
+    ProbeRefused(HostId),
     /// A probe arrived.
-    Probed(wire::ProbeRequest),
+    ProbeRequest(wire::ProbeRequest),
     /// An upstream's load report was read, or could not be.
-    Report(UpstreamId, Health),
+    UpstreamHealth(UpstreamId, Health),
     /// This host is to hand over what it owns.
     Leave,
     /// Time passed.
@@ -69,30 +69,30 @@
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a frame to a router.
-    Router(HostId, wire::OwnerFrame),
+    SendToRouter(HostId, wire::OwnerFrame),
     /// Send a frame to a peer.
-    Peer(SocketAddr, wire::PeerFrame),
+    SendToPeer(SocketAddr, wire::PeerFrame),
     /// Probe a host: the address to send to, the host in question, the message.
-    Probe(SocketAddr, HostId, wire::ProbeRequest),
+    SendProbe(SocketAddr, HostId, wire::ProbeRequest),
     /// Fetch the configuration from a peer that has a higher revision.
-    Fetch(SocketAddr),
+    FetchConfig(SocketAddr),
 }
 
 /// One scheduler process.
 #[derive(Debug)]
 pub struct Scheduler {
-    settings: Settings,
+    settings: SchedulerConfig,
     pub(super) view: View,
     probes: Probes,
     pub(super) adopted: Adopted,
-    pub(super) owners: BTreeMap<ShardKey, Owner>,
+    pub(super) owners: BTreeMap<ShardKey, ShardOwner>,
     pub(super) standby: BTreeMap<ShardKey, Standby>,
     routers: HashSet<HostId>,
     told: BTreeMap<HostId, (State, Incarnation)>,
     told_revision: Revision,
     seen_version: (u64, Revision),
     next_incarnation: Incarnation,
-    decisions: Decisions,
+    decisions: DecisionLog,
     /// Until then a host that has heard of no other owns nothing.
     joins_by: Option<Duration>,
     pub(super) actions: Vec<Action>,
@@ -100,10 +100,10 @@
 
 impl Scheduler {
     /// Builds a scheduler that knows nothing but itself.
-    pub fn new(settings: Settings) -> Self {
-        let seed = settings.incarnation ^ u64::from(settings.me.address.port());
+    pub fn new(settings: SchedulerConfig) -> Self {
+        let seed = settings.incarnation ^ u64::from(settings.entry.address.port());
         Self {
-            view: View::new(settings.me.clone(), settings.incarnation),
+            view: View::new(settings.entry.clone(), settings.incarnation),
             probes: Probes::new(seed),
             adopted: Adopted::default(),
             owners: BTreeMap::new(),
@@ -113,7 +113,7 @@
             told_revision: 0,
             seen_version: (0, 0),
             next_incarnation: settings.incarnation,
-            decisions: Decisions::default(),
+            decisions: DecisionLog::default(),
             joins_by: Some(JOIN_LIMIT),
             actions: Vec::new(),
             settings,
@@ -135,7 +135,7 @@
 
     /// Returns when it wants the next [`Event::Tick`] at the latest.
     pub fn next_tick(&self) -> Duration {
-        let frames = self.owners.values().map(|it| it.next_frame().max(it.granting()));
+        let frames = self.owners.values().map(|it| it.next_frame_at().max(it.recovery_end()));
         frames.chain([self.probes.next()]).min().unwrap_or(Duration::MAX)
     }
 
@@ -150,19 +150,19 @@
     }
 
     /// Returns the upstreams whose load reports are wanted.
-    pub fn watched(&self) -> Vec<(UpstreamId, SocketAddr)> {
+    pub fn watched_upstreams(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let fleet = self.adopted.fleet();
         let all = self.owners.keys().flat_map(|it| fleet.upstreams_of(*it));
         all.map(|it| (it.id, it.address)).collect()
     }
 
     /// Returns what the owned shards show.
-    pub fn status(&self) -> Vec<Status> {
-        self.owners.values().map(Owner::status).collect()
+    pub fn status(&self) -> Vec<ShardStatus> {
+        self.owners.values().map(ShardOwner::status).collect()
     }
 
     /// Returns an owned shard.
-    pub fn owner(&self, shard: ShardKey) -> Option<&Owner> {
+    pub fn owner(&self, shard: ShardKey) -> Option<&ShardOwner> {
         self.owners.get(&shard)
     }
 
@@ -173,31 +173,31 @@
 
     fn apply(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Listed(entries) => self.view.list(now, &entries),
-            Event::Offered(fleet) => self.adopt(now, fleet),
-            Event::Router(host, frame) => self.hear_router(now, host, &frame),
-            Event::RouterUp(host) => self.router_up(now, host),
-            Event::RouterDown(host) => self.router_down(now, host),
-            Event::Peer(frame) => self.hear_peer(now, &frame),
-            Event::PeerSent(frame, reply) => self.peer_sent(now, &frame, reply.as_ref()),
-            Event::Answered(host, reply) => {
+            Event::HostList(entries) => self.view.list(now, &entries),
+            Event::Config(fleet) => self.adopt(now, fleet),
+            Event::RouterFrame(host, frame) => self.hear_router(now, host, &frame),
+            Event::RouterConnected(host) => self.router_up(now, host),
+            Event::RouterDisconnected(host) => self.router_down(now, host),
+            Event::PeerFrame(frame) => self.hear_peer(now, &frame),
+            Event::PeerReply(frame, reply) => self.peer_sent(now, &frame, reply.as_ref()),
+            Event::ProbeReply(host, reply) => {
                 self.view.merge(now, Some(host), &reply.gossip);
                 if reply.alive {
                     self.probes.answered(now, &mut self.view, host);
                 }
                 self.learn_revision(host, reply.revision);
             }
-            Event::Refused(host) => self.probes.refused(now, &mut self.view, host),
-            Event::Probed(request) => {
+            Event::ProbeRefused(host) => self.probes.refused(now, &mut self.view, host),
+            Event::ProbeRequest(request) => {
                 let from = request.from.parse().ok();
                 self.view.merge(now, from, &request.gossip);
                 if let Some(host) = from {
                     self.learn_revision(host, request.revision);
                 }
             }
-            Event::Report(id, health) => {
+            Event::UpstreamHealth(id, health) => {
                 for it in self.owners.values_mut() {
-                    it.report(now, id, health);
+                    it.record_health(now, id, health);
                 }
             }
             Event::Leave => self.view.leave(now),
@@ -231,25 +231,25 @@
             return;
         }
         if let Some(it) = self.view.get(host) {
-            self.actions.push(Action::Fetch(it.address));
+            self.actions.push(Action::FetchConfig(it.address));
         }
     }
 
     fn router_up(&mut self, now: Duration, host: HostId) {
         if !self.routers.insert(host) {
-            self.owners.values_mut().for_each(|it| it.router_gone(now, host));
+            self.owners.values_mut().for_each(|it| it.remove_router(now, host));
         }
         let frame = wire::OwnerFrame {
             answers: Vec::new(),
             members: self.home_members(),
             revision: self.adopted.revision(),
         };
-        self.actions.push(Action::Router(host, frame));
+        self.actions.push(Action::SendToRouter(host, frame));
     }
 
     fn router_down(&mut self, now: Duration, host: HostId) {
         self.routers.remove(&host);
-        self.owners.values_mut().for_each(|it| it.router_gone(now, host));
+        self.owners.values_mut().for_each(|it| it.remove_router(now, host));
     }
 
     fn hear_router(&mut self, now: Duration, host: HostId, frame: &wire::RouterFrame) {
@@ -277,7 +277,7 @@
             owner.resume(host, it, home.filter(|it| *it != shard));
         }
         for it in &report.progress {
-            owner.progress(host, it);
+            owner.record_progress(host, it);
         }
         for it in &report.done {
             owner.finish(now, host, it);
@@ -306,7 +306,7 @@
             members: self.home_members(),
             revision: self.adopted.revision(),
         };
-        self.actions.push(Action::Router(host, frame));
+        self.actions.push(Action::SendToRouter(host, frame));
     }
 
     fn probe(&mut self, now: Duration) {
@@ -323,7 +323,7 @@
                 revision: self.adopted.revision(),
             };
             if let Some(it) = self.view.get(to) {
-                self.actions.push(Action::Probe(it.address, host, request));
+                self.actions.push(Action::SendProbe(it.address, host, request));
             }
         }
     }
@@ -349,7 +349,7 @@
         self.seen_version = version;
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
-        let home = fleet.data_centre(&self.settings.me.data_centre);
+        let home = fleet.data_centre(&self.settings.entry.data_centre);
         let mut mine = Vec::new();
         for service in &fleet.services {
             let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == home);
@@ -370,8 +370,8 @@
             let standby = self.standby.remove(&shard);
             let earlier = standby.as_ref().and_then(|it| it.newest(shard));
             let incarnation = self.new_incarnation(now, earlier);
-            let limits = self.settings.limits.clone();
-            let mut owner = Owner::new(now, shard, incarnation, limits);
+            let limits = self.settings.owner.clone();
+            let mut owner = ShardOwner::new(now, shard, incarnation, limits);
             owner.configure(now, fleet);
             if let Some(it) = standby {
                 owner.restore(it.sets.into_values(), &it.lifts);
@@ -405,7 +405,7 @@
         let next = self.owner_host(&fleet, shard);
         if let Some(it) = next.and_then(|it| self.view.get(it)) {
             let frame = wire::PeerFrame { from: self.view.me().to_string(), shards: vec![frame] };
-            self.actions.push(Action::Peer(it.address, frame));
+            self.actions.push(Action::SendToPeer(it.address, frame));
         }
         for host in owner.routers() {
             self.disown(host, shard);
@@ -424,18 +424,18 @@
         for (host, mut frame) in frames {
             frame.answers.iter().for_each(|it| self.decisions.note_answer(now, host, it));
             frame.revision = self.adopted.revision();
-            self.actions.push(Action::Router(host, frame));
+            self.actions.push(Action::SendToRouter(host, frame));
         }
     }
 
     pub(super) fn home_members(&self) -> Vec<wire::Member> {
-        let home = &self.settings.me.data_centre;
+        let home = &self.settings.entry.data_centre;
         self.view.to_wire(|(_, it)| it.data_centre == *home)
     }
 
     /// Tells the routers which members of this data centre changed.
     fn tell_members(&mut self) {
-        let home = &self.settings.me.data_centre;
+        let home = &self.settings.entry.data_centre;
         let told = &mut self.told;
         let fresh = self.view.to_wire(|(host, it)| {
             let now = (it.state, it.incarnation);
@@ -451,7 +451,7 @@
         for host in routers {
             let members = fresh.clone();
             let frame = wire::OwnerFrame { answers: Vec::new(), members, revision };
-            self.actions.push(Action::Router(host, frame));
+            self.actions.push(Action::SendToRouter(host, frame));
         }
     }
 }
--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -239,7 +239,7 @@
 
     /// Learns from the end of a request: a failure (no pace) pauses the upstream, slow tokens lower
     /// its limit (additive increase, multiplicative decrease; Chiu and Jain, 1989).
-    pub fn learn(&mut self, now: Duration, id: UpstreamId, pace: Option<Pace>) {
+    pub fn learn(&mut self, now: Duration, id: UpstreamId, pace: Option<InterTokenLatency>) {
         self.with(id, |it| match pace {
             None => {
                 let pause = FIRST_PAUSE * 2u32.pow(it.failures.min(4));
@@ -289,7 +289,7 @@
 
 /// Time between tokens as measured and as the objective has it; zero is unknown.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pace {
+pub struct InterTokenLatency {
     /// Mean of one request.
     pub measured: Duration,
     /// Largest acceptable mean.
@@ -315,7 +315,7 @@
         recent.map(|it| it.1).fold(present, u32::min)
     }
 
-    fn adapt(&mut self, now: Duration, pace: Pace) {
+    fn adapt(&mut self, now: Duration, pace: InterTokenLatency) {
         if pace.measured.is_zero() || pace.objective.is_zero() {
             return;
         }
--- a/crates/portfield/src/schedule/standby.rs
+++ b/crates/portfield/src/schedule/standby.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{Incarnation, WorkspaceId},
     wire,
--- a/crates/portfield/tests/estimates.rs
+++ b/crates/portfield/tests/cost_estimator.rs
@@ -1,17 +1,17 @@
 //! Learned costs.
 
-use portfield::schedule::Estimates;
+use portfield::schedule::CostEstimator;
 
 /// Found by the replays of `rough` and `lies`: the mean of ratios let single small hints
 /// for large requests raise every later estimate twentyfold.
 #[test]
 fn bad_hints_lose_to_the_mean() {
-    let mut it = Estimates::default();
+    let mut it = CostEstimator::default();
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..400 {
         let cost = rng.u32(50..=60);
         let hint = (f64::from(cost) * 10f64.powf(rng.f64() * 2.0 - 1.0)) as u32 + 1;
-        it.learn(1, hint, cost);
+        it.observe(1, hint, cost);
     }
     for hint in [5, 50, 500] {
         assert!((45..=65).contains(&it.estimate(1, hint)), "{}", it.estimate(1, hint));
@@ -20,9 +20,9 @@
 
 #[test]
 fn good_hints_beat_the_mean() {
-    let mut it = Estimates::default();
+    let mut it = CostEstimator::default();
     for cost in [10, 1000, 20, 900, 15, 1100, 10, 950, 12, 1000] {
-        it.learn(1, cost * 2, cost);
+        it.observe(1, cost * 2, cost);
     }
     assert!(it.estimate(1, 20) < 30);
     assert!(900 < it.estimate(1, 2000));
--- a/crates/portfield/tests/counters.rs
+++ b/crates/portfield/tests/counters.rs
@@ -1,7 +1,7 @@
 //! Weighted virtual counters: lifts, merges, clamps.
 
 use portfield::{
-    schedule::{Counters, SCALE, ShardKey},
+    schedule::{Counters, ShardKey, UNITS_PER_TOKEN},
     wire::{Lift, Usage, UsageSet},
 };
 
@@ -10,8 +10,8 @@
 fn set(incarnation: u64, sequence: u64, usage: &[(u32, u64, u64, u32)]) -> UsageSet {
     let usage = usage.iter().map(|&(workspace, served, reserved, waiting)| Usage {
         workspace,
-        served: served * SCALE,
-        reserved: reserved * SCALE,
+        served: served * UNITS_PER_TOKEN,
+        reserved: reserved * UNITS_PER_TOKEN,
         waiting,
     });
     UsageSet { shard: Some(NORTH.into()), incarnation, sequence, usage: usage.collect() }
@@ -19,7 +19,7 @@
 
 fn complete() -> Counters {
     let mut it = Counters::default();
-    it.set_complete();
+    it.enable_lifts();
     it
 }
 
@@ -28,20 +28,20 @@
 #[test]
 fn new_owner_lifts_nobody_before_it_knows() {
     let mut it = Counters::default();
-    it.serve(1, 500 * SCALE, 0);
+    it.record_served(1, 500 * UNITS_PER_TOKEN, 0);
     it.set_waiting(1, 1);
     it.set_waiting(2, 1);
     it.merge(NORTH, &set(1, 1, &[(2, 480, 0, 0)]));
-    assert_eq!(it.total(2), 480 * SCALE);
+    assert_eq!(it.total(2), 480 * UNITS_PER_TOKEN);
 }
 
 #[test]
 fn idle_workspace_banks_nothing() {
     let mut it = complete();
     it.set_waiting(1, 1);
-    it.serve(1, 500 * SCALE, 0);
+    it.record_served(1, 500 * UNITS_PER_TOKEN, 0);
     it.set_waiting(2, 1);
-    assert_eq!(it.total(2), 500 * SCALE);
+    assert_eq!(it.total(2), 500 * UNITS_PER_TOKEN);
 }
 
 /// Found by the replay of `flood`: a workspace that came back was lifted over estimates
@@ -50,9 +50,9 @@
 fn lift_leaves_reservations_out() {
     let mut it = complete();
     it.set_waiting(1, 1);
-    it.reserve(1, 6800 * SCALE);
+    it.reserve(1, 6800 * UNITS_PER_TOKEN);
     it.set_waiting(2, 1);
-    it.release(1, 6800 * SCALE);
+    it.release(1, 6800 * UNITS_PER_TOKEN);
     assert_eq!(it.total(2), it.total(1));
 }
 
@@ -62,11 +62,11 @@
 fn only_the_owner_where_it_waits_lifts() {
     let mut it = complete();
     it.set_waiting(1, 1);
-    it.serve(1, 500 * SCALE, 0);
+    it.record_served(1, 500 * UNITS_PER_TOKEN, 0);
     it.merge(NORTH, &set(1, 1, &[(2, 0, 0, 1)]));
     assert_eq!(it.lifts_since(0), []);
     it.merge(NORTH, &set(1, 2, &[(2, 480, 0, 1)]));
-    assert_eq!(it.total(2), 480 * SCALE);
+    assert_eq!(it.total(2), 480 * UNITS_PER_TOKEN);
 }
 
 #[test]
@@ -84,7 +84,7 @@
         (it.total(1), it.total(2))
     };
     // The earlier life's reservations end with it, what it served stays.
-    let wanted = (28 * SCALE, 7 * SCALE);
+    let wanted = (28 * UNITS_PER_TOKEN, 7 * UNITS_PER_TOKEN);
     assert_eq!(order(&[0, 1, 2]), wanted);
     assert_eq!(order(&[0, 1, 1, 2, 2, 0]), wanted);
     assert_eq!(order(&[1, 2, 0, 1]), wanted);
@@ -94,8 +94,8 @@
 fn silent_owner_keeps_what_it_served() {
     let mut it = Counters::default();
     it.merge(NORTH, &set(1, 1, &[(1, 10, 5, 1)]));
-    it.silence(NORTH);
-    assert_eq!(it.total(1), 10 * SCALE);
+    it.expire_owner(NORTH);
+    assert_eq!(it.total(1), 10 * UNITS_PER_TOKEN);
     assert_eq!(it.active().count(), 0);
 }
 
@@ -105,8 +105,8 @@
     it.set_waiting(1, 1);
     it.set_waiting(2, 1);
     it.merge(NORTH, &set(1, 1, &[(1, 1_000_000, 0, 1)]));
-    it.clamp(1000 * SCALE);
-    assert_eq!(it.total(1) - it.total(2), 1000 * SCALE);
+    it.clamp_lag(1000 * UNITS_PER_TOKEN);
+    assert_eq!(it.total(1) - it.total(2), 1000 * UNITS_PER_TOKEN);
 }
 
 #[test]
@@ -121,13 +121,13 @@
 #[test]
 fn sealing_keeps_what_was_served() {
     let mut it = Counters::default();
-    it.serve(1, 30 * SCALE, 0);
+    it.record_served(1, 30 * UNITS_PER_TOKEN, 0);
     let before = it.usage_since(0);
-    it.seal(NORTH, 1);
-    it.serve(1, 5 * SCALE, 0);
-    assert_eq!(it.total(1), 35 * SCALE);
+    it.close_incarnation(NORTH, 1);
+    it.record_served(1, 5 * UNITS_PER_TOKEN, 0);
+    assert_eq!(it.total(1), 35 * UNITS_PER_TOKEN);
     let mut peer = Counters::default();
     peer.merge(NORTH, &UsageSet { usage: before, ..set(1, 1, &[]) });
     peer.merge(NORTH, &UsageSet { usage: it.usage_since(0), ..set(2, 1, &[]) });
-    assert_eq!(peer.total(1), 35 * SCALE);
+    assert_eq!(peer.total(1), 35 * UNITS_PER_TOKEN);
 }
--- a/crates/portfield/tests/loans.rs
+++ b/crates/portfield/tests/loans.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     fleet::{Fleet, Intent, hash_token},
-    schedule::{Health, Limits, Owner, ShardKey},
+    schedule::{Health, OwnerConfig, ShardKey, ShardOwner},
     wire,
 };
 
@@ -21,10 +21,11 @@
     Intent::parse(&text).unwrap().number(&Fleet::default())
 }
 
-fn owners(fleet: &Fleet) -> [Owner; 2] {
+fn owners(fleet: &Fleet) -> [ShardOwner; 2] {
     let shards: Vec<ShardKey> = fleet.shards(fleet.services[0].id).collect();
     [0, 1].map(|idx| {
-        let mut it = Owner::new(Duration::ZERO, shards[idx], 1 + idx as u64, Limits::default());
+        let mut it =
+            ShardOwner::new(Duration::ZERO, shards[idx], 1 + idx as u64, OwnerConfig::default());
         it.configure(Duration::ZERO, fleet);
         it.set_peers(shards.iter().copied());
         it
@@ -32,16 +33,20 @@
 }
 
 /// Lets the owners talk for a while and returns the grants of the second.
-fn talk(owners: &mut [Owner; 2], from: u64, to: u64) -> Vec<wire::Grant> {
+fn talk(owners: &mut [ShardOwner; 2], from: u64, to: u64) -> Vec<wire::Grant> {
     let mut res = Vec::new();
     for millis in (from..to).step_by(10) {
         let now = Duration::from_millis(millis);
         for idx in [0, 1] {
-            for frame in owners[idx].frames(now) {
+            for frame in owners[idx].due_frames(now) {
                 if frame.from != frame.to {
-                    owners[1 - idx].hear(now, &frame);
+                    owners[1 - idx].handle_frame(now, &frame);
                 }
-                owners[idx].frame_sent(now, &frame, portfield::schedule::Arrival::Confirmed);
+                owners[idx].record_delivery(
+                    now,
+                    &frame,
+                    portfield::schedule::DeliveryStatus::Confirmed,
+                );
             }
             owners[idx].dispatch(now);
         }
@@ -58,18 +63,19 @@
     let (upstream, workspace) = (fleet.upstreams[0].id, fleet.workspaces[0].id);
     let ticket = |id| wire::Ticket { id, workspace, ..Default::default() };
     let mut owners = owners(&fleet);
-    let report = |owner: &mut Owner, at: u64, running: u32| {
+    let report = |owner: &mut ShardOwner, at: u64, running: u32| {
         let health = Health::Up { running, leaving: false };
-        owner.report(Duration::from_millis(at), upstream, health);
+        owner.record_health(Duration::from_millis(at), upstream, health);
     };
     report(&mut owners[0], 0, 0);
     owners[1].register(Duration::ZERO, HOST, &ticket(1));
     let grants = talk(&mut owners, 10, 1500);
     assert_eq!((grants.len(), grants[0].upstream), (1, upstream));
-    owners[1].router_gone(Duration::from_millis(1500), HOST);
+    owners[1].remove_router(Duration::from_millis(1500), HOST);
     owners[0].register(Duration::from_millis(1500), HOST, &ticket(2));
-    let granted =
-        |owner: &mut Owner| owner.take_answers().values().map(|it| it.grants.len()).sum::<usize>();
+    let granted = |owner: &mut ShardOwner| {
+        owner.take_answers().values().map(|it| it.grants.len()).sum::<usize>()
+    };
     talk(&mut owners, 1500, 2500);
     report(&mut owners[0], 2500, 1);
     talk(&mut owners, 2500, 3000);
--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -6,7 +6,7 @@
 use portfield::{
     fleet::{Adopted, Fleet, Intent, hash_token},
     member::{ListEntry, View},
-    schedule::{Counters, Health, Limits, Owner, SCALE, ShardKey},
+    schedule::{Counters, Health, OwnerConfig, ShardKey, ShardOwner, UNITS_PER_TOKEN},
     wire,
 };
 use quickcheck::{Arbitrary, Gen, Testable};
@@ -53,8 +53,8 @@
             sequence,
             usage: vec![wire::Usage {
                 workspace: 1,
-                served: 10 * sequence * SCALE,
-                reserved: 5 * SCALE,
+                served: 10 * sequence * UNITS_PER_TOKEN,
+                reserved: 5 * UNITS_PER_TOKEN,
                 waiting: 1,
             }],
         };
@@ -67,7 +67,7 @@
             it.merge(EAST, &frame(incarnation, 5));
         }
         // Each incarnation served 50; only the reservation of the latest one still counts.
-        it.total(1) == 155 * SCALE
+        it.total(1) == 155 * UNITS_PER_TOKEN
     });
 }
 
@@ -119,7 +119,7 @@
     check_property(|steps: Vec<Step>| {
         let mut now = Duration::from_secs(1);
         let host = IpAddr::from([127, 0, 0, 1]);
-        let mut owner = Owner::new(now, shard, 1, Limits::default());
+        let mut owner = ShardOwner::new(now, shard, 1, OwnerConfig::default());
         owner.configure(now, &fleet);
         let mut granted: HashMap<u64, ()> = HashMap::new();
         for it in steps {
@@ -141,15 +141,18 @@
                     owner.finish(now, host, &done);
                 }
                 Step::Progress(id, cost) => {
-                    owner.progress(host, &wire::Progress { id: id.into(), cost: cost.into() });
+                    owner.record_progress(
+                        host,
+                        &wire::Progress { id: id.into(), cost: cost.into() },
+                    );
                 }
                 // The router may still run its requests: they count until reports clear them.
-                Step::RouterGone => owner.router_gone(now, host),
+                Step::RouterGone => owner.remove_router(now, host),
                 Step::Report => {
                     let running = granted.len() as u32;
-                    owner.report(now, upstream, Health::Up { running, leaving: false });
+                    owner.record_health(now, upstream, Health::Up { running, leaving: false });
                 }
-                Step::Down => owner.report(now, upstream, Health::Down),
+                Step::Down => owner.record_health(now, upstream, Health::Down),
                 Step::Wait(n) => now += Duration::from_millis(300 * u64::from(n)),
             }
             owner.dispatch(now);
@@ -207,14 +210,14 @@
     let shard = fleet.shard_of(&fleet.upstreams[0]);
     let (upstream, workspace) = (fleet.upstreams[0].id, fleet.workspaces[0].id);
     let host = IpAddr::from([127, 0, 0, 1]);
-    let mut owner = Owner::new(Duration::ZERO, shard, 1, Limits::default());
+    let mut owner = ShardOwner::new(Duration::ZERO, shard, 1, OwnerConfig::default());
     owner.configure(Duration::ZERO, &fleet);
     for id in 0..5 {
         owner.register(Duration::ZERO, host, &wire::Ticket { id, workspace, ..Default::default() });
     }
     let mut n_granted = |at: u64, running: u32| {
         let now = Duration::from_millis(at);
-        owner.report(now, upstream, Health::Up { running, leaving: false });
+        owner.record_health(now, upstream, Health::Up { running, leaving: false });
         owner.dispatch(now);
         owner.take_answers().values().map(|it| it.grants.len()).sum::<usize>()
     };
