--- a/crates/portfield/src/schedule/cost_estimator.rs
+++ b/crates/portfield/src/schedule/cost_estimator.rs
@@ -5,14 +5,14 @@
 use crate::ids::WorkspaceId;
 
 /// Weight of the newest observation.
-const ALPHA: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// Estimate for a workspace that nothing is known of, in tokens.
-const FIRST_GUESS: f64 = 200.0;
+const DEFAULT_ESTIMATE: f64 = 200.0;
 /// Largest estimate, in tokens.
 const MAX_ESTIMATE: f64 = 32_768.0;
 
 #[derive(Debug, Clone, Copy)]
-struct Learned {
+struct CostStats {
     /// Mean cost in tokens.
     mean: f64,
     /// Sum of actual costs over sum of hinted costs, the newest weighing most.
@@ -41,15 +41,15 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct CostEstimator {
-    learned: HashMap<WorkspaceId, Learned>,
+    stats: HashMap<WorkspaceId, CostStats>,
 }
 
 impl CostEstimator {
     /// Returns the expected cost in tokens; a `hint` of zero is none.
     pub fn estimate(&self, id: WorkspaceId, hint: u32) -> u32 {
-        let learned = self.learned.get(&id);
-        let res = match (hint, learned) {
-            (0, None) => FIRST_GUESS,
+        let stats = self.stats.get(&id);
+        let res = match (hint, stats) {
+            (0, None) => DEFAULT_ESTIMATE,
             (0, Some(it)) => it.mean,
             (_, None) => f64::from(hint),
             (_, Some(it)) if it.mean_error < it.hint_error => it.mean,
@@ -61,21 +61,21 @@
     /// Takes in what a request did cost.
     pub fn observe(&mut self, id: WorkspaceId, hint: u32, cost: u32) {
         let cost = f64::from(cost.max(1));
-        let it = self.learned.entry(id).or_insert(Learned {
+        let it = self.stats.entry(id).or_insert(CostStats {
             mean: cost,
             ratio: cost / f64::from(hint.max(1)),
             mean_error: 0.0,
             hint_error: 0.0,
         });
-        it.mean_error += ALPHA * ((cost - it.mean).abs() - it.mean_error);
-        it.mean += ALPHA * (cost - it.mean);
+        it.mean_error += EWMA_WEIGHT * ((cost - it.mean).abs() - it.mean_error);
+        it.mean += EWMA_WEIGHT * (cost - it.mean);
         if hint == 0 {
             return;
         }
         let hint = f64::from(hint);
-        it.hint_error += ALPHA * ((cost - hint * it.ratio).abs() - it.hint_error);
+        it.hint_error += EWMA_WEIGHT * ((cost - hint * it.ratio).abs() - it.hint_error);
         // A ratio of sums: one small hint for a large request doesn't outweigh the rest.
-        let weight = ALPHA * (hint / (hint + it.mean));
+        let weight = EWMA_WEIGHT * (hint / (hint + it.mean));
         it.ratio += weight * (cost / hint - it.ratio);
     }
 }
--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -47,15 +47,15 @@
     pending: VirtualCost,
     /// Tickets waiting here, and owners elsewhere that have some.
     waiting: u32,
-    elsewhere: u32,
+    waiting_owners: u32,
     /// Versions of the last change to the counters here and to the lift.
-    changed: u64,
-    lifted: u64,
+    usage_version: u64,
+    lift_version: u64,
 }
 
 impl Entry {
     fn is_active(&self) -> bool {
-        0 < self.waiting || 0 < self.elsewhere
+        0 < self.waiting || 0 < self.waiting_owners
     }
 
     /// Returns the counter without what is only reserved.
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct RemoteUsage {
     sequence: u64,
     usage: BTreeMap<WorkspaceId, wire::Usage>,
 }
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
     entries: HashMap<WorkspaceId, Entry>,
-    seen: BTreeMap<(ShardKey, Incarnation), Seen>,
+    remote: BTreeMap<(ShardKey, Incarnation), RemoteUsage>,
     /// Workspaces with tickets here, by counter.
     local: BTreeSet<(VirtualCost, WorkspaceId)>,
     /// Workspaces with tickets anywhere, by counter.
@@ -82,10 +82,10 @@
     /// The same by settled counter: the least is the floor for who comes back.
     settled: BTreeSet<(VirtualCost, WorkspaceId)>,
     /// Settled counter of the workspace served last.
-    clock: VirtualCost,
+    virtual_time: VirtualCost,
     version: u64,
     /// Whether the other owners' counters are known, so that a lift would be true.
-    complete: bool,
+    lifts_enabled: bool,
 }
 
 impl Counters {
@@ -94,7 +94,7 @@
     /// **NOTE:** A new owner that lifted before would lift over what it doesn't know yet, and
     /// the lift would stay.
     pub fn enable_lifts(&mut self) {
-        self.complete = true;
+        self.lifts_enabled = true;
     }
 
     /// Returns a workspace's counter.
@@ -124,49 +124,49 @@
 
     /// Sets how many tickets of a workspace wait here.
     pub fn set_waiting(&mut self, id: WorkspaceId, waiting: u32) {
-        self.enter(id, |it| it.waiting = waiting);
-        self.touch(id);
+        self.update_with_lift(id, |it| it.waiting = waiting);
+        self.mark_changed(id);
     }
 
     /// Reserves the estimate of a request that was granted.
     pub fn reserve(&mut self, id: WorkspaceId, amount: VirtualCost) {
         let settled = self.entries.get(&id).map_or(0, Entry::settled);
-        self.clock = self.clock.max(settled);
-        self.change(id, |it| {
+        self.virtual_time = self.virtual_time.max(settled);
+        self.update(id, |it| {
             it.reserved += amount;
             it.pending += amount;
             it.total += amount;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
     /// Takes back what is left of a reservation.
     pub fn release(&mut self, id: WorkspaceId, amount: VirtualCost) {
-        self.change(id, |it| {
+        self.update(id, |it| {
             it.reserved -= amount;
             it.pending -= amount;
             it.total -= amount;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
     /// Counts service, out of the reservation as far as `reserved` goes.
     pub fn record_served(&mut self, id: WorkspaceId, amount: VirtualCost, reserved: VirtualCost) {
         let covered = amount.min(reserved);
-        self.change(id, |it| {
+        self.update(id, |it| {
             it.served += amount;
             it.reserved -= covered;
             it.pending -= covered;
             it.total += amount - covered;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
     /// Lifts whoever is so far behind the best served that catching up would starve the
     /// others for longer than `limit`; happens after a cut heals.
     pub fn clamp_lag(&mut self, limit: VirtualCost) {
-        let Some((most, _)) = self.active.last().copied() else { return };
-        let floor = most.saturating_sub(limit);
+        let Some((highest, _)) = self.active.last().copied() else { return };
+        let floor = highest.saturating_sub(limit);
         while let Some((total, id)) = self.active.first().copied() {
             if floor <= total {
                 return;
@@ -177,21 +177,21 @@
 
     /// Takes in another owner's counters; returns whether they were news.
     pub fn merge(&mut self, shard: ShardKey, set: &wire::UsageSet) -> bool {
-        self.retire_before(shard, set.incarnation);
-        let newest = self.newest(shard);
-        let seen = self.seen.entry((shard, set.incarnation)).or_default();
-        if set.sequence <= seen.sequence {
+        self.expire_before(shard, set.incarnation);
+        let latest = self.latest_incarnation(shard);
+        let known = self.remote.entry((shard, set.incarnation)).or_default();
+        if set.sequence <= known.sequence {
             return false;
         }
-        seen.sequence = set.sequence;
-        let is_live = newest.is_none_or(|it| it <= set.incarnation);
+        known.sequence = set.sequence;
+        let is_latest = latest.is_none_or(|it| it <= set.incarnation);
         for it in &set.usage {
-            let mut fresh = *it;
-            if !is_live {
-                fresh.reserved = 0;
-                fresh.waiting = 0;
+            let mut usage = *it;
+            if !is_latest {
+                usage.reserved = 0;
+                usage.waiting = 0;
             }
-            self.apply(shard, set.incarnation, fresh);
+            self.apply_usage(shard, set.incarnation, usage);
         }
         true
     }
@@ -205,13 +205,13 @@
 
     /// Forgets the reservations and tickets of an owner that is silent; what it served stays.
     pub fn expire_owner(&mut self, shard: ShardKey) {
-        self.retire_before(shard, Incarnation::MAX);
+        self.expire_before(shard, Incarnation::MAX);
     }
 
     /// Returns the counters here that changed after `version`.
     pub fn usage_since(&self, version: u64) -> Vec<wire::Usage> {
-        let fresh = self.entries.iter().filter(|(_, it)| version < it.changed);
-        let mut res: Vec<_> = fresh
+        let changed = self.entries.iter().filter(|(_, it)| version < it.usage_version);
+        let mut res: Vec<_> = changed
             .map(|(id, it)| wire::Usage {
                 workspace: *id,
                 served: it.served,
@@ -225,16 +225,16 @@
 
     /// Returns the lifts that changed after `version`.
     pub fn lifts_since(&self, version: u64) -> Vec<wire::Lift> {
-        let fresh = self.entries.iter().filter(|(_, it)| version < it.lifted);
+        let changed = self.entries.iter().filter(|(_, it)| version < it.lift_version);
         let mut res: Vec<_> =
-            fresh.map(|(id, it)| wire::Lift { workspace: *id, value: it.lift }).collect();
+            changed.map(|(id, it)| wire::Lift { workspace: *id, value: it.lift }).collect();
         res.sort_unstable_by_key(|it| it.workspace);
         res
     }
 
     /// Returns what is known of all other owners, for an owner that starts with nothing.
     pub fn remote_usage_sets(&self) -> Vec<wire::UsageSet> {
-        let sets = self.seen.iter().map(|((shard, incarnation), it)| wire::UsageSet {
+        let sets = self.remote.iter().map(|((shard, incarnation), it)| wire::UsageSet {
             shard: Some((*shard).into()),
             incarnation: *incarnation,
             sequence: it.sequence,
@@ -246,53 +246,53 @@
     /// Ends one incarnation of the counters here: what it served stays as another owner's
     /// would, and counting starts anew.
     pub fn close_incarnation(&mut self, shard: ShardKey, incarnation: Incarnation) {
-        let mut sealed = Seen { sequence: u64::MAX, usage: BTreeMap::new() };
+        let mut closed = RemoteUsage { sequence: u64::MAX, usage: BTreeMap::new() };
         for (id, it) in self.entries.iter_mut().filter(|(_, it)| 0 < it.served) {
             let served = std::mem::take(&mut it.served);
-            sealed.usage.insert(*id, wire::Usage { workspace: *id, served, ..Default::default() });
+            closed.usage.insert(*id, wire::Usage { workspace: *id, served, ..Default::default() });
         }
-        self.seen.insert((shard, incarnation), sealed);
+        self.remote.insert((shard, incarnation), closed);
         let all: Vec<_> = self.entries.keys().copied().collect();
-        all.into_iter().for_each(|it| self.touch(it));
+        all.into_iter().for_each(|it| self.mark_changed(it));
     }
 
-    fn newest(&self, shard: ShardKey) -> Option<Incarnation> {
+    fn latest_incarnation(&self, shard: ShardKey) -> Option<Incarnation> {
         let all = (shard, 0)..=(shard, Incarnation::MAX);
-        self.seen.range(all).next_back().map(|((_, it), _)| *it)
+        self.remote.range(all).next_back().map(|((_, it), _)| *it)
     }
 
-    fn retire_before(&mut self, shard: ShardKey, incarnation: Incarnation) {
-        let old = (shard, 0)..(shard, incarnation);
-        let stale: Vec<_> = self
-            .seen
-            .range(old)
-            .flat_map(|((_, inc), seen)| seen.usage.values().map(|it| (*inc, *it)))
+    fn expire_before(&mut self, shard: ShardKey, incarnation: Incarnation) {
+        let earlier = (shard, 0)..(shard, incarnation);
+        let expired: Vec<_> = self
+            .remote
+            .range(earlier)
+            .flat_map(|((_, inc), known)| known.usage.values().map(|it| (*inc, *it)))
             .filter(|(_, it)| 0 < it.reserved || 0 < it.waiting)
             .collect();
-        for (inc, mut usage) in stale {
+        for (inc, mut usage) in expired {
             usage.reserved = 0;
             usage.waiting = 0;
-            self.apply(shard, inc, usage);
+            self.apply_usage(shard, inc, usage);
         }
     }
 
-    fn apply(&mut self, shard: ShardKey, incarnation: Incarnation, fresh: wire::Usage) {
-        let id = fresh.workspace;
-        let seen = self.seen.entry((shard, incarnation)).or_default();
-        let old = seen.usage.get(&id).copied().unwrap_or_default();
-        let fresh = wire::Usage { served: fresh.served.max(old.served), ..fresh };
-        seen.usage.insert(id, fresh);
-        self.change(id, |it| {
-            it.total += fresh.served + fresh.reserved;
+    fn apply_usage(&mut self, shard: ShardKey, incarnation: Incarnation, usage: wire::Usage) {
+        let id = usage.workspace;
+        let known = self.remote.entry((shard, incarnation)).or_default();
+        let old = known.usage.get(&id).copied().unwrap_or_default();
+        let new = wire::Usage { served: usage.served.max(old.served), ..usage };
+        known.usage.insert(id, new);
+        self.update(id, |it| {
+            it.total += new.served + new.reserved;
             it.total -= old.served + old.reserved;
-            it.pending += fresh.reserved;
+            it.pending += new.reserved;
             it.pending -= old.reserved;
         });
-        match (0 < old.waiting, 0 < fresh.waiting) {
+        match (0 < old.waiting, 0 < new.waiting) {
             // NOTE: only the owner where it waits lifts it. Here its service is known late,
             // and a lift over what is not known yet would stay.
-            (false, true) => self.change(id, |it| it.elsewhere += 1),
-            (true, false) => self.change(id, |it| it.elsewhere -= 1),
+            (false, true) => self.update(id, |it| it.waiting_owners += 1),
+            (true, false) => self.update(id, |it| it.waiting_owners -= 1),
             _ => (),
         }
     }
@@ -302,12 +302,12 @@
     ///
     /// **NOTE:** The floor leaves reservations out. They are estimates: a lift over one that
     /// was too high would stay after it is taken back, and starve the workspace meanwhile.
-    fn enter(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
+    fn update_with_lift(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let was_active = self.entries.get(&id).is_some_and(Entry::is_active);
-        let floor = self.settled.first().map_or(self.clock, |it| it.0);
-        self.change(id, f);
+        let floor = self.settled.first().map_or(self.virtual_time, |it| it.0);
+        self.update(id, f);
         let entry = self.entries[&id];
-        if self.complete && !was_active && entry.is_active() && entry.settled() < floor {
+        if self.lifts_enabled && !was_active && entry.is_active() && entry.settled() < floor {
             self.raise_lift(id, entry.lift + (floor - entry.settled()));
         }
     }
@@ -324,41 +324,41 @@
         }
         self.version += 1;
         let version = self.version;
-        self.change(id, |it| {
+        self.update(id, |it| {
             it.lift = value;
             it.total += value - old;
-            it.lifted = version;
+            it.lift_version = version;
         });
     }
 
-    fn touch(&mut self, id: WorkspaceId) {
+    fn mark_changed(&mut self, id: WorkspaceId) {
         self.version += 1;
         let version = self.version;
-        self.change(id, |it| it.changed = version);
+        self.update(id, |it| it.usage_version = version);
     }
 
     /// Changes an entry and keeps both orders current.
-    fn change(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
+    fn update(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let entry = self.entries.entry(id).or_default();
         let old = *entry;
         f(entry);
         let new = *entry;
         if (old.total, old.waiting) != (new.total, new.waiting) {
             let (was, is) = ((old.total, 0 < old.waiting), (new.total, 0 < new.waiting));
-            move_key(&mut self.local, id, was, is);
+            update_order(&mut self.local, id, was, is);
         }
         if (old.total, old.is_active()) != (new.total, new.is_active()) {
             let (was, is) = ((old.total, old.is_active()), (new.total, new.is_active()));
-            move_key(&mut self.active, id, was, is);
+            update_order(&mut self.active, id, was, is);
         }
         if (old.settled(), old.is_active()) != (new.settled(), new.is_active()) {
             let (was, is) = ((old.settled(), old.is_active()), (new.settled(), new.is_active()));
-            move_key(&mut self.settled, id, was, is);
+            update_order(&mut self.settled, id, was, is);
         }
     }
 }
 
-fn move_key(
+fn update_order(
     set: &mut BTreeSet<(VirtualCost, WorkspaceId)>,
     id: WorkspaceId,
     (old, was_in): (VirtualCost, bool),
--- a/crates/portfield/src/schedule/decision.rs
+++ b/crates/portfield/src/schedule/decision.rs
@@ -89,33 +89,37 @@
 /// The last decisions, the oldest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DecisionLog {
-    all: VecDeque<Decision>,
+    entries: VecDeque<Decision>,
 }
 
 impl DecisionLog {
     /// Remembers a decision.
-    pub(super) fn push(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
-        self.all.push_back(Decision { at, host, ticket, step });
-        if MAX_DECISIONS < self.all.len() {
-            self.all.pop_front();
+    pub(super) fn record(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
+        self.entries.push_back(Decision { at, host, ticket, step });
+        if MAX_DECISIONS < self.entries.len() {
+            self.entries.pop_front();
         }
     }
 
     /// Remembers what an answer to a router grants and refuses.
-    pub(super) fn note_answer(&mut self, at: Duration, host: HostId, answer: &wire::ShardAnswer) {
+    pub(super) fn record_answer(&mut self, at: Duration, host: HostId, answer: &wire::ShardAnswer) {
         let Some(shard) = answer.shard.as_ref().map(ShardKey::from) else { return };
         for it in &answer.grants {
             let (upstream, estimate, loan) = (it.upstream, it.estimate, it.loan);
-            self.push(at, host, it.ticket, Step::Granted { shard, upstream, estimate, loan });
+            self.record(at, host, it.ticket, Step::Granted { shard, upstream, estimate, loan });
         }
         for it in &answer.refusals {
             let retry = Duration::from_millis(it.retry.into());
-            self.push(at, host, it.ticket, Step::Refused { shard, retry });
+            self.record(at, host, it.ticket, Step::Refused { shard, retry });
         }
     }
 
     /// Returns the decisions on a ticket.
-    pub(super) fn on(&self, host: HostId, ticket: TicketId) -> impl Iterator<Item = &Decision> {
-        self.all.iter().filter(move |it| it.host == host && it.ticket == ticket)
+    pub(super) fn of_ticket(
+        &self,
+        host: HostId,
+        ticket: TicketId,
+    ) -> impl Iterator<Item = &Decision> {
+        self.entries.iter().filter(move |it| it.host == host && it.ticket == ticket)
     }
 }
--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -37,7 +37,7 @@
             let Some(to) = it.to.as_ref().map(ShardKey::from) else { continue };
             match self.owners.get_mut(&to) {
                 Some(owner) => owner.handle_frame(now, it),
-                None if it.from == it.to => self.standby.entry(to).or_default().keep(it),
+                None if it.from == it.to => self.standby.entry(to).or_default().merge(it),
                 None => (),
             }
         }
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -188,9 +188,9 @@
             id: ticket.id,
             workspace: id,
             hint: ticket.hint,
-            batch: ticket.class == 1,
+            is_batch: ticket.class == 1,
             prefix: ticket.prefix,
-            since: now.saturating_sub(Duration::from_millis(u64::from(ticket.waited))),
+            waiting_since: now.saturating_sub(Duration::from_millis(u64::from(ticket.waited))),
         });
         self.count_waiting(id);
     }
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -168,7 +168,7 @@
 
     /// Returns the remembered decisions on a ticket, the oldest first.
     pub fn decisions(&self, host: HostId, ticket: TicketId) -> Vec<&Decision> {
-        self.decisions.on(host, ticket).collect()
+        self.decisions.of_ticket(host, ticket).collect()
     }
 
     fn apply(&mut self, now: Duration, event: Event) {
@@ -290,11 +290,11 @@
         }
         for it in &report.tickets {
             let step = Step::Queued { shard, hint: it.hint };
-            self.decisions.push(now, host, it.id, step);
+            self.decisions.record(now, host, it.id, step);
         }
         for it in &report.done {
             let step = Step::Ended { shard, cost: it.cost, declined: it.declined };
-            self.decisions.push(now, host, it.id, step);
+            self.decisions.record(now, host, it.id, step);
         }
     }
 
@@ -368,7 +368,7 @@
     fn own(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
         if !self.owners.contains_key(&shard) {
             let standby = self.standby.remove(&shard);
-            let earlier = standby.as_ref().and_then(|it| it.newest(shard));
+            let earlier = standby.as_ref().and_then(|it| it.latest_incarnation(shard));
             let incarnation = self.new_incarnation(now, earlier);
             let limits = self.settings.owner.clone();
             let mut owner = ShardOwner::new(now, shard, incarnation, limits);
@@ -411,7 +411,7 @@
             self.disown(host, shard);
         }
         let me = self.view.me();
-        self.decisions.push(now, me, 0, Step::HandedOver { shard });
+        self.decisions.record(now, me, 0, Step::HandedOver { shard });
     }
 
     fn send_answers(&mut self, now: Duration) {
@@ -422,7 +422,7 @@
             }
         }
         for (host, mut frame) in frames {
-            frame.answers.iter().for_each(|it| self.decisions.note_answer(now, host, it));
+            frame.answers.iter().for_each(|it| self.decisions.record_answer(now, host, it));
             frame.revision = self.adopted.revision();
             self.actions.push(Action::SendToRouter(host, frame));
         }
--- a/crates/portfield/src/schedule/standby.rs
+++ b/crates/portfield/src/schedule/standby.rs
@@ -19,13 +19,13 @@
 
 impl Standby {
     /// Returns the latest ownership of a shard that is known.
-    pub(super) fn newest(&self, shard: ShardKey) -> Option<Incarnation> {
+    pub(super) fn latest_incarnation(&self, shard: ShardKey) -> Option<Incarnation> {
         let all = (shard, 0)..=(shard, Incarnation::MAX);
         self.sets.range(all).next_back().map(|((_, it), _)| *it)
     }
 
     /// Takes in what the owner sent ahead.
-    pub(super) fn keep(&mut self, frame: &wire::PeerShard) {
+    pub(super) fn merge(&mut self, frame: &wire::PeerShard) {
         for set in &frame.sets {
             let Some(shard) = set.shard.as_ref().map(ShardKey::from) else { continue };
             let old = self.sets.entry((shard, set.incarnation)).or_default();
