--- a/crates/portfield/src/schedule/cost_estimator.rs
+++ b/crates/portfield/src/schedule/cost_estimator.rs
@@ -1,12 +1,12 @@
-//! What a request will cost, learned from what earlier ones did cost.
+//! Estimates of the cost of requests, learned from the cost of earlier ones.
 
 use std::collections::HashMap;
 
 use crate::ids::WorkspaceId;
 
-/// Weight of the newest observation.
+/// Weight of the newest observation in the moving averages.
 const EWMA_WEIGHT: f64 = 0.1;
-/// Estimate for a workspace that nothing is known of, in tokens.
+/// Estimate for a workspace without observations and a request without a hint, in tokens.
 const DEFAULT_ESTIMATE: f64 = 200.0;
 /// Largest estimate, in tokens.
 const MAX_ESTIMATE: f64 = 32_768.0;
@@ -15,18 +15,18 @@
 struct CostStats {
     /// Mean cost in tokens.
     mean: f64,
-    /// Sum of actual costs over sum of hinted costs, the newest weighing most.
+    /// Ratio of the sum of actual costs to the sum of hinted costs, weighted to recent ones.
     ratio: f64,
-    /// Mean errors of an estimate by the mean, and by the hint.
+    /// Mean absolute error of estimates by the mean, in tokens.
     mean_error: f64,
+    /// Mean absolute error of estimates by the hint times the ratio, in tokens.
     hint_error: f64,
 }
 
-/// Learned costs of the workspaces of one service.
+/// Estimates the cost of requests of one service, per workspace.
 ///
-/// A hint counts only as far as it proved better than the workspace's mean cost, and the
-/// learned ratio takes out a habit of hinting too high or too low, whether by error or on
-/// purpose.
+/// A hint is used unless the workspace's mean cost has been more accurate. It is multiplied by the
+/// learned ratio, which corrects hints that are always too high or too low, by error or on purpose.
 ///
 /// # Examples
 ///
@@ -45,7 +45,7 @@
 }
 
 impl CostEstimator {
-    /// Returns the expected cost in tokens; a `hint` of zero is none.
+    /// Returns the expected cost of a request, in tokens; a `hint` of zero means none.
     pub fn estimate(&self, id: WorkspaceId, hint: u32) -> u32 {
         let stats = self.stats.get(&id);
         let res = match (hint, stats) {
@@ -58,7 +58,7 @@
         res.clamp(1.0, MAX_ESTIMATE) as u32
     }
 
-    /// Takes in what a request did cost.
+    /// Records the actual cost of a request, in tokens.
     pub fn observe(&mut self, id: WorkspaceId, hint: u32, cost: u32) {
         let cost = f64::from(cost.max(1));
         let it = self.stats.entry(id).or_insert(CostStats {
@@ -74,7 +74,8 @@
         }
         let hint = f64::from(hint);
         it.hint_error += EWMA_WEIGHT * ((cost - hint * it.ratio).abs() - it.hint_error);
-        // A ratio of sums: one small hint for a large request doesn't outweigh the rest.
+        // The ratio is one of sums: in a mean of ratios, single small hints for large requests
+        // would outweigh all others.
         let weight = EWMA_WEIGHT * (hint / (hint + it.mean));
         it.ratio += weight * (cost / hint - it.ratio);
     }
--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -1,12 +1,13 @@
 //! Weighted virtual service counters, merged across owners.
 //!
 //! The order of service is that of virtual token counters (Sheng et al., *Fairness in
-//! Serving Large Language Models*, OSDI 2024), the floor for a workspace that comes back
-//! that of start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996).
+//! Serving Large Language Models*, OSDI 2024). The floor for a workspace that was idle is that of
+//! start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996).
 //!
-//! A workspace's counter is the sum over all owners of what it was served (grow-only,
-//! merged by maximum), of what is reserved for requests that run (a gauge, the last word
-//! counts) and of its lift (merged by maximum). All are in virtual units: cost over share.
+//! A workspace's counter is the sum of three parts: the cost served by all owners (grow-only,
+//! merged by maximum), the cost reserved by all owners for running requests (a gauge, the latest
+//! value replaces earlier ones) and the workspace's lift (merged by maximum). All are in virtual
+//! units: cost divided by share.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -22,7 +23,7 @@
 /// Virtual units in one token of a workspace with share 1.
 pub const UNITS_PER_TOKEN: u64 = 1 << 16;
 
-/// Turns a cost in tokens into virtual units.
+/// Converts a cost in tokens to virtual units.
 ///
 /// # Examples
 ///
@@ -37,19 +38,22 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Entry {
-    /// Served and reserved here.
+    /// Cost served by this owner.
     served: VirtualCost,
+    /// Cost reserved by this owner.
     reserved: VirtualCost,
     lift: VirtualCost,
-    /// Sum over all owners, reservations and lift included.
+    /// The counter: cost served and reserved by all owners, and the lift.
     total: VirtualCost,
-    /// Reservations of all owners.
+    /// Cost reserved by all owners.
     pending: VirtualCost,
-    /// Tickets waiting here, and owners elsewhere that have some.
+    /// Tickets waiting at this owner.
     waiting: u32,
+    /// Number of other owners with waiting tickets.
     waiting_owners: u32,
-    /// Versions of the last change to the counters here and to the lift.
+    /// Version of the last change to this owner's usage.
     usage_version: u64,
+    /// Version of the last change to the lift.
     lift_version: u64,
 }
 
@@ -58,41 +62,47 @@
         0 < self.waiting || 0 < self.waiting_owners
     }
 
-    /// Returns the counter without what is only reserved.
+    /// Returns the counter without reservations.
     fn settled(&self) -> VirtualCost {
         self.total - self.pending
     }
 }
 
+/// Usage last reported by one incarnation of an owner.
 #[derive(Debug, Clone, Default)]
 struct RemoteUsage {
+    /// Sequence number of the latest report merged.
     sequence: u64,
     usage: BTreeMap<WorkspaceId, wire::Usage>,
 }
 
-/// The counters of every workspace of one service, as one owner knows them.
+/// Counters of the workspaces of one service, as known to one owner.
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
     entries: HashMap<WorkspaceId, Entry>,
     remote: BTreeMap<(ShardKey, Incarnation), RemoteUsage>,
-    /// Workspaces with tickets here, by counter.
+    /// Workspaces with tickets at this owner, ordered by counter.
     local: BTreeSet<(VirtualCost, WorkspaceId)>,
-    /// Workspaces with tickets anywhere, by counter.
+    /// Workspaces with tickets at any owner, ordered by counter.
     active: BTreeSet<(VirtualCost, WorkspaceId)>,
-    /// The same by settled counter: the least is the floor for who comes back.
+    /// The same workspaces, ordered by counter without reservations; the lowest is the floor for a
+    /// workspace that was idle.
     settled: BTreeSet<(VirtualCost, WorkspaceId)>,
-    /// Settled counter of the workspace served last.
+    /// Highest counter, without reservations, of a workspace at the time it got a grant; the floor
+    /// while no workspace is active.
     virtual_time: VirtualCost,
+    /// Number of changes to usage and lifts so far.
     version: u64,
-    /// Whether the other owners' counters are known, so that a lift would be true.
+    /// Whether the other owners' counters are known, so that lifts can be computed.
     lifts_enabled: bool,
 }
 
 impl Counters {
-    /// Notes that what other owners counted is known: from now on workspaces are lifted.
+    /// Starts lifting workspaces that become active; called once the other owners' counters are
+    /// known.
     ///
-    /// **NOTE:** A new owner that lifted before would lift over what it doesn't know yet, and
-    /// the lift would stay.
+    /// **NOTE:** A lift is never taken back. If a new owner lifted a workspace before it knew its past
+    /// service, that service would count twice: in the lift and again once it is reported.
     pub fn enable_lifts(&mut self) {
         self.lifts_enabled = true;
     }
@@ -102,17 +112,17 @@
         self.entries.get(&id).map_or(0, |it| it.total)
     }
 
-    /// Returns the local workspace to serve next, with its counter.
+    /// Returns the workspace with the lowest counter among those with tickets at this owner.
     pub fn least_served_local(&self) -> Option<(VirtualCost, WorkspaceId)> {
         self.local.first().copied()
     }
 
-    /// Returns the workspaces with tickets anywhere, the least served first.
+    /// Returns the workspaces with tickets at any owner, lowest counter first.
     pub fn active(&self) -> impl Iterator<Item = (VirtualCost, WorkspaceId)> + '_ {
         self.active.iter().copied()
     }
 
-    /// Returns whether a workspace has tickets here.
+    /// Returns whether a workspace has tickets at this owner.
     pub fn has_local_tickets(&self, id: WorkspaceId) -> bool {
         self.entries.get(&id).is_some_and(|it| 0 < it.waiting)
     }
@@ -122,13 +132,13 @@
         self.version
     }
 
-    /// Sets how many tickets of a workspace wait here.
+    /// Sets the number of a workspace's tickets that wait at this owner.
     pub fn set_waiting(&mut self, id: WorkspaceId, waiting: u32) {
         self.update_with_lift(id, |it| it.waiting = waiting);
         self.mark_changed(id);
     }
 
-    /// Reserves the estimate of a request that was granted.
+    /// Reserves the estimated cost of a request that was granted a slot.
     pub fn reserve(&mut self, id: WorkspaceId, amount: VirtualCost) {
         let settled = self.entries.get(&id).map_or(0, Entry::settled);
         self.virtual_time = self.virtual_time.max(settled);
@@ -140,7 +150,7 @@
         self.mark_changed(id);
     }
 
-    /// Takes back what is left of a reservation.
+    /// Releases the rest of a reservation.
     pub fn release(&mut self, id: WorkspaceId, amount: VirtualCost) {
         self.update(id, |it| {
             it.reserved -= amount;
@@ -150,7 +160,7 @@
         self.mark_changed(id);
     }
 
-    /// Counts service, out of the reservation as far as `reserved` goes.
+    /// Records cost served; it replaces up to `reserved` of the reservation.
     pub fn record_served(&mut self, id: WorkspaceId, amount: VirtualCost, reserved: VirtualCost) {
         let covered = amount.min(reserved);
         self.update(id, |it| {
@@ -162,8 +172,10 @@
         self.mark_changed(id);
     }
 
-    /// Lifts whoever is so far behind the best served that catching up would starve the
-    /// others for longer than `limit`; happens after a cut heals.
+    /// Lifts workspaces that are more than `limit` behind the highest counter of an active one.
+    ///
+    /// After a network partition a workspace may lag so far that serving it until it has caught up
+    /// would starve the others.
     pub fn clamp_lag(&mut self, limit: VirtualCost) {
         let Some((highest, _)) = self.active.last().copied() else { return };
         let floor = highest.saturating_sub(limit);
@@ -175,7 +187,7 @@
         }
     }
 
-    /// Takes in another owner's counters; returns whether they were news.
+    /// Merges a report of an owner's usage; returns false if it is outdated.
     pub fn merge(&mut self, shard: ShardKey, set: &wire::UsageSet) -> bool {
         self.expire_before(shard, set.incarnation);
         let latest = self.latest_incarnation(shard);
@@ -196,19 +208,19 @@
         true
     }
 
-    /// Takes in lifts.
+    /// Merges lifts reported by other owners.
     pub fn merge_lifts(&mut self, lifts: &[wire::Lift]) {
         for it in lifts {
             self.raise_lift(it.workspace, it.value);
         }
     }
 
-    /// Forgets the reservations and tickets of an owner that is silent; what it served stays.
+    /// Drops the reservations and waiting tickets of an owner that is gone; served cost is kept.
     pub fn expire_owner(&mut self, shard: ShardKey) {
         self.expire_before(shard, Incarnation::MAX);
     }
 
-    /// Returns the counters here that changed after `version`.
+    /// Returns this owner's usage of the workspaces that changed after `version`.
     pub fn usage_since(&self, version: u64) -> Vec<wire::Usage> {
         let changed = self.entries.iter().filter(|(_, it)| version < it.usage_version);
         let mut res: Vec<_> = changed
@@ -232,7 +244,7 @@
         res
     }
 
-    /// Returns what is known of all other owners, for an owner that starts with nothing.
+    /// Returns the usage known of all other owners and earlier incarnations, for a new owner.
     pub fn remote_usage_sets(&self) -> Vec<wire::UsageSet> {
         let sets = self.remote.iter().map(|((shard, incarnation), it)| wire::UsageSet {
             shard: Some((*shard).into()),
@@ -243,8 +255,8 @@
         sets.collect()
     }
 
-    /// Ends one incarnation of the counters here: what it served stays as another owner's
-    /// would, and counting starts anew.
+    /// Closes an incarnation of this owner: cost served so far is kept as that of another owner,
+    /// and this owner's served cost restarts at zero.
     pub fn close_incarnation(&mut self, shard: ShardKey, incarnation: Incarnation) {
         let mut closed = RemoteUsage { sequence: u64::MAX, usage: BTreeMap::new() };
         for (id, it) in self.entries.iter_mut().filter(|(_, it)| 0 < it.served) {
@@ -289,19 +301,19 @@
             it.pending -= old.reserved;
         });
         match (0 < old.waiting, 0 < new.waiting) {
-            // NOTE: only the owner where it waits lifts it. Here its service is known late,
-            // and a lift over what is not known yet would stay.
+            // NOTE: only the owner at which a workspace waits lifts it. Another owner learns of
+            // its service late, and a lift that ignores some of it is never taken back.
             (false, true) => self.update(id, |it| it.waiting_owners += 1),
             (true, false) => self.update(id, |it| it.waiting_owners -= 1),
             _ => (),
         }
     }
 
-    /// Applies a change after which a workspace may newly be active: whoever was idle
-    /// starts at the floor and banks nothing.
+    /// Updates an entry and lifts the workspace to the floor if it becomes active, so that it gets
+    /// no credit for the time it was idle.
     ///
-    /// **NOTE:** The floor leaves reservations out. They are estimates: a lift over one that
-    /// was too high would stay after it is taken back, and starve the workspace meanwhile.
+    /// **NOTE:** The floor excludes reservations, which are estimates. A lift that included one
+    /// that was too high would remain after its release, and starve the workspace.
     fn update_with_lift(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let was_active = self.entries.get(&id).is_some_and(Entry::is_active);
         let floor = self.settled.first().map_or(self.virtual_time, |it| it.0);
@@ -337,7 +349,7 @@
         self.update(id, |it| it.usage_version = version);
     }
 
-    /// Changes an entry and keeps both orders current.
+    /// Updates an entry and its position in the orders.
     fn update(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let entry = self.entries.entry(id).or_default();
         let old = *entry;
@@ -358,6 +370,8 @@
     }
 }
 
+/// Moves a workspace in an order from its old key to its new one; the flags say whether it was and
+/// is a member.
 fn update_order(
     set: &mut BTreeSet<(VirtualCost, WorkspaceId)>,
     id: WorkspaceId,
--- a/crates/portfield/src/schedule/decision.rs
+++ b/crates/portfield/src/schedule/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions remembered for operators.
+//! Log of recent scheduling decisions, for operators.
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
@@ -8,7 +8,7 @@
     wire,
 };
 
-/// Decisions that are remembered.
+/// Decisions kept; beyond it the oldest are dropped.
 const MAX_DECISIONS: usize = 8192;
 
 /// What was decided.
@@ -18,37 +18,37 @@
     Queued {
         /// The shard.
         shard: ShardKey,
-        /// Cost hint in tokens.
+        /// Cost that the caller expects, in tokens; zero if unknown.
         hint: u32,
     },
-    /// It got a slot.
+    /// A ticket was granted a slot.
     Granted {
         /// The shard that granted it.
         shard: ShardKey,
-        /// Whose slot it is.
+        /// The upstream of the slot.
         upstream: UpstreamId,
-        /// Reserved cost in tokens.
+        /// Cost reserved for it, in tokens.
         estimate: u32,
-        /// The loan that the slot came by, zero for an own one.
+        /// Loan of the slot, zero if the shard has the slot itself.
         loan: LoanId,
     },
-    /// It was not queued.
+    /// A ticket was not queued.
     Refused {
         /// The shard.
         shard: ShardKey,
-        /// When to come back.
+        /// Delay before a retry.
         retry: Duration,
     },
-    /// Its request ended.
+    /// A request that had a grant ended.
     Ended {
         /// The shard.
         shard: ShardKey,
-        /// What it was charged, in tokens.
+        /// Cost charged, in tokens.
         cost: u32,
-        /// The grant was not used to its end.
+        /// Whether the router gave the grant up.
         declined: bool,
     },
-    /// The shard went to another owner.
+    /// A shard was handed over to another owner.
     HandedOver {
         /// The shard.
         shard: ShardKey,
@@ -73,27 +73,27 @@
     }
 }
 
-/// One decision that an operator may ask about.
+/// One decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
     /// When it was made.
     pub at: Duration,
-    /// The router concerned.
+    /// Host of the router; for a hand-over, the host that gave up the shard.
     pub host: HostId,
-    /// The ticket concerned, zero for none.
+    /// The ticket, zero if the decision concerns none.
     pub ticket: TicketId,
     /// What was decided.
     pub step: Step,
 }
 
-/// The last decisions, the oldest first.
+/// The latest decisions, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DecisionLog {
     entries: VecDeque<Decision>,
 }
 
 impl DecisionLog {
-    /// Remembers a decision.
+    /// Adds a decision.
     pub(super) fn record(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
         self.entries.push_back(Decision { at, host, ticket, step });
         if MAX_DECISIONS < self.entries.len() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Remembers what an answer to a router grants and refuses.
+    /// Adds the grants and refusals of an answer to a router.
     pub(super) fn record_answer(&mut self, at: Duration, host: HostId, answer: &wire::ShardAnswer) {
         let Some(shard) = answer.shard.as_ref().map(ShardKey::from) else { return };
         for it in &answer.grants {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the decisions on a ticket.
+    /// Returns the decisions about a router's ticket, oldest first.
     pub(super) fn of_ticket(
         &self,
         host: HostId,
--- a/crates/portfield/src/schedule/mod.rs
+++ b/crates/portfield/src/schedule/mod.rs
@@ -1,9 +1,10 @@
 //! Scheduling: queues, fair order and slots of the shards that a host owns.
 //!
-//! A [`Scheduler`] is one process: it knows the members, owns the shards that rendezvous
-//! hashing gives it and holds an [`ShardOwner`] for each. An owner grants a free slot to the
-//! backlogged workspace with the least service for its share ([`Counters`]), lends slots
-//! to owners in other data centres whose workspaces are served less, and borrows theirs.
+//! A [`Scheduler`] is the state of one process. It tracks the members, owns the shards that
+//! rendezvous hashing assigns to its host and holds a [`ShardOwner`] for each. An owner grants a
+//! free slot to the backlogged workspace that was served least relative to its share
+//! ([`Counters`]), lends slots to owners in other data centres whose workspaces were served less,
+//! and borrows slots from them.
 
 mod cost_estimator;
 mod counters;
--- a/crates/portfield/src/schedule/queue.rs
+++ b/crates/portfield/src/schedule/queue.rs
@@ -1,4 +1,4 @@
-//! Tickets that wait, per workspace, interactive before batch with ageing.
+//! Queues of waiting tickets, one per workspace: interactive before batch, with ageing.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,25 +7,25 @@
 
 use crate::ids::{HostId, TicketId, WorkspaceId};
 
-/// After this wait a batch ticket goes before interactive ones.
+/// Wait after which a batch ticket takes precedence over interactive ones.
 const BATCH_AGEING: Duration = Duration::from_secs(10);
 
-/// A ticket that waits.
+/// A waiting ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueuedTicket {
-    /// The router that holds the request.
+    /// Host of the router that holds the request.
     pub host: HostId,
-    /// The router's number for it.
+    /// Number of the ticket, assigned by the router.
     pub id: TicketId,
-    /// Whose request it is.
+    /// Workspace of the request.
     pub workspace: WorkspaceId,
-    /// Cost hint in tokens, zero for none.
+    /// Cost that the caller expects, in tokens; zero if unknown.
     pub hint: u32,
-    /// It may wait behind the workspace's interactive requests.
+    /// Whether it is a batch request, served after the workspace's interactive ones.
     pub is_batch: bool,
-    /// Hash of the prompt's prefix, zero for none.
+    /// Hash of the prompt's prefix; zero if none.
     pub prefix: u32,
-    /// When it began to wait.
+    /// When it began to wait, at this owner or an earlier one.
     pub waiting_since: Duration,
 }
 
@@ -33,19 +33,20 @@
 struct WorkspaceQueue {
     interactive: VecDeque<QueuedTicket>,
     batch: VecDeque<QueuedTicket>,
+    /// Number of tickets in both.
     len: u32,
 }
 
-/// The queues of one shard.
+/// The ticket queues of one shard.
 #[derive(Debug, Clone, Default)]
 pub struct TicketQueues {
     queues: HashMap<WorkspaceId, WorkspaceQueue>,
-    /// Tickets that still wait; a queue may hold cancelled ones until they come up.
+    /// Workspace of each waiting ticket; a queued ticket that is missing here was cancelled.
     waiting: HashMap<(HostId, TicketId), WorkspaceId>,
 }
 
 impl TicketQueues {
-    /// Returns how many tickets wait.
+    /// Returns the number of waiting tickets.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -55,12 +56,12 @@
         self.waiting.is_empty()
     }
 
-    /// Returns how many tickets of a workspace wait.
+    /// Returns the number of waiting tickets of a workspace.
     pub fn n_waiting(&self, id: WorkspaceId) -> u32 {
         self.queues.get(&id).map_or(0, |it| it.len)
     }
 
-    /// Adds a ticket; one that waits already stays where it is.
+    /// Adds a ticket; one that is already queued keeps its position.
     pub fn push(&mut self, ticket: QueuedTicket) {
         let key = (ticket.host, ticket.id);
         if self.waiting.insert(key, ticket.workspace).is_some() {
@@ -69,12 +70,12 @@
         let queue = self.queues.entry(ticket.workspace).or_default();
         queue.len += 1;
         let list = if ticket.is_batch { &mut queue.batch } else { &mut queue.interactive };
-        // A ticket handed over by another owner has waited longer than its neighbours.
+        // A ticket that waited at an earlier owner may be older than those queued here.
         let idx = list.partition_point(|it| it.waiting_since <= ticket.waiting_since);
         list.insert(idx, ticket);
     }
 
-    /// Takes the workspace's next ticket.
+    /// Removes and returns the next ticket of a workspace.
     pub fn pop(&mut self, now: Duration, id: WorkspaceId) -> Option<QueuedTicket> {
         loop {
             let ticket = self.queues.get_mut(&id)?.pop(now)?;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Removes a ticket; returns its workspace if it waited.
+    /// Removes a ticket; returns its workspace if it was queued.
     pub fn cancel(&mut self, host: HostId, id: TicketId) -> Option<WorkspaceId> {
         let workspace = self.waiting.remove(&(host, id))?;
         if let Some(queue) = self.queues.get_mut(&workspace) {
@@ -96,7 +97,7 @@
         Some(workspace)
     }
 
-    /// Removes every ticket of a router; returns the workspaces concerned.
+    /// Removes all tickets of a router; returns their workspaces.
     pub fn cancel_host(&mut self, host: HostId) -> Vec<WorkspaceId> {
         let gone: Vec<_> = self.waiting.keys().filter(|it| it.0 == host).map(|it| it.1).collect();
         let mut res: Vec<_> = gone.into_iter().filter_map(|id| self.cancel(host, id)).collect();
@@ -105,12 +106,12 @@
         res
     }
 
-    /// Returns the routers that have tickets here.
+    /// Returns the host of each ticket's router; a host with several tickets is repeated.
     pub fn hosts(&self) -> impl Iterator<Item = HostId> + '_ {
         self.waiting.keys().map(|it| it.0)
     }
 
-    /// Returns the workspaces that have tickets here, with their number.
+    /// Returns the workspaces that have tickets, each with the number of them.
     pub fn backlog(&self) -> impl Iterator<Item = (WorkspaceId, u32)> + '_ {
         self.queues.iter().map(|(id, it)| (*id, it.len))
     }
--- a/crates/portfield/src/schedule/shard_key.rs
+++ b/crates/portfield/src/schedule/shard_key.rs
@@ -1,4 +1,4 @@
-//! The name of a shard.
+//! Key of a shard.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
     wire,
 };
 
-/// The upstreams of one service in one data centre, or one part of them.
+/// Identifies a shard: the upstreams of one service in one data centre, or a part of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardKey {
     /// The service.
     pub service: ServiceId,
-    /// Where the upstreams stand.
+    /// Data centre of the upstreams.
     pub data_centre: DataCentreId,
-    /// Which part of them.
+    /// Number of the part.
     pub part: u32,
 }
 
--- a/crates/portfield/src/schedule/standby.rs
+++ b/crates/portfield/src/schedule/standby.rs
@@ -1,4 +1,4 @@
-//! What an owner sends ahead to its successor.
+//! Counters that an owner replicates to its successor.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
     wire,
 };
 
-/// Another owner's counters, kept for the case that this host succeeds it.
+/// Counters of another host's shard, kept in case this host becomes its owner.
 #[derive(Debug, Default)]
 pub(super) struct Standby {
-    /// Counters of each ownership.
+    /// Counters of each incarnation of each owner.
     pub(super) sets: BTreeMap<(ShardKey, Incarnation), wire::UsageSet>,
-    /// Lifts of each workspace.
+    /// Lift of each workspace.
     pub(super) lifts: BTreeMap<WorkspaceId, u64>,
 }
 
 impl Standby {
-    /// Returns the latest ownership of a shard that is known.
+    /// Returns the latest known incarnation of a shard's owner.
     pub(super) fn latest_incarnation(&self, shard: ShardKey) -> Option<Incarnation> {
         let all = (shard, 0)..=(shard, Incarnation::MAX);
         self.sets.range(all).next_back().map(|((_, it), _)| *it)
     }
 
-    /// Takes in what the owner sent ahead.
+    /// Merges a frame that the owner sent to its successor.
     pub(super) fn merge(&mut self, frame: &wire::PeerShard) {
         for set in &frame.sets {
             let Some(shard) = set.shard.as_ref().map(ShardKey::from) else { continue };
