--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -212,7 +212,7 @@
         let loan = wire::Loan { id: run.loan, upstream: run.upstream };
         let place = lender.map_or(Place::Own(run.upstream), |it| Place::Borrowed(it, loan));
         if let Place::Own(id) = place {
-            self.slots.confirm(id);
+            self.slots.confirm_used(id);
         }
         let rest = run.estimate.saturating_sub(run.cost);
         let reserved = virtual_cost(rest, self.share(run.workspace));
@@ -238,11 +238,11 @@
         }
         match run.place {
             Place::Own(id) => {
-                self.slots.free(now, id);
+                self.slots.release(now, id);
                 let measured = Duration::from_micros(u64::from(done.pace) * 100);
-                let pace = InterTokenLatency { measured, objective: self.objective };
+                let pace = InterTokenLatency { measured, target: self.objective };
                 if !done.declined {
-                    self.slots.learn(now, id, (!done.failed).then_some(pace));
+                    self.slots.record_outcome(now, id, (!done.failed).then_some(pace));
                 }
             }
             Place::Borrowed(lender, loan) => self.peers.give_back(lender, loan.id),
@@ -259,7 +259,7 @@
             let Some(run) = self.runs.remove(&key) else { continue };
             self.counters.release(run.workspace, run.reserved);
             match run.place {
-                Place::Own(id) => self.slots.doubt(now, id),
+                Place::Own(id) => self.slots.mark_doubtful(now, id),
                 Place::Borrowed(lender, loan) => self.peers.give_up(lender, loan.id),
             }
         }
@@ -268,7 +268,7 @@
 
     /// Takes in an upstream's load report.
     pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
-        self.slots.report(now, id, health);
+        self.slots.record_health(now, id, health);
     }
 
     /// Grants what can be granted.
@@ -280,7 +280,7 @@
             self.counters.enable_lifts();
         }
         self.use_borrowed(now);
-        while self.slots.any_free(now) {
+        while self.slots.has_free(now) {
             let Some(choice) = self.choose() else { break };
             match choice {
                 Choice::Local(id) => self.grant_own(now, id),
@@ -382,13 +382,13 @@
             self.count_waiting(id);
             return;
         };
-        let Some(upstream) = self.slots.choose(now, ticket.prefix) else { return };
-        self.slots.take(now, upstream);
+        let Some(upstream) = self.slots.choose_upstream(now, ticket.prefix) else { return };
+        self.slots.mark_used(now, upstream);
         self.grant(now, ticket, Place::Own(upstream));
     }
 
     fn lend(&mut self, now: Duration, peer: ShardKey) {
-        let Some(upstream) = self.slots.choose(now, 0) else { return };
+        let Some(upstream) = self.slots.choose_upstream(now, 0) else { return };
         let loan = self.peers.lend(now, peer, upstream);
         self.slots.lend(now, upstream, loan);
     }
--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -292,7 +292,7 @@
 
     fn hear_loans(&mut self, now: Duration, from: ShardKey, frame: &wire::PeerShard) {
         for loan in &frame.returns {
-            self.slots.give_back(now, *loan);
+            self.slots.return_loan(now, *loan);
             if let Some(peer) = self.peers.peers.get_mut(&from) {
                 peer.lent.remove(loan);
             }
@@ -331,7 +331,7 @@
         if let Some(it) = self.peers.peers.get_mut(&peer) {
             it.lent.remove(&loan);
         }
-        self.slots.doubt_loan(now, loan);
+        self.slots.mark_loan_doubtful(now, loan);
     }
 
     fn frame(&mut self, now: Duration, to: ShardKey, want: u32) -> Option<wire::PeerShard> {
@@ -423,7 +423,7 @@
             let lent = std::mem::take(&mut peer.lent);
             self.counters.expire_owner(key);
             for loan in lent.into_keys() {
-                self.slots.doubt_loan(now, loan);
+                self.slots.mark_loan_doubtful(now, loan);
             }
         }
     }
--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -12,25 +12,25 @@
 
 /// An upstream's load report lags by this much at most. A longer lag would let a slot in
 /// doubt be granted while its request still runs; a longer limit idles slots after faults.
-const REPORT_LAG: Duration = Duration::from_millis(300);
+const MAX_REPORT_LAG: Duration = Duration::from_millis(300);
 /// A slot in doubt is free after this time, whatever the reports say.
-const DOUBT_LIMIT: Duration = Duration::from_secs(30);
+const DOUBT_TIMEOUT: Duration = Duration::from_secs(30);
 /// A report older than this doesn't count as a sign of life.
-const REPORT_LIMIT: Duration = Duration::from_secs(5);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 /// First pause after a failure; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_PAUSE: Duration = Duration::from_millis(500);
 /// Longest pause after failures.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
 /// A preferred upstream may have this much more load than the mean, in quarters.
-const LOAD_BOUND: u32 = 5;
+const LOAD_BOUND_QUARTERS: u32 = 5;
 /// Prefixes remembered per shard.
 const MAX_PREFIXES: usize = 4096;
 /// The learned limit shrinks by this factor when tokens come too slowly.
-const DECREASE: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 /// The learned limit never falls below this part of the configured slots.
-const MIN_LIMIT: f64 = 0.25;
+const MIN_LIMIT_RATIO: f64 = 0.25;
 /// Time between two decreases, so that a change shows before the next.
-const DECREASE_PAUSE: Duration = Duration::from_secs(2);
+const DECREASE_PERIOD: Duration = Duration::from_secs(2);
 
 /// What an upstream says of itself, or that it says nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,28 +47,28 @@
 }
 
 #[derive(Debug, Clone)]
-struct Upper {
+struct UpstreamSlots {
     slots: u32,
-    leaving: bool,
-    told_leaving: bool,
+    is_leaving: bool,
+    reports_leaving: bool,
     /// Learned limit on requests at once.
     limit: f64,
-    decreased: Duration,
+    decreased_at: Duration,
     used: u32,
     lent: HashMap<LoanId, Duration>,
-    doubt: u32,
+    in_doubt: u32,
     doubt_since: Duration,
     /// Slots known to be used, at each change within the report's lag.
-    known: VecDeque<(Duration, u32)>,
-    reported: Option<Duration>,
-    down: bool,
-    failures: u32,
-    paused: Duration,
+    usage_history: VecDeque<(Duration, u32)>,
+    reported_at: Option<Duration>,
+    is_down: bool,
+    n_failures: u32,
+    paused_until: Duration,
 }
 
-impl Upper {
+impl UpstreamSlots {
     fn load(&self) -> u32 {
-        self.used + self.lent.len() as u32 + self.doubt
+        self.used + self.lent.len() as u32 + self.in_doubt
     }
 
     fn limit(&self) -> u32 {
@@ -76,8 +76,12 @@
     }
 
     fn is_open(&self, now: Duration) -> bool {
-        let fresh = self.reported.is_some_and(|it| now <= it + REPORT_LIMIT);
-        fresh && !self.down && !self.leaving && !self.told_leaving && self.paused <= now
+        let is_fresh = self.reported_at.is_some_and(|it| now <= it + MAX_REPORT_AGE);
+        is_fresh
+            && !self.is_down
+            && !self.is_leaving
+            && !self.reports_leaving
+            && self.paused_until <= now
     }
 
     fn n_free(&self, now: Duration) -> u32 {
@@ -88,9 +92,9 @@
 /// The slots of one shard.
 #[derive(Debug, Clone, Default)]
 pub struct Slots {
-    upstreams: BTreeMap<UpstreamId, Upper>,
+    upstreams: BTreeMap<UpstreamId, UpstreamSlots>,
     prefixes: HashMap<u32, UpstreamId>,
-    recent: VecDeque<u32>,
+    prefix_order: VecDeque<u32>,
 }
 
 impl Slots {
@@ -98,33 +102,33 @@
     pub fn configure<'a>(&mut self, now: Duration, list: impl Iterator<Item = &'a Upstream>) {
         let mut old = std::mem::take(&mut self.upstreams);
         for it in list {
-            let mut upper = old.remove(&it.id).unwrap_or_else(|| Upper {
+            let mut entry = old.remove(&it.id).unwrap_or_else(|| UpstreamSlots {
                 slots: it.slots,
-                leaving: it.leaving,
-                told_leaving: false,
+                is_leaving: it.leaving,
+                reports_leaving: false,
                 limit: f64::from(it.slots),
-                decreased: now,
+                decreased_at: now,
                 used: 0,
                 lent: HashMap::new(),
-                doubt: 0,
+                in_doubt: 0,
                 doubt_since: now,
-                known: VecDeque::new(),
-                reported: None,
-                down: false,
-                failures: 0,
-                paused: Duration::ZERO,
+                usage_history: VecDeque::new(),
+                reported_at: None,
+                is_down: false,
+                n_failures: 0,
+                paused_until: Duration::ZERO,
             });
-            if upper.slots != it.slots {
-                upper.limit = f64::from(it.slots);
+            if entry.slots != it.slots {
+                entry.limit = f64::from(it.slots);
             }
-            upper.slots = it.slots;
-            upper.leaving = it.leaving;
-            self.upstreams.insert(it.id, upper);
+            entry.slots = it.slots;
+            entry.is_leaving = it.leaving;
+            self.upstreams.insert(it.id, entry);
         }
     }
 
     /// Returns whether any slot is free.
-    pub fn any_free(&self, now: Duration) -> bool {
+    pub fn has_free(&self, now: Duration) -> bool {
         self.upstreams.values().any(|it| 0 < it.n_free(now))
     }
 
@@ -136,151 +140,156 @@
     /// Returns slots in all and slots in use.
     pub fn usage(&self) -> (u32, u32) {
         let total = self.upstreams.values().map(|it| it.slots).sum();
-        let used = self.upstreams.values().map(Upper::load).sum();
+        let used = self.upstreams.values().map(UpstreamSlots::load).sum();
         (total, used)
     }
 
     /// Chooses an upstream with a free slot: the one that has the prefix unless it is
     /// much more loaded than the others (consistent hashing with bounded loads, Mirrokni,
     /// Thorup and Zadimoghaddam, SODA 2018), else the least loaded.
-    pub fn choose(&mut self, now: Duration, prefix: u32) -> Option<UpstreamId> {
-        let chosen = self.preferred(now, prefix).or_else(|| self.least(now))?;
+    pub fn choose_upstream(&mut self, now: Duration, prefix: u32) -> Option<UpstreamId> {
+        let chosen = self.upstream_of_prefix(now, prefix).or_else(|| self.least_loaded(now))?;
         if prefix != 0 {
-            self.remember(prefix, chosen);
+            self.remember_prefix(prefix, chosen);
         }
         Some(chosen)
     }
 
     /// Marks a slot as used.
-    pub fn take(&mut self, now: Duration, id: UpstreamId) {
-        self.with(id, |it| {
+    pub fn mark_used(&mut self, now: Duration, id: UpstreamId) {
+        self.update(id, |it| {
             it.used += 1;
-            it.note(now);
+            it.record_usage(now);
         });
     }
 
     /// Marks a slot as used by a request that ran already, and so was in doubt if anything.
-    pub fn confirm(&mut self, id: UpstreamId) {
-        self.with(id, |it| {
+    pub fn confirm_used(&mut self, id: UpstreamId) {
+        self.update(id, |it| {
             it.used += 1;
-            it.doubt = it.doubt.saturating_sub(1);
+            it.in_doubt = it.in_doubt.saturating_sub(1);
         });
     }
 
     /// Frees a used slot.
-    pub fn free(&mut self, now: Duration, id: UpstreamId) {
-        self.with(id, |it| {
+    pub fn release(&mut self, now: Duration, id: UpstreamId) {
+        self.update(id, |it| {
             it.used = it.used.saturating_sub(1);
-            it.note(now);
+            it.record_usage(now);
         });
     }
 
     /// Marks a slot as lent.
     pub fn lend(&mut self, now: Duration, id: UpstreamId, loan: LoanId) {
-        self.with(id, |it| {
+        self.update(id, |it| {
             it.lent.insert(loan, now);
-            it.note(now);
+            it.record_usage(now);
         });
     }
 
     /// Frees a lent slot; returns whether it was lent.
-    pub fn give_back(&mut self, now: Duration, loan: LoanId) -> bool {
-        let lender = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
-        let Some(it) = lender else { return false };
+    pub fn return_loan(&mut self, now: Duration, loan: LoanId) -> bool {
+        let entry = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
+        let Some(it) = entry else { return false };
         it.lent.remove(&loan);
-        it.note(now);
+        it.record_usage(now);
         true
     }
 
     /// Puts a used slot in doubt: whoever used it is gone, the request may still run.
-    pub fn doubt(&mut self, now: Duration, id: UpstreamId) {
-        self.with(id, |it| {
+    pub fn mark_doubtful(&mut self, now: Duration, id: UpstreamId) {
+        self.update(id, |it| {
             it.used = it.used.saturating_sub(1);
-            it.doubt += 1;
+            it.in_doubt += 1;
             it.doubt_since = now;
-            it.note(now);
+            it.record_usage(now);
         });
     }
 
     /// Puts a lent slot in doubt.
-    pub fn doubt_loan(&mut self, now: Duration, loan: LoanId) {
-        let lender = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
-        let Some(it) = lender else { return };
+    pub fn mark_loan_doubtful(&mut self, now: Duration, loan: LoanId) {
+        let entry = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
+        let Some(it) = entry else { return };
         it.lent.remove(&loan);
-        it.doubt += 1;
+        it.in_doubt += 1;
         it.doubt_since = now;
-        it.note(now);
+        it.record_usage(now);
     }
 
     /// Takes in a load report; what runs beyond what is known stays in doubt.
-    pub fn report(&mut self, now: Duration, id: UpstreamId, health: Health) {
-        self.with(id, |it| {
+    pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
+        self.update(id, |it| {
             let Health::Up { running, leaving } = health else {
-                it.down = true;
+                it.is_down = true;
                 return;
             };
-            let is_first = it.reported.is_none();
-            it.down = false;
-            it.told_leaving = leaving;
-            it.reported = Some(now);
-            let beyond = running.saturating_sub(it.least_known(now));
-            let is_settled = it.doubt_since + REPORT_LAG < now;
-            let expired = it.doubt_since + DOUBT_LIMIT <= now;
+            let is_first = it.reported_at.is_none();
+            it.is_down = false;
+            it.reports_leaving = leaving;
+            it.reported_at = Some(now);
+            let unexplained = running.saturating_sub(it.min_recent_usage(now));
+            let is_reflected = it.doubt_since + MAX_REPORT_LAG < now;
+            let is_expired = it.doubt_since + DOUBT_TIMEOUT <= now;
             if is_first {
-                it.doubt = beyond;
+                it.in_doubt = unexplained;
                 it.doubt_since = now;
-            } else if expired {
-                it.doubt = 0;
-            } else if is_settled {
-                it.doubt = it.doubt.min(beyond);
+            } else if is_expired {
+                it.in_doubt = 0;
+            } else if is_reflected {
+                it.in_doubt = it.in_doubt.min(unexplained);
             }
         });
     }
 
-    /// Learns from the end of a request: a failure (no pace) pauses the upstream, slow tokens lower
+    /// Learns from the end of a request: a failure (no latency) pauses the upstream, slow tokens lower
     /// its limit (additive increase, multiplicative decrease; Chiu and Jain, 1989).
-    pub fn learn(&mut self, now: Duration, id: UpstreamId, pace: Option<InterTokenLatency>) {
-        self.with(id, |it| match pace {
+    pub fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: UpstreamId,
+        latency: Option<InterTokenLatency>,
+    ) {
+        self.update(id, |it| match latency {
             None => {
-                let pause = FIRST_PAUSE * 2u32.pow(it.failures.min(4));
-                it.failures += 1;
-                it.paused = now + pause.min(MAX_PAUSE);
+                let pause = INITIAL_PAUSE * 2u32.pow(it.n_failures.min(4));
+                it.n_failures += 1;
+                it.paused_until = now + pause.min(MAX_PAUSE);
             }
-            Some(pace) => {
-                it.failures = 0;
-                it.adapt(now, pace);
+            Some(latency) => {
+                it.n_failures = 0;
+                it.adapt_limit(now, latency);
             }
         });
     }
 
-    fn preferred(&self, now: Duration, prefix: u32) -> Option<UpstreamId> {
+    fn upstream_of_prefix(&self, now: Duration, prefix: u32) -> Option<UpstreamId> {
         let id = *self.prefixes.get(&prefix)?;
         let it = self.upstreams.get(&id)?;
         let n = self.upstreams.len() as u32;
-        let load: u32 = self.upstreams.values().map(Upper::load).sum();
-        let bound = (load + 1) * LOAD_BOUND / (4 * n) + 1;
+        let load: u32 = self.upstreams.values().map(UpstreamSlots::load).sum();
+        let bound = (load + 1) * LOAD_BOUND_QUARTERS / (4 * n) + 1;
         (0 < it.n_free(now) && it.load() < bound).then_some(id)
     }
 
-    fn least(&self, now: Duration) -> Option<UpstreamId> {
+    fn least_loaded(&self, now: Duration) -> Option<UpstreamId> {
         let free = self.upstreams.iter().filter(|(_, it)| 0 < it.n_free(now));
-        let by_load = |it: &Upper| u64::from(it.load()) * 1000 / u64::from(it.limit());
-        free.min_by_key(|(_, it)| by_load(it)).map(|(id, _)| *id)
+        let load_ratio = |it: &UpstreamSlots| u64::from(it.load()) * 1000 / u64::from(it.limit());
+        free.min_by_key(|(_, it)| load_ratio(it)).map(|(id, _)| *id)
     }
 
-    fn remember(&mut self, prefix: u32, id: UpstreamId) {
+    fn remember_prefix(&mut self, prefix: u32, id: UpstreamId) {
         if self.prefixes.insert(prefix, id).is_some() {
             return;
         }
-        self.recent.push_back(prefix);
-        if MAX_PREFIXES < self.recent.len()
-            && let Some(old) = self.recent.pop_front()
+        self.prefix_order.push_back(prefix);
+        if MAX_PREFIXES < self.prefix_order.len()
+            && let Some(oldest) = self.prefix_order.pop_front()
         {
-            self.prefixes.remove(&old);
+            self.prefixes.remove(&oldest);
         }
     }
 
-    fn with(&mut self, id: UpstreamId, f: impl FnOnce(&mut Upper)) {
+    fn update(&mut self, id: UpstreamId, f: impl FnOnce(&mut UpstreamSlots)) {
         if let Some(it) = self.upstreams.get_mut(&id) {
             f(it);
         }
@@ -293,38 +302,39 @@
     /// Mean of one request.
     pub measured: Duration,
     /// Largest acceptable mean.
-    pub objective: Duration,
+    pub target: Duration,
 }
 
-impl Upper {
+impl UpstreamSlots {
     /// Remembers how many slots are known to be used.
-    fn note(&mut self, now: Duration) {
-        self.known.push_back((now, self.used + self.lent.len() as u32));
-        while self.known.get(1).is_some_and(|it| it.0 + REPORT_LAG < now) {
-            self.known.pop_front();
+    fn record_usage(&mut self, now: Duration) {
+        self.usage_history.push_back((now, self.used + self.lent.len() as u32));
+        while self.usage_history.get(1).is_some_and(|it| it.0 + MAX_REPORT_LAG < now) {
+            self.usage_history.pop_front();
         }
     }
 
     /// Returns the fewest slots that were known to be used at any moment that the report may
     /// speak of: what it names beyond them may still run, whoever started it.
-    fn least_known(&self, now: Duration) -> u32 {
+    fn min_recent_usage(&self, now: Duration) -> u32 {
         let present = self.used + self.lent.len() as u32;
         // The last change before the window holds at its start.
-        let n_older = self.known.iter().take_while(|it| it.0 + REPORT_LAG < now).count();
-        let recent = self.known.iter().skip(n_older.saturating_sub(1));
+        let n_older =
+            self.usage_history.iter().take_while(|it| it.0 + MAX_REPORT_LAG < now).count();
+        let recent = self.usage_history.iter().skip(n_older.saturating_sub(1));
         recent.map(|it| it.1).fold(present, u32::min)
     }
 
-    fn adapt(&mut self, now: Duration, pace: InterTokenLatency) {
-        if pace.measured.is_zero() || pace.objective.is_zero() {
+    fn adapt_limit(&mut self, now: Duration, latency: InterTokenLatency) {
+        if latency.measured.is_zero() || latency.target.is_zero() {
             return;
         }
-        if pace.measured <= pace.objective {
+        if latency.measured <= latency.target {
             self.limit = (self.limit + 1.0 / self.limit).min(f64::from(self.slots));
-        } else if self.decreased + DECREASE_PAUSE <= now {
-            let least = f64::from(self.slots) * MIN_LIMIT;
-            self.limit = (self.limit * DECREASE).max(least).max(1.0);
-            self.decreased = now;
+        } else if self.decreased_at + DECREASE_PERIOD <= now {
+            let min = f64::from(self.slots) * MIN_LIMIT_RATIO;
+            self.limit = (self.limit * DECREASE_FACTOR).max(min).max(1.0);
+            self.decreased_at = now;
         }
     }
 }
