--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -1,4 +1,6 @@
-//! Slots of the upstreams of one shard: which are free, used, lent or in doubt.
+//! Slots of the upstreams of one shard: free, used, lent or in doubt.
+//!
+//! A slot is in doubt if a request may still run in it that no known router or borrower holds.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -10,58 +12,69 @@
     ids::{LoanId, UpstreamId},
 };
 
-/// An upstream's load report lags by this much at most. A longer lag would let a slot in
-/// doubt be granted while its request still runs; a longer limit idles slots after faults.
+/// Longest time by which an upstream's load report lags. If reports lagged longer, a slot in doubt
+/// could be granted while its request still runs; a larger value leaves slots idle after faults.
 const MAX_REPORT_LAG: Duration = Duration::from_millis(300);
-/// A slot in doubt is free after this time, whatever the reports say.
+/// Time after which a slot in doubt is free, whatever the load reports say.
 const DOUBT_TIMEOUT: Duration = Duration::from_secs(30);
-/// A report older than this doesn't count as a sign of life.
+/// Age of the latest load report beyond which its upstream gets no requests.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
-/// First pause after a failure; doubles with each further one.
+/// Pause after a failure; doubles with each further one.
 const INITIAL_PAUSE: Duration = Duration::from_millis(500);
 /// Longest pause after failures.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
-/// A preferred upstream may have this much more load than the mean, in quarters.
+/// Load that an upstream chosen by prefix may have, in quarters of the mean load.
 const LOAD_BOUND_QUARTERS: u32 = 5;
-/// Prefixes remembered per shard.
+/// Prefixes remembered per shard; beyond it the oldest is dropped.
 const MAX_PREFIXES: usize = 4096;
-/// The learned limit shrinks by this factor when tokens come too slowly.
+/// Factor by which the adaptive limit decreases if the inter-token latency is above its target.
 const DECREASE_FACTOR: f64 = 0.9;
-/// The learned limit never falls below this part of the configured slots.
+/// Lower bound of the adaptive limit, as a fraction of the configured slots.
 const MIN_LIMIT_RATIO: f64 = 0.25;
-/// Time between two decreases, so that a change shows before the next.
+/// Shortest time between two decreases, so that the effect of one is measured before the next.
 const DECREASE_PERIOD: Duration = Duration::from_secs(2);
 
-/// What an upstream says of itself, or that it says nothing.
+/// Result of a health check of an upstream, which also reports its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// It answered.
     Up {
-        /// Requests it runs, some time ago.
+        /// Running requests; the value may lag.
         running: u32,
-        /// It wants no new work.
+        /// Whether it is shutting down and accepts no new requests.
         leaving: bool,
     },
     /// It did not answer.
     Down,
 }
 
+/// Slots of one upstream, and whether they may be granted.
 #[derive(Debug, Clone)]
 struct UpstreamSlots {
+    /// Configured number of slots.
     slots: u32,
+    /// Whether the configuration says that it is leaving.
     is_leaving: bool,
+    /// Whether its latest health check says so.
     reports_leaving: bool,
-    /// Learned limit on requests at once.
+    /// Adaptive limit on concurrent requests.
     limit: f64,
+    /// When the limit was last decreased.
     decreased_at: Duration,
     used: u32,
+    /// Lent slots, each with the time of its loan.
     lent: HashMap<LoanId, Duration>,
+    /// Number of slots in doubt.
     in_doubt: u32,
+    /// When a slot last came to be in doubt.
     doubt_since: Duration,
-    /// Slots known to be used, at each change within the report's lag.
+    /// Number of used and lent slots after each change; older changes than [`MAX_REPORT_LAG`] are
+    /// dropped but for the latest one.
     usage_history: VecDeque<(Duration, u32)>,
+    /// When it last answered a health check.
     reported_at: Option<Duration>,
     is_down: bool,
+    /// Consecutive failed requests.
     n_failures: u32,
     paused_until: Duration,
 }
@@ -93,12 +106,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct Slots {
     upstreams: BTreeMap<UpstreamId, UpstreamSlots>,
+    /// Upstream last chosen for each prefix.
     prefixes: HashMap<u32, UpstreamId>,
+    /// The same prefixes in order of insertion.
     prefix_order: VecDeque<u32>,
 }
 
 impl Slots {
-    /// Adopts the configured upstreams; one that stays keeps its state.
+    /// Sets the configured upstreams; those already known keep their state.
     pub fn configure<'a>(&mut self, now: Duration, list: impl Iterator<Item = &'a Upstream>) {
         let mut old = std::mem::take(&mut self.upstreams);
         for it in list {
@@ -132,21 +147,23 @@
         self.upstreams.values().any(|it| 0 < it.n_free(now))
     }
 
-    /// Returns how many slots are free.
+    /// Returns the number of free slots.
     pub fn n_free(&self, now: Duration) -> u32 {
         self.upstreams.values().map(|it| it.n_free(now)).sum()
     }
 
-    /// Returns slots in all and slots in use.
+    /// Returns the number of configured slots, and of those used, lent or in doubt.
     pub fn usage(&self) -> (u32, u32) {
         let total = self.upstreams.values().map(|it| it.slots).sum();
         let used = self.upstreams.values().map(UpstreamSlots::load).sum();
         (total, used)
     }
 
-    /// Chooses an upstream with a free slot: the one that has the prefix unless it is
-    /// much more loaded than the others (consistent hashing with bounded loads, Mirrokni,
-    /// Thorup and Zadimoghaddam, SODA 2018), else the least loaded.
+    /// Chooses an upstream with a free slot: the one last chosen for the prefix unless its load is
+    /// well above the mean, otherwise the least loaded. A `prefix` of zero means none.
+    ///
+    /// The bound is that of consistent hashing with bounded loads (Mirrokni, Thorup and
+    /// Zadimoghaddam, SODA 2018).
     pub fn choose_upstream(&mut self, now: Duration, prefix: u32) -> Option<UpstreamId> {
         let chosen = self.upstream_of_prefix(now, prefix).or_else(|| self.least_loaded(now))?;
         if prefix != 0 {
@@ -163,7 +180,7 @@
         });
     }
 
-    /// Marks a slot as used by a request that ran already, and so was in doubt if anything.
+    /// Marks a slot as used by a request that was already running; its slot may have been in doubt.
     pub fn confirm_used(&mut self, id: UpstreamId) {
         self.update(id, |it| {
             it.used += 1;
@@ -171,7 +188,7 @@
         });
     }
 
-    /// Frees a used slot.
+    /// Releases a used slot.
     pub fn release(&mut self, now: Duration, id: UpstreamId) {
         self.update(id, |it| {
             it.used = it.used.saturating_sub(1);
@@ -187,7 +204,7 @@
         });
     }
 
-    /// Frees a lent slot; returns whether it was lent.
+    /// Releases a lent slot; returns whether it was lent.
     pub fn return_loan(&mut self, now: Duration, loan: LoanId) -> bool {
         let entry = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
         let Some(it) = entry else { return false };
@@ -196,7 +213,7 @@
         true
     }
 
-    /// Puts a used slot in doubt: whoever used it is gone, the request may still run.
+    /// Marks a used slot as in doubt: its router is gone, but the request may still run.
     pub fn mark_doubtful(&mut self, now: Duration, id: UpstreamId) {
         self.update(id, |it| {
             it.used = it.used.saturating_sub(1);
@@ -206,7 +223,7 @@
         });
     }
 
-    /// Puts a lent slot in doubt.
+    /// Marks a lent slot as in doubt.
     pub fn mark_loan_doubtful(&mut self, now: Duration, loan: LoanId) {
         let entry = self.upstreams.values_mut().find(|it| it.lent.contains_key(&loan));
         let Some(it) = entry else { return };
@@ -216,7 +233,8 @@
         it.record_usage(now);
     }
 
-    /// Takes in a load report; what runs beyond what is known stays in doubt.
+    /// Records a health check. As many slots stay in doubt as the upstream reports more running
+    /// requests than are known.
     pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
         self.update(id, |it| {
             let Health::Up { running, leaving } = health else {
@@ -241,8 +259,9 @@
         });
     }
 
-    /// Learns from the end of a request: a failure (no latency) pauses the upstream, slow tokens lower
-    /// its limit (additive increase, multiplicative decrease; Chiu and Jain, 1989).
+    /// Records the end of a request, with its latency unless it failed. A failure pauses the
+    /// upstream; the latency adapts its limit (additive increase, multiplicative decrease; Chiu and
+    /// Jain, 1989).
     pub fn record_outcome(
         &mut self,
         now: Duration,
@@ -296,17 +315,17 @@
     }
 }
 
-/// Time between tokens as measured and as the objective has it; zero is unknown.
+/// Mean time between the tokens of a request, measured and required; zero means unknown.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct InterTokenLatency {
-    /// Mean of one request.
+    /// Measured mean.
     pub measured: Duration,
-    /// Largest acceptable mean.
+    /// Largest acceptable mean, from the service's configuration.
     pub target: Duration,
 }
 
 impl UpstreamSlots {
-    /// Remembers how many slots are known to be used.
+    /// Adds the current number of used and lent slots to the history.
     fn record_usage(&mut self, now: Duration) {
         self.usage_history.push_back((now, self.used + self.lent.len() as u32));
         while self.usage_history.get(1).is_some_and(|it| it.0 + MAX_REPORT_LAG < now) {
@@ -314,11 +333,11 @@
         }
     }
 
-    /// Returns the fewest slots that were known to be used at any moment that the report may
-    /// speak of: what it names beyond them may still run, whoever started it.
+    /// Returns the smallest number of used and lent slots within [`MAX_REPORT_LAG`]. The load report
+    /// may be as old as that; running requests beyond this number belong to slots in doubt.
     fn min_recent_usage(&self, now: Duration) -> u32 {
         let present = self.used + self.lent.len() as u32;
-        // The last change before the window holds at its start.
+        // The latest change before the window gives the value at its start.
         let n_older =
             self.usage_history.iter().take_while(|it| it.0 + MAX_REPORT_LAG < now).count();
         let recent = self.usage_history.iter().skip(n_older.saturating_sub(1));
