--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -27,7 +27,7 @@
     /// Returns the later owner that this host has heard of than the one that sent a frame.
     pub(super) fn later_owner(&self, frame: &wire::PeerShard) -> Option<wire::Outdated> {
         let (from, to) = (frame.from.as_ref()?.into(), frame.to.as_ref()?.into());
-        let incarnation = self.owners.get(&to)?.heard_from(from)?;
+        let incarnation = self.owners.get(&to)?.peer_incarnation(from)?;
         let outdated = wire::Outdated { shard: frame.from, incarnation };
         (frame.incarnation < incarnation).then_some(outdated)
     }
@@ -74,7 +74,7 @@
             let Some(shard) = shard.filter(|it| self.owners.contains_key(it)) else { continue };
             let incarnation = self.new_incarnation(now, Some(it.incarnation));
             if let Some(owner) = self.owners.get_mut(&shard) {
-                owner.renumber(incarnation);
+                owner.change_incarnation(incarnation);
             }
         }
     }
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -22,7 +22,7 @@
 /// Grants remembered to say when to come back.
 const RATE_WINDOW: usize = 64;
 /// Workspaces elsewhere that one pick looks at while something waits here.
-const MAX_LOOKS: usize = 16;
+const MAX_EXAMINED: usize = 16;
 /// Shortest and longest time after which a refused caller is told to come back.
 const RETRY_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
@@ -59,15 +59,15 @@
 
 /// Where a request runs: at an own upstream, or at a peer's by a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Place {
+pub(super) enum SlotSource {
     Own(UpstreamId),
     Borrowed(ShardKey, wire::Loan),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Run {
+struct RunningRequest {
     workspace: WorkspaceId,
-    place: Place,
+    slot: SlotSource,
     hint: u32,
     cost: u32,
     reserved: VirtualCost,
@@ -102,20 +102,20 @@
 pub struct ShardOwner {
     pub(super) shard: ShardKey,
     pub(super) incarnation: Incarnation,
-    pub(super) limits: OwnerConfig,
+    pub(super) config: OwnerConfig,
     pub(super) counters: Counters,
     pub(super) slots: Slots,
     pub(super) peers: Peers,
     queues: TicketQueues,
-    estimates: CostEstimator,
+    estimator: CostEstimator,
     shares: HashMap<WorkspaceId, u32>,
     mean_share: u32,
-    objective: Duration,
-    granting: Duration,
-    runs: HashMap<(HostId, TicketId), Run>,
-    grants: VecDeque<Duration>,
-    outbox: BTreeMap<HostId, wire::ShardAnswer>,
-    steps: u64,
+    target_latency: Duration,
+    recovery_end: Duration,
+    running: HashMap<(HostId, TicketId), RunningRequest>,
+    grant_times: VecDeque<Duration>,
+    answers: BTreeMap<HostId, wire::ShardAnswer>,
+    n_examined: u64,
 }
 
 impl ShardOwner {
@@ -124,25 +124,25 @@
         now: Duration,
         shard: ShardKey,
         incarnation: Incarnation,
-        limits: OwnerConfig,
+        config: OwnerConfig,
     ) -> Self {
         Self {
             shard,
             incarnation,
-            granting: now + limits.recovery_time,
-            limits,
+            recovery_end: now + config.recovery_time,
+            config,
             counters: Counters::default(),
             slots: Slots::default(),
             peers: Peers::default(),
             queues: TicketQueues::default(),
-            estimates: CostEstimator::default(),
+            estimator: CostEstimator::default(),
             shares: HashMap::new(),
             mean_share: 1,
-            objective: Duration::ZERO,
-            runs: HashMap::new(),
-            grants: VecDeque::new(),
-            outbox: BTreeMap::new(),
-            steps: 0,
+            target_latency: Duration::ZERO,
+            running: HashMap::new(),
+            grant_times: VecDeque::new(),
+            answers: BTreeMap::new(),
+            n_examined: 0,
         }
     }
 
@@ -151,25 +151,25 @@
         self.shares = fleet.workspaces.iter().map(|it| (it.id, it.share)).collect();
         let sum: u32 = self.shares.values().sum();
         self.mean_share = (sum / self.shares.len().max(1) as u32).max(1);
-        let gap = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
-        self.objective = Duration::from_millis(gap);
+        let target_ms = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
+        self.target_latency = Duration::from_millis(target_ms);
         self.slots.configure(now, fleet.upstreams_of(self.shard));
     }
 
     /// Returns when it grants its first slot.
     pub fn recovery_end(&self) -> Duration {
-        self.granting
+        self.recovery_end
     }
 
     /// Returns how many workspaces its decisions looked at so far, for benches.
     pub fn n_examined(&self) -> u64 {
-        self.steps
+        self.n_examined
     }
 
     /// Queues a ticket, or says when to come back.
     pub fn register(&mut self, now: Duration, host: HostId, ticket: &wire::Ticket) {
         // A ticket that is registered again never used its grant.
-        if self.runs.contains_key(&(host, ticket.id)) {
+        if self.running.contains_key(&(host, ticket.id)) {
             self.finish(
                 now,
                 host,
@@ -177,10 +177,10 @@
             );
         }
         let id = ticket.workspace;
-        if !self.shares.contains_key(&id) || self.limits.max_queued <= self.queues.n_waiting(id) {
+        if !self.shares.contains_key(&id) || self.config.max_queued <= self.queues.n_waiting(id) {
             let retry = self.retry_after(now, id).as_millis() as u32;
             let refusal = wire::Refusal { ticket: ticket.id, retry };
-            self.answer(host).refusals.push(refusal);
+            self.answer_to(host).refusals.push(refusal);
             return;
         }
         self.queues.push(QueuedTicket {
@@ -192,78 +192,85 @@
             prefix: ticket.prefix,
             waiting_since: now.saturating_sub(Duration::from_millis(u64::from(ticket.waited))),
         });
-        self.count_waiting(id);
+        self.update_waiting(id);
     }
 
     /// Takes a ticket out of its queue.
     pub fn cancel(&mut self, host: HostId, id: TicketId) {
         if let Some(workspace) = self.queues.cancel(host, id) {
-            self.count_waiting(workspace);
+            self.update_waiting(workspace);
         }
     }
 
     /// Takes over a request that runs already under an earlier owner's grant.
     ///
     /// `lender` is the shard of the upstream it runs on, where that is not this one.
-    pub fn resume(&mut self, host: HostId, run: &wire::Running, lender: Option<ShardKey>) {
-        if self.runs.contains_key(&(host, run.id)) {
+    pub fn resume(&mut self, host: HostId, running: &wire::Running, lender: Option<ShardKey>) {
+        if self.running.contains_key(&(host, running.id)) {
             return;
         }
-        let loan = wire::Loan { id: run.loan, upstream: run.upstream };
-        let place = lender.map_or(Place::Own(run.upstream), |it| Place::Borrowed(it, loan));
-        if let Place::Own(id) = place {
+        let loan = wire::Loan { id: running.loan, upstream: running.upstream };
+        let slot =
+            lender.map_or(SlotSource::Own(running.upstream), |it| SlotSource::Borrowed(it, loan));
+        if let SlotSource::Own(id) = slot {
             self.slots.confirm_used(id);
         }
-        let rest = run.estimate.saturating_sub(run.cost);
-        let reserved = virtual_cost(rest, self.share(run.workspace));
-        self.counters.reserve(run.workspace, reserved);
-        let res = Run { workspace: run.workspace, place, hint: 0, cost: run.cost, reserved };
-        self.runs.insert((host, run.id), res);
+        let remaining = running.estimate.saturating_sub(running.cost);
+        let reserved = virtual_cost(remaining, self.share(running.workspace));
+        self.counters.reserve(running.workspace, reserved);
+        let request = RunningRequest {
+            workspace: running.workspace,
+            slot,
+            hint: 0,
+            cost: running.cost,
+            reserved,
+        };
+        self.running.insert((host, running.id), request);
     }
 
     /// Counts what a running request has cost so far.
     pub fn record_progress(&mut self, host: HostId, progress: &wire::Progress) {
-        let Some(mut run) = self.runs.get(&(host, progress.id)).copied() else { return };
-        self.charge(&mut run, progress.cost);
-        self.runs.insert((host, progress.id), run);
+        let Some(mut request) = self.running.get(&(host, progress.id)).copied() else { return };
+        self.charge(&mut request, progress.cost);
+        self.running.insert((host, progress.id), request);
     }
 
     /// Ends a request that had a grant.
     pub fn finish(&mut self, now: Duration, host: HostId, done: &wire::Done) {
-        let Some(mut run) = self.runs.remove(&(host, done.id)) else { return };
-        self.charge(&mut run, done.cost);
-        self.counters.release(run.workspace, run.reserved);
+        let Some(mut request) = self.running.remove(&(host, done.id)) else { return };
+        self.charge(&mut request, done.cost);
+        self.counters.release(request.workspace, request.reserved);
         if !done.declined && !done.failed {
-            self.estimates.observe(run.workspace, run.hint, done.cost);
+            self.estimator.observe(request.workspace, request.hint, done.cost);
         }
-        match run.place {
-            Place::Own(id) => {
+        match request.slot {
+            SlotSource::Own(id) => {
                 self.slots.release(now, id);
                 let measured = Duration::from_micros(u64::from(done.pace) * 100);
-                let pace = InterTokenLatency { measured, target: self.objective };
+                let latency = InterTokenLatency { measured, target: self.target_latency };
                 if !done.declined {
-                    self.slots.record_outcome(now, id, (!done.failed).then_some(pace));
+                    self.slots.record_outcome(now, id, (!done.failed).then_some(latency));
                 }
             }
-            Place::Borrowed(lender, loan) => self.peers.give_back(lender, loan.id),
+            SlotSource::Borrowed(lender, loan) => self.peers.return_loan(lender, loan.id),
         }
     }
 
     /// Forgets a router that is gone: its tickets end, its slots are in doubt.
     pub fn remove_router(&mut self, now: Duration, host: HostId) {
         for id in self.queues.cancel_host(host) {
-            self.count_waiting(id);
+            self.update_waiting(id);
         }
-        let gone: Vec<_> = self.runs.keys().filter(|it| it.0 == host).copied().collect();
+        let gone: Vec<_> = self.running.keys().filter(|it| it.0 == host).copied().collect();
         for key in gone {
-            let Some(run) = self.runs.remove(&key) else { continue };
-            self.counters.release(run.workspace, run.reserved);
-            match run.place {
-                Place::Own(id) => self.slots.mark_doubtful(now, id),
-                Place::Borrowed(lender, loan) => self.peers.give_up(lender, loan.id),
+            let Some(request) = self.running.remove(&key) else { continue };
+            self.counters.release(request.workspace, request.reserved);
+            match request.slot {
+                SlotSource::Own(id) => self.slots.mark_doubtful(now, id),
+                SlotSource::Borrowed(lender, loan) => self.peers.return_doubtful(lender, loan.id),
             }
         }
-        self.outbox.remove(&host);
+        self.answers.remove(&host);
     }
 
     /// Takes in an upstream's load report.
@@ -273,30 +280,31 @@
 
     /// Grants what can be granted.
     pub fn dispatch(&mut self, now: Duration) {
-        if now < self.granting {
+        if now < self.recovery_end {
             return;
         }
-        if self.knows_peers(now) {
+        if self.is_synced(now) {
             self.counters.enable_lifts();
         }
-        self.use_borrowed(now);
+        self.grant_borrowed(now);
         while self.slots.has_free(now) {
-            let Some(choice) = self.choose() else { break };
-            match choice {
-                Choice::Local(id) => self.grant_own(now, id),
-                Choice::Peer(peer) => self.lend(now, peer),
+            let Some(recipient) = self.choose_recipient() else { break };
+            match recipient {
+                Recipient::Local(id) => self.grant_local(now, id),
+                Recipient::Peer(peer) => self.lend_slot(now, peer),
             }
         }
     }
 
     /// Takes the answers to send.
     pub fn take_answers(&mut self) -> BTreeMap<HostId, wire::ShardAnswer> {
-        std::mem::take(&mut self.outbox)
+        std::mem::take(&mut self.answers)
     }
 
     /// Returns every router that has something here.
     pub fn routers(&self) -> Vec<HostId> {
-        let mut res: Vec<_> = self.queues.hosts().chain(self.runs.keys().map(|it| it.0)).collect();
+        let mut res: Vec<_> =
+            self.queues.hosts().chain(self.running.keys().map(|it| it.0)).collect();
         res.sort_unstable();
         res.dedup();
         res
@@ -320,21 +328,21 @@
     }
 
     /// Returns the loans of `lender` that are in use.
-    pub(super) fn held_from(&self, lender: ShardKey) -> Vec<wire::Loan> {
-        let loans = self.runs.values().filter_map(|it| match it.place {
-            Place::Borrowed(from, loan) if from == lender => Some(loan),
+    pub(super) fn loans_in_use(&self, lender: ShardKey) -> Vec<wire::Loan> {
+        let loans = self.running.values().filter_map(|it| match it.slot {
+            SlotSource::Borrowed(from, loan) if from == lender => Some(loan),
             _ => None,
         });
         loans.collect()
     }
 
     /// Returns tickets beyond the slots that are free here.
-    pub(super) fn want(&self, now: Duration) -> u32 {
+    pub(super) fn excess_tickets(&self, now: Duration) -> u32 {
         (self.queues.len() as u32).saturating_sub(self.slots.n_free(now))
     }
 
     /// Returns a cost in tokens at the mean share in virtual units.
-    pub(super) fn at_mean(&self, cost: u32) -> VirtualCost {
+    pub(super) fn cost_at_mean_share(&self, cost: u32) -> VirtualCost {
         u64::from(cost) * UNITS_PER_TOKEN / u64::from(self.mean_share)
     }
 
@@ -342,97 +350,98 @@
         self.shares.get(&id).copied().unwrap_or(1)
     }
 
-    fn count_waiting(&mut self, id: WorkspaceId) {
+    fn update_waiting(&mut self, id: WorkspaceId) {
         self.counters.set_waiting(id, self.queues.n_waiting(id));
     }
 
-    fn charge(&mut self, run: &mut Run, cost: u32) {
-        let delta = cost.saturating_sub(run.cost);
+    fn charge(&mut self, request: &mut RunningRequest, cost: u32) {
+        let delta = cost.saturating_sub(request.cost);
         if delta == 0 {
             return;
         }
-        let amount = virtual_cost(delta, self.share(run.workspace));
-        self.counters.record_served(run.workspace, amount, run.reserved);
-        run.reserved = run.reserved.saturating_sub(amount);
-        run.cost = cost;
+        let amount = virtual_cost(delta, self.share(request.workspace));
+        self.counters.record_served(request.workspace, amount, request.reserved);
+        request.reserved = request.reserved.saturating_sub(amount);
+        request.cost = cost;
     }
 
-    fn choose(&mut self) -> Option<Choice> {
+    fn choose_recipient(&mut self) -> Option<Recipient> {
         let local = self.counters.least_served_local();
-        let lead = self.at_mean(self.limits.lend_threshold);
+        let threshold = self.cost_at_mean_share(self.config.lend_threshold);
         // Where something waits here, a few looks at workspaces elsewhere must do.
-        let n_looks = if local.is_some() { MAX_LOOKS } else { usize::MAX };
-        for (total, id) in self.counters.active().take(n_looks) {
-            self.steps += 1;
+        let max_examined = if local.is_some() { MAX_EXAMINED } else { usize::MAX };
+        for (total, id) in self.counters.active().take(max_examined) {
+            self.n_examined += 1;
             if self.counters.has_local_tickets(id) {
-                return Some(Choice::Local(id));
+                return Some(Recipient::Local(id));
             }
-            if local.is_some_and(|(least, _)| least < total + lead) {
+            if local.is_some_and(|(least, _)| least < total + threshold) {
                 break;
             }
-            if let Some(peer) = self.peers.wanting(id) {
-                return Some(Choice::Peer(peer));
+            if let Some(peer) = self.peers.find_borrower(id) {
+                return Some(Recipient::Peer(peer));
             }
         }
-        local.map(|(_, id)| Choice::Local(id))
+        local.map(|(_, id)| Recipient::Local(id))
     }
 
-    fn grant_own(&mut self, now: Duration, id: WorkspaceId) {
+    fn grant_local(&mut self, now: Duration, id: WorkspaceId) {
         let Some(ticket) = self.queues.pop(now, id) else {
-            self.count_waiting(id);
+            self.update_waiting(id);
             return;
         };
         let Some(upstream) = self.slots.choose_upstream(now, ticket.prefix) else { return };
         self.slots.mark_used(now, upstream);
-        self.grant(now, ticket, Place::Own(upstream));
+        self.grant(now, ticket, SlotSource::Own(upstream));
     }
 
-    fn lend(&mut self, now: Duration, peer: ShardKey) {
+    fn lend_slot(&mut self, now: Duration, peer: ShardKey) {
         let Some(upstream) = self.slots.choose_upstream(now, 0) else { return };
-        let loan = self.peers.lend(now, peer, upstream);
+        let loan = self.peers.record_loan(now, peer, upstream);
         self.slots.lend(now, upstream, loan);
     }
 
-    fn use_borrowed(&mut self, now: Duration) {
-        while let Some((lender, loan)) = self.peers.take_borrowed() {
-            let least = self.counters.least_served_local();
-            let ticket = least.and_then(|(_, id)| self.queues.pop(now, id));
+    fn grant_borrowed(&mut self, now: Duration) {
+        while let Some((lender, loan)) = self.peers.pop_borrowed() {
+            let next = self.counters.least_served_local();
+            let ticket = next.and_then(|(_, id)| self.queues.pop(now, id));
             match ticket {
-                Some(ticket) => self.grant(now, ticket, Place::Borrowed(lender, loan)),
-                None => self.peers.give_back(lender, loan.id),
+                Some(ticket) => self.grant(now, ticket, SlotSource::Borrowed(lender, loan)),
+                None => self.peers.return_loan(lender, loan.id),
             }
         }
     }
 
-    fn grant(&mut self, now: Duration, ticket: QueuedTicket, place: Place) {
+    fn grant(&mut self, now: Duration, ticket: QueuedTicket, slot: SlotSource) {
         let QueuedTicket { host, id, workspace, hint, .. } = ticket;
-        let estimate = self.estimates.estimate(workspace, hint);
+        let estimate = self.estimator.estimate(workspace, hint);
         let reserved = virtual_cost(estimate, self.share(workspace));
         self.counters.reserve(workspace, reserved);
-        self.count_waiting(workspace);
-        self.runs.insert((host, id), Run { workspace, place, hint, cost: 0, reserved });
-        let (upstream, loan) = match place {
-            Place::Own(upstream) => (upstream, 0),
-            Place::Borrowed(_, loan) => (loan.upstream, loan.id),
+        self.update_waiting(workspace);
+        self.running
+            .insert((host, id), RunningRequest { workspace, slot, hint, cost: 0, reserved });
+        let (upstream, loan) = match slot {
+            SlotSource::Own(upstream) => (upstream, 0),
+            SlotSource::Borrowed(_, loan) => (loan.upstream, loan.id),
         };
-        self.answer(host).grants.push(wire::Grant { ticket: id, upstream, estimate, loan });
-        self.grants.push_back(now);
-        if RATE_WINDOW < self.grants.len() {
-            self.grants.pop_front();
+        self.answer_to(host).grants.push(wire::Grant { ticket: id, upstream, estimate, loan });
+        self.grant_times.push_back(now);
+        if RATE_WINDOW < self.grant_times.len() {
+            self.grant_times.pop_front();
         }
     }
 
     /// Says when a slot for one more ticket of a workspace is likely.
     fn retry_after(&self, now: Duration, id: WorkspaceId) -> Duration {
-        let waiting = self.queues.n_waiting(id);
-        let Some(first) = self.grants.front() else { return RETRY_RANGE.0 };
-        let per_grant = now.saturating_sub(*first) / self.grants.len() as u32;
-        (per_grant * waiting).clamp(RETRY_RANGE.0, RETRY_RANGE.1)
+        let n_waiting = self.queues.n_waiting(id);
+        let Some(first) = self.grant_times.front() else { return RETRY_RANGE.0 };
+        let per_grant = now.saturating_sub(*first) / self.grant_times.len() as u32;
+        (per_grant * n_waiting).clamp(RETRY_RANGE.0, RETRY_RANGE.1)
     }
 
-    fn answer(&mut self, host: HostId) -> &mut wire::ShardAnswer {
+    fn answer_to(&mut self, host: HostId) -> &mut wire::ShardAnswer {
         let (shard, incarnation) = (self.shard, self.incarnation);
-        self.outbox.entry(host).or_insert_with(|| wire::ShardAnswer {
+        self.answers.entry(host).or_insert_with(|| wire::ShardAnswer {
             shard: Some(shard.into()),
             incarnation,
             ..Default::default()
@@ -440,7 +449,7 @@
     }
 }
 
-enum Choice {
+enum Recipient {
     Local(WorkspaceId),
     Peer(ShardKey),
 }
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -400,7 +400,7 @@
     /// gets the counters at once.
     fn hand_over(&mut self, now: Duration, shard: ShardKey) {
         let Some(mut owner) = self.owners.remove(&shard) else { return };
-        let frame = owner.last_frame();
+        let frame = owner.handover_frame();
         let fleet = self.adopted.fleet().clone();
         let next = self.owner_host(&fleet, shard);
         if let Some(it) = next.and_then(|it| self.view.get(it)) {
