--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of one shard: tickets in, grants out.
+//! The owner of one shard: queues tickets and grants slots.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -19,28 +19,29 @@
     wire,
 };
 
-/// Grants remembered to say when to come back.
+/// Latest grants whose rate determines the retry delay of refused tickets.
 const RATE_WINDOW: usize = 64;
-/// Workspaces elsewhere that one pick looks at while something waits here.
+/// Workspaces at other owners that are examined for one slot while local tickets wait.
 const MAX_EXAMINED: usize = 16;
-/// Shortest and longest time after which a refused caller is told to come back.
+/// Shortest and longest retry delay of refused tickets.
 const RETRY_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
-/// What an owner keeps to, in tokens and times.
+/// Limits and periods of an owner.
 #[derive(Debug, Clone)]
 pub struct OwnerConfig {
-    /// Time in which a new owner only collects registrations.
+    /// Time after its start in which a new owner only collects registrations and grants nothing.
     pub recovery_time: Duration,
-    /// Lead of a local workspace, in tokens at the mean share, that a peer's must be
-    /// behind before a slot is lent to it.
+    /// Amount by which the counter of a workspace at a peer must be below the lowest local one
+    /// before a slot is lent to the peer, in tokens at the mean share.
     pub lend_threshold: u32,
-    /// Largest debt, in tokens at the mean share, that is made up for after a cut.
+    /// Largest lag of a workspace that is made up for after a network partition, in tokens at the
+    /// mean share.
     pub max_lag: u32,
-    /// Tickets of one workspace that wait at one owner.
+    /// Most waiting tickets of one workspace at one owner; further ones are refused.
     pub max_queued: u32,
-    /// Time between two regular frames to a peer.
+    /// Shortest time between two regular frames to a peer.
     pub exchange_period: Duration,
-    /// Bytes a second for regular frames to all peers.
+    /// Bandwidth for regular frames to all peers together, in bytes per second.
     pub exchange_bandwidth: u32,
 }
 
@@ -57,47 +58,53 @@
     }
 }
 
-/// Where a request runs: at an own upstream, or at a peer's by a loan.
+/// Slot that a request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SlotSource {
+    /// A slot of an upstream of this shard.
     Own(UpstreamId),
+    /// A slot borrowed from the owner of another shard.
     Borrowed(ShardKey, wire::Loan),
 }
 
+/// A request that holds a grant.
 #[derive(Debug, Clone, Copy)]
 struct RunningRequest {
     workspace: WorkspaceId,
     slot: SlotSource,
+    /// Cost that the caller expects, in tokens; zero if unknown.
     hint: u32,
+    /// Cost charged so far, in tokens.
     cost: u32,
+    /// Rest of its reservation.
     reserved: VirtualCost,
 }
 
-/// What an owner shows of one workspace.
+/// Status of a backlogged workspace at one owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkspaceStatus {
     /// The workspace.
     pub id: WorkspaceId,
-    /// Tickets that wait here.
+    /// Number of its waiting tickets.
     pub waiting: u32,
     /// Its counter.
     pub counter: VirtualCost,
 }
 
-/// What an owner shows of itself.
+/// Status of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardStatus {
     /// The shard.
     pub shard: ShardKey,
-    /// Slots configured.
+    /// Number of configured slots.
     pub slots: u32,
-    /// Slots used, lent or in doubt.
+    /// Number of slots used, lent or in doubt.
     pub used: u32,
-    /// Backlogged workspaces.
+    /// Backlogged workspaces, lowest counter first.
     pub backlog: Vec<WorkspaceStatus>,
 }
 
-/// The owner of one shard.
+/// Owner of one shard: grants the slots of its upstreams to waiting tickets.
 #[derive(Debug, Clone)]
 pub struct ShardOwner {
     pub(super) shard: ShardKey,
@@ -110,16 +117,21 @@
     estimator: CostEstimator,
     shares: HashMap<WorkspaceId, u32>,
     mean_share: u32,
+    /// Largest acceptable time between tokens, zero if the service sets none.
     target_latency: Duration,
     recovery_end: Duration,
     running: HashMap<(HostId, TicketId), RunningRequest>,
+    /// Times of the latest grants.
     grant_times: VecDeque<Duration>,
+    /// Answers to send, by router.
     answers: BTreeMap<HostId, wire::ShardAnswer>,
+    /// Workspaces examined for grants so far.
     n_examined: u64,
 }
 
 impl ShardOwner {
-    /// Builds an owner that collects registrations before its first grant.
+    /// Creates an owner, which collects registrations for the configured time before its first
+    /// grant.
     pub fn new(
         now: Duration,
         shard: ShardKey,
@@ -146,7 +158,7 @@
         }
     }
 
-    /// Adopts a configuration.
+    /// Applies a configuration.
     pub fn configure(&mut self, now: Duration, fleet: &Fleet) {
         self.shares = fleet.workspaces.iter().map(|it| (it.id, it.share)).collect();
         let sum: u32 = self.shares.values().sum();
@@ -156,19 +168,19 @@
         self.slots.configure(now, fleet.upstreams_of(self.shard));
     }
 
-    /// Returns when it grants its first slot.
+    /// Returns when the owner may grant its first slot.
     pub fn recovery_end(&self) -> Duration {
         self.recovery_end
     }
 
-    /// Returns how many workspaces its decisions looked at so far, for benches.
+    /// Returns the number of workspaces examined for grants so far, for benchmarks.
     pub fn n_examined(&self) -> u64 {
         self.n_examined
     }
 
-    /// Queues a ticket, or says when to come back.
+    /// Queues a router's ticket, or refuses it with a retry delay.
     pub fn register(&mut self, now: Duration, host: HostId, ticket: &wire::Ticket) {
-        // A ticket that is registered again never used its grant.
+        // The router registers a ticket again only if it did not use the grant.
         if self.running.contains_key(&(host, ticket.id)) {
             self.finish(
                 now,
@@ -195,16 +207,16 @@
         self.update_waiting(id);
     }
 
-    /// Takes a ticket out of its queue.
+    /// Removes a ticket from its queue.
     pub fn cancel(&mut self, host: HostId, id: TicketId) {
         if let Some(workspace) = self.queues.cancel(host, id) {
             self.update_waiting(workspace);
         }
     }
 
-    /// Takes over a request that runs already under an earlier owner's grant.
+    /// Takes over a request that runs under a grant of an earlier owner.
     ///
-    /// `lender` is the shard of the upstream it runs on, where that is not this one.
+    /// `lender` is the shard of its upstream, if that is not this shard.
     pub fn resume(&mut self, host: HostId, running: &wire::Running, lender: Option<ShardKey>) {
         if self.running.contains_key(&(host, running.id)) {
             return;
@@ -228,14 +240,14 @@
         self.running.insert((host, running.id), request);
     }
 
-    /// Counts what a running request has cost so far.
+    /// Charges the cost of a running request so far.
     pub fn record_progress(&mut self, host: HostId, progress: &wire::Progress) {
         let Some(mut request) = self.running.get(&(host, progress.id)).copied() else { return };
         self.charge(&mut request, progress.cost);
         self.running.insert((host, progress.id), request);
     }
 
-    /// Ends a request that had a grant.
+    /// Ends a request that has a grant, and releases its slot.
     pub fn finish(&mut self, now: Duration, host: HostId, done: &wire::Done) {
         let Some(mut request) = self.running.remove(&(host, done.id)) else { return };
         self.charge(&mut request, done.cost);
@@ -256,7 +268,7 @@
         }
     }
 
-    /// Forgets a router that is gone: its tickets end, its slots are in doubt.
+    /// Removes a router that is gone: its tickets are cancelled, its slots become doubtful.
     pub fn remove_router(&mut self, now: Duration, host: HostId) {
         for id in self.queues.cancel_host(host) {
             self.update_waiting(id);
@@ -273,12 +285,12 @@
         self.answers.remove(&host);
     }
 
-    /// Takes in an upstream's load report.
+    /// Records a health check of an upstream.
     pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
         self.slots.record_health(now, id, health);
     }
 
-    /// Grants what can be granted.
+    /// Grants borrowed and free slots until no slot is free or no ticket waits for one.
     pub fn dispatch(&mut self, now: Duration) {
         if now < self.recovery_end {
             return;
@@ -296,12 +308,12 @@
         }
     }
 
-    /// Takes the answers to send.
+    /// Removes and returns the answers to send, by router.
     pub fn take_answers(&mut self) -> BTreeMap<HostId, wire::ShardAnswer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Returns every router that has something here.
+    /// Returns the routers that have waiting tickets or running requests.
     pub fn routers(&self) -> Vec<HostId> {
         let mut res: Vec<_> =
             self.queues.hosts().chain(self.running.keys().map(|it| it.0)).collect();
@@ -310,7 +322,7 @@
         res
     }
 
-    /// Returns what the owner shows of itself.
+    /// Returns the status of the shard.
     pub fn status(&self) -> ShardStatus {
         let (slots, used) = self.slots.usage();
         let mut backlog: Vec<_> = self
@@ -327,7 +339,7 @@
         self.counters.total(id)
     }
 
-    /// Returns the loans of `lender` that are in use.
+    /// Returns the loans from `lender` that running requests use.
     pub(super) fn loans_in_use(&self, lender: ShardKey) -> Vec<wire::Loan> {
         let loans = self.running.values().filter_map(|it| match it.slot {
             SlotSource::Borrowed(from, loan) if from == lender => Some(loan),
@@ -336,12 +348,12 @@
         loans.collect()
     }
 
-    /// Returns tickets beyond the slots that are free here.
+    /// Returns the number of waiting tickets in excess of the free slots.
     pub(super) fn excess_tickets(&self, now: Duration) -> u32 {
         (self.queues.len() as u32).saturating_sub(self.slots.n_free(now))
     }
 
-    /// Returns a cost in tokens at the mean share in virtual units.
+    /// Converts a cost in tokens to virtual units at the mean share of the workspaces.
     pub(super) fn cost_at_mean_share(&self, cost: u32) -> VirtualCost {
         u64::from(cost) * UNITS_PER_TOKEN / u64::from(self.mean_share)
     }
@@ -354,6 +366,7 @@
         self.counters.set_waiting(id, self.queues.n_waiting(id));
     }
 
+    /// Records the service of a request since its last charge; `cost` is the total in tokens.
     fn charge(&mut self, request: &mut RunningRequest, cost: u32) {
         let delta = cost.saturating_sub(request.cost);
         if delta == 0 {
@@ -365,10 +378,11 @@
         request.cost = cost;
     }
 
+    /// Chooses who gets a free slot: the least served workspace, or the peer at which it waits.
     fn choose_recipient(&mut self) -> Option<Recipient> {
         let local = self.counters.least_served_local();
         let threshold = self.cost_at_mean_share(self.config.lend_threshold);
-        // Where something waits here, a few looks at workspaces elsewhere must do.
+        // While local tickets wait, the search for a borrower is limited.
         let max_examined = if local.is_some() { MAX_EXAMINED } else { usize::MAX };
         for (total, id) in self.counters.active().take(max_examined) {
             self.n_examined += 1;
@@ -431,7 +445,7 @@
         }
     }
 
-    /// Says when a slot for one more ticket of a workspace is likely.
+    /// Estimates when a slot for one more ticket of a workspace will be free.
     fn retry_after(&self, now: Duration, id: WorkspaceId) -> Duration {
         let n_waiting = self.queues.n_waiting(id);
         let Some(first) = self.grant_times.front() else { return RETRY_RANGE.0 };
@@ -449,6 +463,7 @@
     }
 }
 
+/// Who gets a free slot.
 enum Recipient {
     Local(WorkspaceId),
     Peer(ShardKey),
--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -1,5 +1,5 @@
-//! An owner's dealings with the other owners of its service: usage exchanged under a byte
-//! budget, slots lent and borrowed.
+//! Exchange between the owners of a service: usage, limited by a bandwidth budget, and loans of
+//! slots.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -14,90 +14,109 @@
     wire,
 };
 
-/// A peer that was silent for this long has nothing that waits or runs.
+/// Time without a frame after which a peer is considered gone, with its tickets and requests.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// An idle frame goes out this often, so that a silent peer is a lost one.
+/// Time after which a frame is sent without news, so that the peer can tell an idle owner from one
+/// that is gone. An unanswered frame blocks the next one for as long.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
-/// Time between two complete lists of the loans that are held.
+/// Time between two complete lists of the loans held from a peer.
 const HELD_PERIOD: Duration = Duration::from_secs(5);
-/// A loan that a complete list leaves out is lost if it is older than this.
+/// Age beyond which a loan is lost if the borrower's complete list omits it; a younger one may
+/// still be on its way.
 const LOAN_GRACE: Duration = Duration::from_secs(2);
-/// Time in which peers tell a new owner all that they know.
+/// Time after recovery for which a new owner waits for the complete state of its peers.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes that a call to a peer costs beside its frame.
+/// Overhead of a call to a peer, in bytes.
 const CALL_OVERHEAD: usize = 120;
-/// Time between two frames that only carry loans or a new want.
+/// Shortest time between two frames to a peer, also if they carry loans or new demand.
 const MIN_FRAME_GAP: Duration = Duration::from_millis(2);
 
+/// State of the exchange with one peer.
 #[derive(Debug, Clone, Default)]
 struct Peer {
+    /// Its latest known incarnation, zero if none.
     incarnation: Incarnation,
+    /// When its latest frame arrived.
     last_heard: Duration,
+    /// Whether it was last heard longer than [`PEER_TIMEOUT`] ago.
     is_silent: bool,
-    /// It told all that it knows.
+    /// Whether it has sent its complete state.
     is_synced: bool,
-    /// Tickets that it has waiting beyond its own free slots, less what was lent since.
+    /// Number of its waiting tickets in excess of its free slots, less the slots lent since.
     want: u32,
-    /// Its last answer is lost: what is lent to it may be, too.
+    /// Whether the latest frame to it may be lost; until one is confirmed, nothing is lent to it.
     delivery_unknown: bool,
+    /// Workspaces that have waiting tickets at it.
     backlog: BTreeSet<WorkspaceId>,
-    /// Versions of the counters that it has, and that are on their way.
+    /// Version of the counters that it has confirmed.
     acked_version: u64,
+    /// Version of the counters in the frame that it has not confirmed yet.
     sent_version: Option<u64>,
+    /// Whether the next regular frame must be a full one.
     needs_full: bool,
+    /// Excess tickets of this owner, as last sent.
     sent_want: u32,
     last_sent: Duration,
+    /// When the next regular frame is due.
     next_regular: Duration,
+    /// When the next complete list of held loans is due.
     next_held: Duration,
+    /// Loans to it that are to be sent.
     lends: Vec<wire::Loan>,
+    /// Loans from it that are to be returned.
     returns: Vec<LoanId>,
-    /// Loans to give back whose requests may still run.
+    /// Loans from it that are to be returned, but whose requests may still run.
     doubtful: Vec<LoanId>,
+    /// Loans to it that it holds, each with the time it was made or last confirmed.
     lent: BTreeMap<LoanId, Duration>,
 }
 
-/// What is known of a frame that was sent.
+/// Whether a frame that was sent has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeliveryStatus {
-    /// The receiver took it in.
+    /// The receiver accepted it.
     Confirmed,
     /// It may or may not have arrived.
     Unknown,
 }
 
-/// The other owners of a service.
+/// Peers of an owner: the other owners of its service, and its own successor.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers {
+    /// Peers by shard; the successor has the owner's own shard.
     peers: BTreeMap<ShardKey, Peer>,
+    /// Borrowed slots that are not used yet, with their lenders.
     borrowed: VecDeque<(ShardKey, wire::Loan)>,
+    /// Number of the latest loan.
     last_loan: LoanId,
+    /// Sequence number of the latest usage set.
     sequence: u64,
 }
 
 impl Peer {
-    /// Returns whether loans are to be given or given back.
+    /// Returns whether loans are to be sent or returned.
     fn has_loans(&self) -> bool {
         !self.lends.is_empty() || !self.returns.is_empty() || !self.doubtful.is_empty()
     }
 }
 
 impl Peers {
-    /// Keeps exactly the given peers.
+    /// Sets the peers; those already known keep their state.
     pub(super) fn configure(&mut self, list: impl Iterator<Item = ShardKey>) {
         let mut old = std::mem::take(&mut self.peers);
-        // The first frame to a peer is a full one.
+        // The first frame to a peer is a full one, as it knows nothing yet.
         let new_peer = || Peer { needs_full: true, ..Peer::default() };
         self.peers = list.map(|it| (it, old.remove(&it).unwrap_or_else(new_peer))).collect();
     }
 
-    /// Returns a peer where a workspace has tickets beyond the peer's own slots.
+    /// Returns a peer at which a workspace has tickets and that lacks slots for its tickets.
     pub(super) fn find_borrower(&self, id: WorkspaceId) -> Option<ShardKey> {
         let mut all = self.peers.iter();
         all.find(|(_, it)| 0 < it.want && !it.delivery_unknown && it.backlog.contains(&id))
             .map(|(key, _)| *key)
     }
 
-    /// Records a loan of a slot and returns its number.
+    /// Records a loan of a slot, to be sent with the next frame; returns its number.
     pub(super) fn record_loan(
         &mut self,
         now: Duration,
@@ -114,7 +133,7 @@
         id
     }
 
-    /// Returns the loans of a lender that are not used yet.
+    /// Returns the loans from a lender that are not used yet.
     fn unused_loans(&self, lender: ShardKey) -> impl Iterator<Item = wire::Loan> + '_ {
         self.borrowed.iter().filter(move |it| it.0 == lender).map(|it| it.1)
     }
@@ -133,25 +152,25 @@
         }
     }
 
-    /// Takes a borrowed slot that is not used yet.
+    /// Removes and returns a borrowed slot that is not used yet, with its lender.
     pub(super) fn pop_borrowed(&mut self) -> Option<(ShardKey, wire::Loan)> {
         self.borrowed.pop_front()
     }
 }
 
 impl ShardOwner {
-    /// Sets the other shards of the service, this one's successor among them as itself.
+    /// Sets the shards of the service; this owner's own shard stands for its successor.
     pub fn set_peers(&mut self, list: impl Iterator<Item = ShardKey>) {
         self.peers.configure(list);
-        // Loan numbers of one life must not meet those of the life before.
+        // Loan numbers must differ from those of earlier incarnations.
         self.peers.last_loan = self.peers.last_loan.max(self.incarnation << 20);
     }
 
-    /// Takes in what a peer says.
+    /// Handles a frame of a peer.
     pub fn handle_frame(&mut self, now: Duration, frame: &wire::PeerShard) {
         let Some(from) = frame.from.as_ref().map(ShardKey::from) else { return };
         if from == self.shard {
-            // Another host takes itself for the owner: its counts are true all the same.
+            // Another host also considers itself the owner; the service it counted is valid.
             self.merge_usage(from, frame);
             return;
         }
@@ -179,7 +198,8 @@
         self.counters.clamp_lag(self.cost_at_mean_share(self.config.max_lag));
     }
 
-    /// Returns the frames that are due, and puts off the next by what these cost.
+    /// Returns the frames that are due. The next regular ones are delayed by the size of these
+    /// divided by the bandwidth.
     pub fn due_frames(&mut self, now: Duration) -> Vec<wire::PeerShard> {
         self.expire_silent(now);
         let want = self.excess_tickets(now);
@@ -201,7 +221,7 @@
         res
     }
 
-    /// Returns when a frame is due next.
+    /// Returns when the next frame is due.
     pub fn next_frame_at(&self) -> Duration {
         let version = self.counters.version();
         let due = |it: &Peer| {
@@ -219,10 +239,10 @@
         self.peers.peers.values().map(due).min().unwrap_or(Duration::MAX)
     }
 
-    /// Learns that a frame arrived, or that it may not have.
+    /// Records whether a frame has arrived.
     ///
-    /// Returned slots are named again, as that is idempotent; a lent slot is not lent
-    /// again but stays in doubt until the upstream's load reports clear it.
+    /// If that is unknown, returns of loans are sent again, as they are idempotent. Lent slots are
+    /// not lent again: they are in doubt until the upstream's load reports clear them.
     pub fn record_delivery(
         &mut self,
         now: Duration,
@@ -248,13 +268,13 @@
         }
     }
 
-    /// Returns the latest ownership of a peer's shard that was heard of.
+    /// Returns the latest known incarnation of a peer, zero if it was never heard.
     pub(super) fn peer_incarnation(&self, peer: ShardKey) -> Option<Incarnation> {
         self.peers.peers.get(&peer).map(|it| it.incarnation)
     }
 
-    /// Goes on under a later number: another host took itself for the owner meanwhile, and
-    /// the peers no longer listen to this one's.
+    /// Continues under a later incarnation. Needed after another host considered itself the owner:
+    /// the peers know its later incarnation and ignore frames of this one.
     pub(super) fn change_incarnation(&mut self, incarnation: Incarnation) {
         self.counters.close_incarnation(self.shard, self.incarnation);
         self.incarnation = incarnation;
@@ -263,19 +283,20 @@
         }
     }
 
-    /// Returns whether every peer told all that it knows, or had the time to.
+    /// Returns whether all peers have sent their complete state, or [`SYNC_TIMEOUT`] is over.
     pub(super) fn is_synced(&self, now: Duration) -> bool {
         let own = self.shard;
         let mut others = self.peers.peers.iter().filter(|(key, _)| **key != own);
         self.recovery_end() + SYNC_TIMEOUT <= now || others.all(|(_, it)| it.is_synced)
     }
 
-    /// Returns whether no peer was heard yet.
+    /// Returns whether no peer has sent a frame yet.
     fn has_no_contact(&self) -> bool {
         let own = self.shard;
         self.peers.peers.iter().all(|(key, it)| *key == own || it.incarnation == 0)
     }
 
+    /// Merges the usage and lifts in a frame.
     fn merge_usage(&mut self, from: ShardKey, frame: &wire::PeerShard) {
         self.counters.merge_lifts(&frame.lifts);
         for set in &frame.sets {
@@ -295,6 +316,7 @@
         }
     }
 
+    /// Applies the loans, returns and held loans in a frame.
     fn apply_loans(&mut self, now: Duration, from: ShardKey, frame: &wire::PeerShard) {
         for loan in &frame.returns {
             self.slots.return_loan(now, *loan);
@@ -311,8 +333,8 @@
         }
     }
 
-    /// Makes the loans to a peer those that it says it holds. One that it lost, as with the
-    /// owner before it, is in doubt: what ran under it may still run.
+    /// Matches the loans to a peer with its complete list of held loans. A loan that it lost, for
+    /// instance in a change of owner, becomes doubtful, as its request may still run.
     fn reconcile_loans(&mut self, now: Duration, from: ShardKey, held: &[wire::Loan]) {
         let Some(peer) = self.peers.peers.get_mut(&from) else { return };
         for loan in held {
@@ -331,7 +353,7 @@
         }
     }
 
-    /// Ends a loan of which nobody can say whether its slot is still used.
+    /// Ends a loan whose slot may or may not be in use, and marks the slot as in doubt.
     fn mark_loan_doubtful(&mut self, now: Duration, peer: ShardKey, loan: LoanId) {
         if let Some(it) = self.peers.peers.get_mut(&peer) {
             it.lent.remove(&loan);
@@ -339,6 +361,7 @@
         self.slots.mark_loan_doubtful(now, loan);
     }
 
+    /// Builds the frame to a peer if one is due; `want` is this owner's number of excess tickets.
     fn build_frame(&mut self, now: Duration, to: ShardKey, want: u32) -> Option<wire::PeerShard> {
         let needs_pull = self.has_no_contact();
         let peer = self.peers.peers.get_mut(&to)?;
@@ -346,7 +369,7 @@
             return None;
         }
         let version = self.counters.version();
-        // Who has just begun needs everything now, whatever the budget says.
+        // A full frame is sent at once, whatever the bandwidth budget.
         let is_regular = peer.next_regular <= now || peer.needs_full;
         let has_news = peer.acked_version < version
             || peer.needs_full
@@ -378,7 +401,7 @@
             if lists_loans {
                 peer.next_held = now + HELD_PERIOD;
             }
-            // The successor also hears now and then what the others told.
+            // The successor also gets the usage of other owners, each time held loans are due.
             let includes_remote = is_full || lists_loans && to == self.shard;
             self.add_usage(&mut res, if is_full { 0 } else { since }, includes_remote);
             if lists_loans && to != self.shard {
@@ -390,7 +413,8 @@
         Some(res)
     }
 
-    /// Adds usage and lifts changed after a version, and in a full frame all that is known.
+    /// Adds the usage and lifts that changed after version `since`, and the usage of other owners if
+    /// `includes_remote` is set.
     fn add_usage(&mut self, res: &mut wire::PeerShard, since: u64, includes_remote: bool) {
         self.peers.sequence += 1;
         res.sets.push(wire::UsageSet {
@@ -405,13 +429,15 @@
         }
     }
 
+    /// Delays the regular frames to all peers to `next` at the earliest.
     fn delay_regular(&mut self, next: Duration) {
         for it in self.peers.peers.values_mut() {
             it.next_regular = it.next_regular.max(next);
         }
     }
 
-    /// A silent peer's reservations and wants no longer count, and loans to it are in doubt.
+    /// Expires peers that are silent: their reservations and demand no longer count, and loans to
+    /// them become doubtful.
     fn expire_silent(&mut self, now: Duration) {
         let silent: Vec<_> = self
             .peers
@@ -439,7 +465,7 @@
 }
 
 impl ShardOwner {
-    /// Takes over the counters that an earlier owner sent ahead.
+    /// Restores the counters that an earlier owner replicated to this host.
     pub(super) fn restore(
         &mut self,
         sets: impl Iterator<Item = wire::UsageSet>,
@@ -452,11 +478,12 @@
         }
         let lifts = lifts.iter().map(|(id, value)| wire::Lift { workspace: *id, value: *value });
         self.counters.merge_lifts(&lifts.collect::<Vec<_>>());
-        // The life before has ended: what it had reserved is registered anew.
+        // The earlier incarnation has ended: its routers register their requests again, which
+        // reserves their cost anew.
         self.counters.expire_owner(self.shard);
     }
 
-    /// Returns the frame that hands everything known to the next owner.
+    /// Builds the frame that hands over all known counters to the next owner.
     pub(super) fn handover_frame(&mut self) -> wire::PeerShard {
         let mut res = wire::PeerShard {
             from: Some(self.shard.into()),
