--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -12,27 +12,27 @@
 impl Scheduler {
     /// Builds the answer to a peer's frame: what in it went to the wrong host.
     pub fn peer_reply(&self, frame: &wire::PeerFrame) -> wire::PeerReply {
-        let is_stray = |it: &&wire::PeerShard| {
+        let is_misdirected = |it: &&wire::PeerShard| {
             let to = it.to.as_ref().map(ShardKey::from);
             // A frame from a shard to itself is for its successor.
             it.from != it.to && to.is_some_and(|it| !self.owners.contains_key(&it))
         };
         let not_owned: Vec<_> =
-            frame.shards.iter().filter(is_stray).filter_map(|it| it.to).collect();
-        let gossip = if not_owned.is_empty() { Vec::new() } else { self.home_members() };
-        let outdated = frame.shards.iter().filter_map(|it| self.later_owner(it)).collect();
+            frame.shards.iter().filter(is_misdirected).filter_map(|it| it.to).collect();
+        let gossip = if not_owned.is_empty() { Vec::new() } else { self.local_members() };
+        let outdated = frame.shards.iter().filter_map(|it| self.later_incarnation(it)).collect();
         wire::PeerReply { not_owned, gossip, outdated }
     }
 
     /// Returns the later owner that this host has heard of than the one that sent a frame.
-    pub(super) fn later_owner(&self, frame: &wire::PeerShard) -> Option<wire::Outdated> {
+    pub(super) fn later_incarnation(&self, frame: &wire::PeerShard) -> Option<wire::Outdated> {
         let (from, to) = (frame.from.as_ref()?.into(), frame.to.as_ref()?.into());
         let incarnation = self.owners.get(&to)?.peer_incarnation(from)?;
         let outdated = wire::Outdated { shard: frame.from, incarnation };
         (frame.incarnation < incarnation).then_some(outdated)
     }
 
-    pub(super) fn hear_peer(&mut self, now: Duration, frame: &wire::PeerFrame) {
+    pub(super) fn handle_peer_frame(&mut self, now: Duration, frame: &wire::PeerFrame) {
         for it in &frame.shards {
             let Some(to) = it.to.as_ref().map(ShardKey::from) else { continue };
             match self.owners.get_mut(&to) {
@@ -43,30 +43,30 @@
         }
     }
 
-    pub(super) fn peer_sent(
+    pub(super) fn handle_peer_reply(
         &mut self,
         now: Duration,
         frame: &wire::PeerFrame,
         reply: Option<&wire::PeerReply>,
     ) {
         if let Some(it) = reply {
-            self.hear_reply(now, it);
+            self.apply_peer_reply(now, it);
         }
         for it in &frame.shards {
             let from = it.from.as_ref().map(ShardKey::from);
             let Some(owner) = from.and_then(|it| self.owners.get_mut(&it)) else { continue };
-            let taken =
+            let is_accepted =
                 |reply: &wire::PeerReply| it.to.is_some_and(|to| !reply.not_owned.contains(&to));
-            let arrival = match reply.is_some_and(taken) {
+            let status = match reply.is_some_and(is_accepted) {
                 true => DeliveryStatus::Confirmed,
                 false => DeliveryStatus::Unknown,
             };
-            owner.record_delivery(now, it, arrival);
+            owner.record_delivery(now, it, status);
         }
     }
 
     /// Takes in which shards have another owner, and which have had a later one.
-    pub(super) fn hear_reply(&mut self, now: Duration, reply: &wire::PeerReply) {
+    pub(super) fn apply_peer_reply(&mut self, now: Duration, reply: &wire::PeerReply) {
         let sender = reply.gossip.first().and_then(|it| it.host.parse().ok());
         self.view.merge(now, sender, &reply.gossip);
         for it in &reply.outdated {
@@ -85,7 +85,12 @@
     }
 
     /// Returns the host to send a frame to: the owner, or this shard's own successor.
-    pub(super) fn receiver(&self, fleet: &Fleet, from: ShardKey, to: ShardKey) -> Option<HostId> {
+    pub(super) fn destination(
+        &self,
+        fleet: &Fleet,
+        from: ShardKey,
+        to: ShardKey,
+    ) -> Option<HostId> {
         if from != to {
             return self.owner_host(fleet, to);
         }
@@ -93,7 +98,7 @@
         rank(to, self.view.owners(name)).get(1).copied()
     }
 
-    pub(super) fn send_frames(&mut self, now: Duration) {
+    pub(super) fn send_peer_frames(&mut self, now: Duration) {
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
         let mut batches: BTreeMap<HostId, Vec<wire::PeerShard>> = BTreeMap::new();
@@ -101,11 +106,11 @@
         for frame in frames {
             let keys = (frame.from.as_ref(), frame.to.as_ref());
             let (Some(from), Some(to)) = keys else { continue };
-            let host = self.receiver(&fleet, from.into(), to.into());
+            let host = self.destination(&fleet, from.into(), to.into());
             match host {
                 Some(host) if host != me => batches.entry(host).or_default().push(frame),
-                Some(_) => self.deliver_here(now, frame),
-                None => self.report_lost(now, frame),
+                Some(_) => self.deliver_locally(now, frame),
+                None => self.mark_undelivered(now, frame),
             }
         }
         for (host, shards) in batches {
@@ -115,14 +120,14 @@
         }
     }
 
-    pub(super) fn deliver_here(&mut self, now: Duration, frame: wire::PeerShard) {
+    pub(super) fn deliver_locally(&mut self, now: Duration, frame: wire::PeerShard) {
         let frame = wire::PeerFrame { from: String::new(), shards: vec![frame] };
-        self.hear_peer(now, &frame);
-        self.peer_sent(now, &frame, Some(&wire::PeerReply::default()));
+        self.handle_peer_frame(now, &frame);
+        self.handle_peer_reply(now, &frame, Some(&wire::PeerReply::default()));
     }
 
-    pub(super) fn report_lost(&mut self, now: Duration, frame: wire::PeerShard) {
+    pub(super) fn mark_undelivered(&mut self, now: Duration, frame: wire::PeerShard) {
         let frame = wire::PeerFrame { from: String::new(), shards: vec![frame] };
-        self.peer_sent(now, &frame, None);
+        self.handle_peer_reply(now, &frame, None);
     }
 }
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -22,7 +22,7 @@
 };
 
 /// A host that has heard of no other for this long after its start is alone.
-const JOIN_LIMIT: Duration = Duration::from_secs(3);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// What a scheduler is told at its start.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
@@ -81,55 +81,55 @@
 /// One scheduler process.
 #[derive(Debug)]
 pub struct Scheduler {
-    settings: SchedulerConfig,
+    config: SchedulerConfig,
     pub(super) view: View,
     probes: Probes,
     pub(super) adopted: Adopted,
     pub(super) owners: BTreeMap<ShardKey, ShardOwner>,
     pub(super) standby: BTreeMap<ShardKey, Standby>,
     routers: HashSet<HostId>,
-    told: BTreeMap<HostId, (State, Incarnation)>,
-    told_revision: Revision,
-    seen_version: (u64, Revision),
+    sent_members: BTreeMap<HostId, (State, Incarnation)>,
+    sent_revision: Revision,
+    assigned_version: (u64, Revision),
     next_incarnation: Incarnation,
     decisions: DecisionLog,
     /// Until then a host that has heard of no other owns nothing.
-    joins_by: Option<Duration>,
+    join_deadline: Option<Duration>,
     pub(super) actions: Vec<Action>,
 }
 
 impl Scheduler {
     /// Builds a scheduler that knows nothing but itself.
-    pub fn new(settings: SchedulerConfig) -> Self {
-        let seed = settings.incarnation ^ u64::from(settings.entry.address.port());
+    pub fn new(config: SchedulerConfig) -> Self {
+        let seed = config.incarnation ^ u64::from(config.entry.address.port());
         Self {
-            view: View::new(settings.entry.clone(), settings.incarnation),
+            view: View::new(config.entry.clone(), config.incarnation),
             probes: Probes::new(seed),
             adopted: Adopted::default(),
             owners: BTreeMap::new(),
             standby: BTreeMap::new(),
             routers: HashSet::new(),
-            told: BTreeMap::new(),
-            told_revision: 0,
-            seen_version: (0, 0),
-            next_incarnation: settings.incarnation,
+            sent_members: BTreeMap::new(),
+            sent_revision: 0,
+            assigned_version: (0, 0),
+            next_incarnation: config.incarnation,
             decisions: DecisionLog::default(),
-            joins_by: Some(JOIN_LIMIT),
+            join_deadline: Some(JOIN_TIMEOUT),
             actions: Vec::new(),
-            settings,
+            config,
         }
     }
 
     /// Takes in an event and returns what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        self.apply(now, event);
-        self.probe(now);
-        self.reassign(now);
+        self.handle_event(now, event);
+        self.send_probes(now);
+        self.update_ownership(now);
         for it in self.owners.values_mut() {
             it.dispatch(now);
         }
         self.send_answers(now);
-        self.send_frames(now);
+        self.send_peer_frames(now);
         std::mem::take(&mut self.actions)
     }
 
@@ -171,28 +171,28 @@
         self.decisions.of_ticket(host, ticket).collect()
     }
 
-    fn apply(&mut self, now: Duration, event: Event) {
+    fn handle_event(&mut self, now: Duration, event: Event) {
         match event {
             Event::HostList(entries) => self.view.list(now, &entries),
-            Event::Config(fleet) => self.adopt(now, fleet),
-            Event::RouterFrame(host, frame) => self.hear_router(now, host, &frame),
-            Event::RouterConnected(host) => self.router_up(now, host),
-            Event::RouterDisconnected(host) => self.router_down(now, host),
-            Event::PeerFrame(frame) => self.hear_peer(now, &frame),
-            Event::PeerReply(frame, reply) => self.peer_sent(now, &frame, reply.as_ref()),
+            Event::Config(fleet) => self.adopt_config(now, fleet),
+            Event::RouterFrame(host, frame) => self.handle_router_frame(now, host, &frame),
+            Event::RouterConnected(host) => self.add_router(now, host),
+            Event::RouterDisconnected(host) => self.remove_router(now, host),
+            Event::PeerFrame(frame) => self.handle_peer_frame(now, &frame),
+            Event::PeerReply(frame, reply) => self.handle_peer_reply(now, &frame, reply.as_ref()),
             Event::ProbeReply(host, reply) => {
                 self.view.merge(now, Some(host), &reply.gossip);
                 if reply.alive {
                     self.probes.answered(now, &mut self.view, host);
                 }
-                self.learn_revision(host, reply.revision);
+                self.fetch_if_newer(host, reply.revision);
             }
             Event::ProbeRefused(host) => self.probes.refused(now, &mut self.view, host),
             Event::ProbeRequest(request) => {
                 let from = request.from.parse().ok();
                 self.view.merge(now, from, &request.gossip);
                 if let Some(host) = from {
-                    self.learn_revision(host, request.revision);
+                    self.fetch_if_newer(host, request.revision);
                 }
             }
             Event::UpstreamHealth(id, health) => {
@@ -216,7 +216,7 @@
         wire::ProbeReply { alive: true, gossip, revision: self.adopted.revision() }
     }
 
-    fn adopt(&mut self, now: Duration, fleet: Fleet) {
+    fn adopt_config(&mut self, now: Duration, fleet: Fleet) {
         if !self.adopted.offer(fleet) {
             return;
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn learn_revision(&mut self, host: HostId, revision: Revision) {
+    fn fetch_if_newer(&mut self, host: HostId, revision: Revision) {
         if revision <= self.adopted.revision() {
             return;
         }
@@ -235,35 +235,35 @@
         }
     }
 
-    fn router_up(&mut self, now: Duration, host: HostId) {
+    fn add_router(&mut self, now: Duration, host: HostId) {
         if !self.routers.insert(host) {
             self.owners.values_mut().for_each(|it| it.remove_router(now, host));
         }
         let frame = wire::OwnerFrame {
             answers: Vec::new(),
-            members: self.home_members(),
+            members: self.local_members(),
             revision: self.adopted.revision(),
         };
         self.actions.push(Action::SendToRouter(host, frame));
     }
 
-    fn router_down(&mut self, now: Duration, host: HostId) {
+    fn remove_router(&mut self, now: Duration, host: HostId) {
         self.routers.remove(&host);
         self.owners.values_mut().for_each(|it| it.remove_router(now, host));
     }
 
-    fn hear_router(&mut self, now: Duration, host: HostId, frame: &wire::RouterFrame) {
+    fn handle_router_frame(&mut self, now: Duration, host: HostId, frame: &wire::RouterFrame) {
         for report in &frame.reports {
             let Some(shard) = report.shard.as_ref().map(ShardKey::from) else { continue };
             if self.owners.contains_key(&shard) {
-                self.hear_report(now, host, shard, report);
+                self.handle_shard_report(now, host, shard, report);
             } else if !report.tickets.is_empty() || !report.running.is_empty() {
-                self.disown(host, shard);
+                self.send_not_owner(host, shard);
             }
         }
     }
 
-    fn hear_report(
+    fn handle_shard_report(
         &mut self,
         now: Duration,
         host: HostId,
@@ -273,8 +273,8 @@
         let fleet = self.adopted.fleet().clone();
         let Some(owner) = self.owners.get_mut(&shard) else { return };
         for it in &report.running {
-            let home = fleet.upstream(it.upstream).map(|it| fleet.shard_of(it));
-            owner.resume(host, it, home.filter(|it| *it != shard));
+            let home_shard = fleet.upstream(it.upstream).map(|it| fleet.shard_of(it));
+            owner.resume(host, it, home_shard.filter(|it| *it != shard));
         }
         for it in &report.progress {
             owner.record_progress(host, it);
@@ -298,18 +298,18 @@
         }
     }
 
-    fn disown(&mut self, host: HostId, shard: ShardKey) {
+    fn send_not_owner(&mut self, host: HostId, shard: ShardKey) {
         let answer =
             wire::ShardAnswer { shard: Some(shard.into()), not_owner: true, ..Default::default() };
         let frame = wire::OwnerFrame {
             answers: vec![answer],
-            members: self.home_members(),
+            members: self.local_members(),
             revision: self.adopted.revision(),
         };
         self.actions.push(Action::SendToRouter(host, frame));
     }
 
-    fn probe(&mut self, now: Duration) {
+    fn send_probes(&mut self, now: Duration) {
         let me = self.view.me();
         for probe in self.probes.tick(now, &mut self.view) {
             let (to, host, target) = match probe {
@@ -331,47 +331,47 @@
     /// Returns whether this host knows the others, or has waited for them long enough. One
     /// that took itself for the only host would own every shard of its data centre.
     fn has_joined(&mut self, now: Duration) -> bool {
-        if 1 < self.view.iter().count() || self.joins_by.is_some_and(|it| it <= now) {
-            self.joins_by = None;
+        if 1 < self.view.iter().count() || self.join_deadline.is_some_and(|it| it <= now) {
+            self.join_deadline = None;
         }
-        self.joins_by.is_none()
+        self.join_deadline.is_none()
     }
 
     /// Computes anew which shards this host owns, where members or configuration changed.
-    fn reassign(&mut self, now: Duration) {
+    fn update_ownership(&mut self, now: Duration) {
         if !self.has_joined(now) {
             return;
         }
         let version = (self.view.version(), self.adopted.revision());
-        if self.seen_version == version {
+        if self.assigned_version == version {
             return;
         }
-        self.seen_version = version;
+        self.assigned_version = version;
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
-        let home = fleet.data_centre(&self.settings.entry.data_centre);
-        let mut mine = Vec::new();
+        let local = fleet.data_centre(&self.config.entry.data_centre);
+        let mut owned = Vec::new();
         for service in &fleet.services {
-            let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == home);
-            mine.extend(shards.filter(|it| self.owner_host(&fleet, *it) == Some(me)));
+            let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == local);
+            owned.extend(shards.filter(|it| self.owner_host(&fleet, *it) == Some(me)));
         }
-        let lost: Vec<_> = self.owners.keys().filter(|it| !mine.contains(it)).copied().collect();
+        let lost: Vec<_> = self.owners.keys().filter(|it| !owned.contains(it)).copied().collect();
         for shard in lost {
             self.hand_over(now, shard);
         }
-        for shard in mine {
-            self.own(now, shard, &fleet);
+        for shard in owned {
+            self.take_ownership(now, shard, &fleet);
         }
-        self.tell_members();
+        self.send_members();
     }
 
-    fn own(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
+    fn take_ownership(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
         if !self.owners.contains_key(&shard) {
             let standby = self.standby.remove(&shard);
             let earlier = standby.as_ref().and_then(|it| it.latest_incarnation(shard));
             let incarnation = self.new_incarnation(now, earlier);
-            let limits = self.settings.owner.clone();
-            let mut owner = ShardOwner::new(now, shard, incarnation, limits);
+            let config = self.config.owner.clone();
+            let mut owner = ShardOwner::new(now, shard, incarnation, config);
             owner.configure(now, fleet);
             if let Some(it) = standby {
                 owner.restore(it.sets.into_values(), &it.lifts);
@@ -390,9 +390,9 @@
         now: Duration,
         earlier: Option<Incarnation>,
     ) -> Incarnation {
-        let by_clock = self.settings.incarnation + now.as_millis() as u64;
+        let from_clock = self.config.incarnation + now.as_millis() as u64;
         let earlier = earlier.unwrap_or(0).max(self.next_incarnation);
-        self.next_incarnation = by_clock.max(earlier + 1);
+        self.next_incarnation = from_clock.max(earlier + 1);
         self.next_incarnation
     }
 
@@ -408,7 +408,7 @@
             self.actions.push(Action::SendToPeer(it.address, frame));
         }
         for host in owner.routers() {
-            self.disown(host, shard);
+            self.send_not_owner(host, shard);
         }
         let me = self.view.me();
         self.decisions.record(now, me, 0, Step::HandedOver { shard });
@@ -428,28 +428,28 @@
         }
     }
 
-    pub(super) fn home_members(&self) -> Vec<wire::Member> {
-        let home = &self.settings.entry.data_centre;
-        self.view.to_wire(|(_, it)| it.data_centre == *home)
+    pub(super) fn local_members(&self) -> Vec<wire::Member> {
+        let data_centre = &self.config.entry.data_centre;
+        self.view.to_wire(|(_, it)| it.data_centre == *data_centre)
     }
 
     /// Tells the routers which members of this data centre changed.
-    fn tell_members(&mut self) {
-        let home = &self.settings.entry.data_centre;
-        let told = &mut self.told;
-        let fresh = self.view.to_wire(|(host, it)| {
+    fn send_members(&mut self) {
+        let data_centre = &self.config.entry.data_centre;
+        let sent = &mut self.sent_members;
+        let changed = self.view.to_wire(|(host, it)| {
             let now = (it.state, it.incarnation);
-            it.data_centre == *home && told.insert(*host, now) != Some(now)
+            it.data_centre == *data_centre && sent.insert(*host, now) != Some(now)
         });
         let revision = self.adopted.revision();
-        if fresh.is_empty() && self.told_revision == revision {
+        if changed.is_empty() && self.sent_revision == revision {
             return;
         }
-        self.told_revision = revision;
+        self.sent_revision = revision;
         let mut routers: Vec<_> = self.routers.iter().copied().collect();
         routers.sort_unstable();
         for host in routers {
-            let members = fresh.clone();
+            let members = changed.clone();
             let frame = wire::OwnerFrame { answers: Vec::new(), members, revision };
             self.actions.push(Action::SendToRouter(host, frame));
         }
