--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -1,4 +1,4 @@
-//! A scheduler's frames to and from the owners of other shards.
+//! Exchange of frames between a scheduler and the owners of other shards.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,11 +10,12 @@
 use crate::{fleet::Fleet, ids::HostId, member::rank, wire};
 
 impl Scheduler {
-    /// Builds the answer to a peer's frame: what in it went to the wrong host.
+    /// Builds the reply to a peer's frame: the shards that this host does not own, and those with a
+    /// later owner than the sender.
     pub fn peer_reply(&self, frame: &wire::PeerFrame) -> wire::PeerReply {
         let is_misdirected = |it: &&wire::PeerShard| {
             let to = it.to.as_ref().map(ShardKey::from);
-            // A frame from a shard to itself is for its successor.
+            // A frame from a shard to itself is for the successor of its owner.
             it.from != it.to && to.is_some_and(|it| !self.owners.contains_key(&it))
         };
         let not_owned: Vec<_> =
@@ -24,7 +25,7 @@
         wire::PeerReply { not_owned, gossip, outdated }
     }
 
-    /// Returns the later owner that this host has heard of than the one that sent a frame.
+    /// Returns the incarnation of a shard's owner, if a later one is known than the frame's sender.
     pub(super) fn later_incarnation(&self, frame: &wire::PeerShard) -> Option<wire::Outdated> {
         let (from, to) = (frame.from.as_ref()?.into(), frame.to.as_ref()?.into());
         let incarnation = self.owners.get(&to)?.peer_incarnation(from)?;
@@ -32,6 +33,7 @@
         (frame.incarnation < incarnation).then_some(outdated)
     }
 
+    /// Passes a frame to the owners it is for, or stores it as the successor of its sender.
     pub(super) fn handle_peer_frame(&mut self, now: Duration, frame: &wire::PeerFrame) {
         for it in &frame.shards {
             let Some(to) = it.to.as_ref().map(ShardKey::from) else { continue };
@@ -43,6 +45,8 @@
         }
     }
 
+    /// Handles the reply to a frame, `None` if it is lost: records with the senders whether the frame
+    /// has arrived.
     pub(super) fn handle_peer_reply(
         &mut self,
         now: Duration,
@@ -65,7 +69,8 @@
         }
     }
 
-    /// Takes in which shards have another owner, and which have had a later one.
+    /// Applies a reply: members of the receiver's data centre, and owned shards for which the
+    /// receiver knows a later incarnation.
     pub(super) fn apply_peer_reply(&mut self, now: Duration, reply: &wire::PeerReply) {
         let sender = reply.gossip.first().and_then(|it| it.host.parse().ok());
         self.view.merge(now, sender, &reply.gossip);
@@ -79,12 +84,14 @@
         }
     }
 
+    /// Returns the host that owns a shard.
     pub(super) fn owner_host(&self, fleet: &Fleet, shard: ShardKey) -> Option<HostId> {
         let name = fleet.data_centre_name(shard.data_centre);
         rank(shard, self.view.owners(name)).first().copied()
     }
 
-    /// Returns the host to send a frame to: the owner, or this shard's own successor.
+    /// Returns the host to send a frame to: the owner of `to`, or the successor of the owner if
+    /// `from` and `to` are equal.
     pub(super) fn destination(
         &self,
         fleet: &Fleet,
@@ -98,6 +105,7 @@
         rank(to, self.view.owners(name)).get(1).copied()
     }
 
+    /// Sends the frames that are due, batched by host.
     pub(super) fn send_peer_frames(&mut self, now: Duration) {
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
@@ -120,12 +128,14 @@
         }
     }
 
+    /// Delivers a frame between two shards that this host owns.
     pub(super) fn deliver_locally(&mut self, now: Duration, frame: wire::PeerShard) {
         let frame = wire::PeerFrame { from: String::new(), shards: vec![frame] };
         self.handle_peer_frame(now, &frame);
         self.handle_peer_reply(now, &frame, Some(&wire::PeerReply::default()));
     }
 
+    /// Records that a frame may not have arrived, as no host is known to send it to.
     pub(super) fn mark_undelivered(&mut self, now: Duration, frame: wire::PeerShard) {
         let frame = wire::PeerFrame { from: String::new(), shards: vec![frame] };
         self.handle_peer_reply(now, &frame, None);
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -1,4 +1,4 @@
-//! One scheduler process: members, owned shards, sessions with routers and peers.
+//! State machine of one scheduler process: members, owned shards, sessions with routers and peers.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -21,25 +21,26 @@
     wire,
 };
 
-/// A host that has heard of no other for this long after its start is alone.
+/// Time after its start until which a host that knows no other host owns no shards.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// What a scheduler is told at its start.
+
+/// Configuration of a scheduler.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
-    /// This host.
+    /// This host, as in the platform's host list.
     pub entry: ListEntry,
-    /// Larger than that of any earlier life.
+    /// Incarnation of the process, larger than that of any earlier one at this host.
     pub incarnation: Incarnation,
-    /// What its owners keep to.
+    /// Limits and periods of the owners.
     pub owner: OwnerConfig,
 }
 
-/// What happens to a scheduler.
+/// Input of a scheduler.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The platform's host list was read.
     HostList(Vec<ListEntry>),
-    /// A configuration was read, from the platform or a peer.
+    /// A configuration was read from the platform or a peer.
     Config(Fleet),
     /// A router's frame arrived.
     RouterFrame(HostId, wire::RouterFrame),
@@ -49,36 +50,36 @@
     RouterDisconnected(HostId),
     /// A peer's frame arrived.
     PeerFrame(wire::PeerFrame),
-    /// A frame to a peer was answered, or its answer is lost.
+    /// A peer replied to a frame, or its reply is lost.
     PeerReply(wire::PeerFrame, Option<wire::PeerReply>),
-    /// A probe of a host was answered, with the membership that came along.
+    /// A host answered a probe; the answer carries membership gossip.
     ProbeReply(HostId, wire::ProbeReply),
     /// A probe was refused: nothing listens at the host's address.
     ProbeRefused(HostId),
     /// A probe arrived.
     ProbeRequest(wire::ProbeRequest),
-    /// An upstream's load report was read, or could not be.
+    /// A health check of an upstream finished.
     UpstreamHealth(UpstreamId, Health),
-    /// This host is to hand over what it owns.
+    /// This host is leaving and must hand over the shards it owns.
     Leave,
-    /// Time passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a scheduler asks its process to do.
+/// Output of a scheduler, to be carried out by its process.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a frame to a router.
     SendToRouter(HostId, wire::OwnerFrame),
     /// Send a frame to a peer.
     SendToPeer(SocketAddr, wire::PeerFrame),
-    /// Probe a host: the address to send to, the host in question, the message.
+    /// Send a probe: the address to send it to, the host that is probed, the message.
     SendProbe(SocketAddr, HostId, wire::ProbeRequest),
     /// Fetch the configuration from a peer that has a higher revision.
     FetchConfig(SocketAddr),
 }
 
-/// One scheduler process.
+/// State machine of one scheduler process.
 #[derive(Debug)]
 pub struct Scheduler {
     config: SchedulerConfig,
@@ -86,20 +87,26 @@
     probes: Probes,
     pub(super) adopted: Adopted,
     pub(super) owners: BTreeMap<ShardKey, ShardOwner>,
+    /// Counters received as the successor of other hosts' shards.
     pub(super) standby: BTreeMap<ShardKey, Standby>,
+    /// Hosts whose routers have a session.
     routers: HashSet<HostId>,
+    /// Members of this data centre as last sent to the routers.
     sent_members: BTreeMap<HostId, (State, Incarnation)>,
+    /// Configuration revision last sent to the routers.
     sent_revision: Revision,
+    /// Versions of membership and configuration for which ownership was last computed.
     assigned_version: (u64, Revision),
+    /// Largest incarnation assigned to an owner so far.
     next_incarnation: Incarnation,
     decisions: DecisionLog,
-    /// Until then a host that has heard of no other owns nothing.
+    /// Time until which a host that knows no other host owns no shards; `None` once it has joined.
     join_deadline: Option<Duration>,
     pub(super) actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// Builds a scheduler that knows nothing but itself.
+    /// Creates a scheduler that knows only its own host.
     pub fn new(config: SchedulerConfig) -> Self {
         let seed = config.incarnation ^ u64::from(config.entry.address.port());
         Self {
@@ -120,7 +127,7 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.handle_event(now, event);
         self.send_probes(now);
@@ -133,40 +140,40 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns when it wants the next [`Event::Tick`] at the latest.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let frames = self.owners.values().map(|it| it.next_frame_at().max(it.recovery_end()));
         frames.chain([self.probes.next()]).min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration in force at this host.
     pub fn fleet(&self) -> &Arc<Fleet> {
         self.adopted.fleet()
     }
 
-    /// Returns what is known of the members.
+    /// Returns this host's view of the members.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the upstreams whose load reports are wanted.
+    /// Returns the upstreams of the owned shards, which need health checks.
     pub fn watched_upstreams(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let fleet = self.adopted.fleet();
         let all = self.owners.keys().flat_map(|it| fleet.upstreams_of(*it));
         all.map(|it| (it.id, it.address)).collect()
     }
 
-    /// Returns what the owned shards show.
+    /// Returns the status of the owned shards.
     pub fn status(&self) -> Vec<ShardStatus> {
         self.owners.values().map(ShardOwner::status).collect()
     }
 
-    /// Returns an owned shard.
+    /// Returns the owner of a shard, if this host owns it.
     pub fn owner(&self, shard: ShardKey) -> Option<&ShardOwner> {
         self.owners.get(&shard)
     }
 
-    /// Returns the remembered decisions on a ticket, the oldest first.
+    /// Returns the logged decisions about a router's ticket, oldest first.
     pub fn decisions(&self, host: HostId, ticket: TicketId) -> Vec<&Decision> {
         self.decisions.of_ticket(host, ticket).collect()
     }
@@ -209,13 +216,14 @@
     pub fn probe_reply(&mut self, request: &wire::ProbeRequest) -> wire::ProbeReply {
         let from = request.from.parse().ok();
         let mut gossip = self.view.gossip(from);
-        // A host that has no configuration yet has just started: it learns everything at once.
+        // A host without a configuration has just started: it gets all members at once.
         if request.revision == 0 && 0 < self.adopted.revision() {
             gossip = self.view.to_wire(|_| true);
         }
         wire::ProbeReply { alive: true, gossip, revision: self.adopted.revision() }
     }
 
+    /// Adopts a configuration, if it is newer, and applies it to the owners.
     fn adopt_config(&mut self, now: Duration, fleet: Fleet) {
         if !self.adopted.offer(fleet) {
             return;
@@ -226,6 +234,7 @@
         }
     }
 
+    /// Fetches the configuration of a host if its revision is newer.
     fn fetch_if_newer(&mut self, host: HostId, revision: Revision) {
         if revision <= self.adopted.revision() {
             return;
@@ -235,6 +244,8 @@
         }
     }
 
+    /// Adds a router whose session opened. If it already had one, its tickets and requests are removed
+    /// first, as it registers them again.
     fn add_router(&mut self, now: Duration, host: HostId) {
         if !self.routers.insert(host) {
             self.owners.values_mut().for_each(|it| it.remove_router(now, host));
@@ -298,6 +309,7 @@
         }
     }
 
+    /// Tells a router that this host does not own a shard.
     fn send_not_owner(&mut self, host: HostId, shard: ShardKey) {
         let answer =
             wire::ShardAnswer { shard: Some(shard.into()), not_owner: true, ..Default::default() };
@@ -328,8 +340,8 @@
         }
     }
 
-    /// Returns whether this host knows the others, or has waited for them long enough. One
-    /// that took itself for the only host would own every shard of its data centre.
+    /// Returns whether this host knows another one, or [`JOIN_TIMEOUT`] is over. A host that assumes
+    /// too early that it is alone would take ownership of all shards of its data centre.
     fn has_joined(&mut self, now: Duration) -> bool {
         if 1 < self.view.iter().count() || self.join_deadline.is_some_and(|it| it <= now) {
             self.join_deadline = None;
@@ -337,7 +349,7 @@
         self.join_deadline.is_none()
     }
 
-    /// Computes anew which shards this host owns, where members or configuration changed.
+    /// Recomputes which shards this host owns, if members or configuration changed.
     fn update_ownership(&mut self, now: Duration) {
         if !self.has_joined(now) {
             return;
@@ -365,6 +377,7 @@
         self.send_members();
     }
 
+    /// Creates the owner of a shard, unless there is one, and sets its peers.
     fn take_ownership(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
         if !self.owners.contains_key(&shard) {
             let standby = self.standby.remove(&shard);
@@ -383,8 +396,10 @@
         }
     }
 
-    /// Returns a number above those of all earlier ownerships: hosts started at different
-    /// times, so it counts on from the host's own start, and above what the standby knows.
+    /// Returns an incarnation for an owner, above those of all earlier owners.
+    ///
+    /// It derives from the start time of the host plus the time since, so that a later owner at a
+    /// host that started earlier has a larger one, and is above `earlier`, the largest one known.
     pub(super) fn new_incarnation(
         &mut self,
         now: Duration,
@@ -396,8 +411,8 @@
         self.next_incarnation
     }
 
-    /// Ends the ownership of a shard: the routers register with the next owner, which
-    /// gets the counters at once.
+    /// Ends the ownership of a shard: sends its counters to the next owner, and tells its routers to
+    /// register there.
     fn hand_over(&mut self, now: Duration, shard: ShardKey) {
         let Some(mut owner) = self.owners.remove(&shard) else { return };
         let frame = owner.handover_frame();
@@ -428,12 +443,13 @@
         }
     }
 
+    /// Returns the members of this data centre.
     pub(super) fn local_members(&self) -> Vec<wire::Member> {
         let data_centre = &self.config.entry.data_centre;
         self.view.to_wire(|(_, it)| it.data_centre == *data_centre)
     }
 
-    /// Tells the routers which members of this data centre changed.
+    /// Sends the members of this data centre that changed, and the revision, to all routers.
     fn send_members(&mut self) {
         let data_centre = &self.config.entry.data_centre;
         let sent = &mut self.sent_members;
