--- a/crates/portfield/tests/cost_estimator.rs
+++ b/crates/portfield/tests/cost_estimator.rs
@@ -5,7 +5,7 @@
 /// Found by the replays of `rough` and `lies`: the mean of ratios let single small hints
 /// for large requests raise every later estimate twentyfold.
 #[test]
-fn bad_hints_lose_to_the_mean() {
+fn inaccurate_hints_are_ignored() {
     let mut it = CostEstimator::default();
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..400 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn good_hints_beat_the_mean() {
+fn proportional_hints_are_used() {
     let mut it = CostEstimator::default();
     for cost in [10, 1000, 20, 900, 15, 1100, 10, 950, 12, 1000] {
         it.observe(1, cost * 2, cost);
--- a/crates/portfield/tests/fleet_sim/mod.rs
+++ b/crates/portfield/tests/fleet_sim/mod.rs
@@ -69,13 +69,13 @@
 
     pub fn add_host(&mut self, data_centre: u32, number: u32) {
         let address = SocketAddr::from(([10, data_centre as u8, 0, 0], 7000 + number as u16));
-        let place =
+        let config =
             GossipConfig { host: host_hash(address), data_centre, direct_limit: DIRECT_LIMIT };
         let jitter = Duration::from_millis(self.rng.u64(0..300));
         self.hosts.push(Host {
             address,
             data_centre,
-            peers: PeerTable::new(place, std::iter::empty()),
+            peers: PeerTable::new(config, std::iter::empty()),
             balancer: Balancer::new(Duration::from_secs(4)),
             quarantine: Quarantine::default(),
             drain_marks: DrainMarks::default(),
@@ -109,12 +109,12 @@
         let known: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         let now = self.now;
         let host = &mut self.hosts[i];
-        let place = GossipConfig {
+        let config = GossipConfig {
             host: host_hash(host.address),
             data_centre: host.data_centre,
             direct_limit: DIRECT_LIMIT,
         };
-        host.peers = PeerTable::new(place, std::iter::empty());
+        host.peers = PeerTable::new(config, std::iter::empty());
         known.iter().for_each(|it| host.peers.add_host(it.0, Some(it.1)));
         host.balancer = Balancer::new(Duration::from_secs(4));
         host.quarantine = Quarantine::default();
@@ -144,8 +144,8 @@
     pub fn send_digest(&mut self, i: usize) {
         let now = self.now;
         let host = &mut self.hosts[i];
-        let own = now - host.started_at;
-        let audience = host.peers.refresh_topology(own);
+        let host_now = now - host.started_at;
+        let topology = host.peers.refresh_topology(host_now);
         host.sequence += 1;
         let mut digest = Digest {
             host: host_hash(host.address),
@@ -157,27 +157,27 @@
             orders_version: host.orders_version,
             ..Digest::default()
         };
-        host.balancer.fill_digest(own, &mut digest);
-        digest.suspects = host.quarantine.suspects_for_digest(own, &audience, host.sequence);
+        host.balancer.fill_digest(host_now, &mut digest);
+        digest.suspects = host.quarantine.suspects_for_digest(host_now, &topology, host.sequence);
         digest.draining =
-            host.drain_marks.take_for_digest(audience.detail(host.sequence), |_| true);
+            host.drain_marks.take_for_digest(topology.detail(host.sequence), |_| true);
         let mut out = Vec::new();
-        if audience.is_leader() {
-            let mut sum = Digest {
+        if topology.is_leader() {
+            let mut summary = Digest {
                 host: u64::from(host.data_centre),
                 passed_on: true,
                 seeks_hosts: false,
                 ..digest.clone()
             };
-            host.balancer.fill_summary(own, &mut sum);
-            sum.suspects = host.quarantine.suspects_for_summary(own);
-            sum.draining = host.drain_marks.for_summary(|_| true);
-            let told = host.peers.summary_recipients(own, host.sequence);
-            out.extend(told.into_iter().map(|it| (it, sum.clone())));
+            host.balancer.fill_summary(host_now, &mut summary);
+            summary.suspects = host.quarantine.suspects_for_summary(host_now);
+            summary.draining = host.drain_marks.for_summary(|_| true);
+            let recipients = host.peers.summary_recipients(host_now, host.sequence);
+            out.extend(recipients.into_iter().map(|it| (it, summary.clone())));
         }
         digest.relayed = host.peers.take_forwards();
         out.extend(host.peers.recipients(host.sequence).into_iter().map(|it| (it, digest.clone())));
-        host.next_digest = now + audience.period();
+        host.next_digest = now + topology.period();
         self.send(i, out);
     }
 
@@ -209,9 +209,9 @@
         let host = &mut self.hosts[i];
         host.n_received += 1;
         let now = self.now - host.started_at;
-        let audience = host.peers.topology();
+        let topology = host.peers.topology();
         let mut out = Vec::new();
-        if digest.seeks_hosts && audience.is_hierarchical() {
+        if digest.seeks_hosts && topology.is_hierarchical() {
             out.push((from, Digest { hosts: host.peers.known_hosts(), ..Digest::default() }));
         }
         if !digest.hosts.is_empty() {
@@ -223,7 +223,7 @@
         }
         let relayed =
             std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
-        for (it, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
+        for (it, delivery) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
             if it.host == host_hash(host.address) {
                 continue;
             }
@@ -240,21 +240,21 @@
             } else {
                 host.summaries.insert(it.data_centre, (self.now, it.n_summed));
             }
-            if audience.accepts(&it) {
+            if topology.accepts(&it) {
                 host.balancer.merge_digest(now, &it);
             }
-            out.extend(host.peers.forward(it, way));
+            out.extend(host.peers.forward(it, delivery));
         }
         self.send(i, out);
     }
 
     /// Returns the hosts that live and speak for a data centre.
     pub fn leaders(&self, data_centre: u32) -> Vec<usize> {
-        let speaks = |it: &&usize| self.hosts[**it].peers.topology().is_leader();
-        let there =
+        let is_leader = |it: &&usize| self.hosts[**it].peers.topology().is_leader();
+        let is_member =
             |it: &usize| self.hosts[*it].is_alive && self.hosts[*it].data_centre == data_centre;
-        let all: Vec<usize> = (0..self.hosts.len()).filter(there).collect();
-        all.iter().filter(speaks).copied().collect()
+        let all: Vec<usize> = (0..self.hosts.len()).filter(is_member).collect();
+        all.iter().filter(is_leader).copied().collect()
     }
 
     /// Checks that each living host has heard lately of all of its data centre that live.
@@ -273,9 +273,9 @@
         self.check_local_known(age);
         for (host, other) in self.pairs().filter(|it| it.0.data_centre != it.1.data_centre) {
             let n = self.n_alive(other.data_centre);
-            let sum = host.summaries.get(&other.data_centre);
-            let is_known = sum.is_some_and(|it| self.now <= it.0 + age && it.1 == n);
-            assert!(is_known, "{} of {n} in {}: {sum:?}", host.address, other.data_centre);
+            let summary = host.summaries.get(&other.data_centre);
+            let is_known = summary.is_some_and(|it| self.now <= it.0 + age && it.1 == n);
+            assert!(is_known, "{} of {n} in {}: {summary:?}", host.address, other.data_centre);
         }
     }
 
--- a/crates/portfield/tests/loans.rs
+++ b/crates/portfield/tests/loans.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     fleet::{Fleet, Intent, hash_token},
-    schedule::{Health, OwnerConfig, ShardKey, ShardOwner},
+    schedule::{DeliveryStatus, Health, OwnerConfig, ShardKey, ShardOwner},
     wire,
 };
 
@@ -33,7 +33,7 @@
 }
 
 /// Lets the owners talk for a while and returns the grants of the second.
-fn talk(owners: &mut [ShardOwner; 2], from: u64, to: u64) -> Vec<wire::Grant> {
+fn exchange_frames(owners: &mut [ShardOwner; 2], from: u64, to: u64) -> Vec<wire::Grant> {
     let mut res = Vec::new();
     for millis in (from..to).step_by(10) {
         let now = Duration::from_millis(millis);
@@ -42,11 +42,7 @@
                 if frame.from != frame.to {
                     owners[1 - idx].handle_frame(now, &frame);
                 }
-                owners[idx].record_delivery(
-                    now,
-                    &frame,
-                    portfield::schedule::DeliveryStatus::Confirmed,
-                );
+                owners[idx].record_delivery(now, &frame, DeliveryStatus::Confirmed);
             }
             owners[idx].dispatch(now);
         }
@@ -58,29 +54,29 @@
 /// The router that used a borrowed slot is gone: what it sent may still run, so the lender
 /// must not grant the slot before a load report says that it is free.
 #[test]
-fn a_borrowed_slot_of_a_lost_router_comes_back_in_doubt() {
+fn borrowed_slot_of_a_lost_router_is_not_granted_while_its_request_may_run() {
     let fleet = fleet();
     let (upstream, workspace) = (fleet.upstreams[0].id, fleet.workspaces[0].id);
     let ticket = |id| wire::Ticket { id, workspace, ..Default::default() };
     let mut owners = owners(&fleet);
-    let report = |owner: &mut ShardOwner, at: u64, running: u32| {
+    let report_load = |owner: &mut ShardOwner, at: u64, running: u32| {
         let health = Health::Up { running, leaving: false };
         owner.record_health(Duration::from_millis(at), upstream, health);
     };
-    report(&mut owners[0], 0, 0);
+    report_load(&mut owners[0], 0, 0);
     owners[1].register(Duration::ZERO, HOST, &ticket(1));
-    let grants = talk(&mut owners, 10, 1500);
+    let grants = exchange_frames(&mut owners, 10, 1500);
     assert_eq!((grants.len(), grants[0].upstream), (1, upstream));
     owners[1].remove_router(Duration::from_millis(1500), HOST);
     owners[0].register(Duration::from_millis(1500), HOST, &ticket(2));
-    let granted = |owner: &mut ShardOwner| {
+    let n_granted = |owner: &mut ShardOwner| {
         owner.take_answers().values().map(|it| it.grants.len()).sum::<usize>()
     };
-    talk(&mut owners, 1500, 2500);
-    report(&mut owners[0], 2500, 1);
-    talk(&mut owners, 2500, 3000);
-    assert_eq!(granted(&mut owners[0]), 0);
-    report(&mut owners[0], 3500, 0);
-    talk(&mut owners, 3500, 3600);
-    assert_eq!(granted(&mut owners[0]), 1);
+    exchange_frames(&mut owners, 1500, 2500);
+    report_load(&mut owners[0], 2500, 1);
+    exchange_frames(&mut owners, 2500, 3000);
+    assert_eq!(n_granted(&mut owners[0]), 0);
+    report_load(&mut owners[0], 3500, 0);
+    exchange_frames(&mut owners, 3500, 3600);
+    assert_eq!(n_granted(&mut owners[0]), 1);
 }
