--- a/crates/portfield/tests/cost_estimator.rs
+++ b/crates/portfield/tests/cost_estimator.rs
@@ -1,9 +1,9 @@
-//! Learned costs.
+//! Cost estimates learned from earlier requests.
 
 use portfield::schedule::CostEstimator;
 
-/// Found by the replays of `rough` and `lies`: the mean of ratios let single small hints
-/// for large requests raise every later estimate twentyfold.
+/// With a mean of ratios, single small hints for large requests raised all later estimates
+/// twentyfold. Found by the replays of `rough` and `lies`.
 #[test]
 fn inaccurate_hints_are_ignored() {
     let mut it = CostEstimator::default();
@@ -14,7 +14,7 @@
         it.observe(1, hint, cost);
     }
     for hint in [5, 50, 500] {
-        assert!((45..=65).contains(&it.estimate(1, hint)), "{}", it.estimate(1, hint));
+        assert!((45..=65).contains(&it.estimate(1, hint)), "hint {hint}: {}", it.estimate(1, hint));
     }
 }
 
--- a/crates/portfield/tests/counters.rs
+++ b/crates/portfield/tests/counters.rs
@@ -1,12 +1,14 @@
-//! Weighted virtual counters: lifts, merges, clamps.
+//! Weighted virtual counters: lifts, merges and clamping.
 
 use portfield::{
     schedule::{Counters, ShardKey, UNITS_PER_TOKEN},
     wire::{Lift, Usage, UsageSet},
 };
 
+/// Shard of another owner.
 const REMOTE: ShardKey = ShardKey { service: 1, data_centre: 1, part: 0 };
 
+/// Returns a usage set of [`REMOTE`] with workspace, served and reserved tokens and waiting tickets.
 fn usage_set(incarnation: u64, sequence: u64, usage: &[(u32, u64, u64, u32)]) -> UsageSet {
     let usage = usage.iter().map(|&(workspace, served, reserved, waiting)| Usage {
         workspace,
@@ -23,8 +25,8 @@
     it
 }
 
-/// Found by the replay of `host-dies`: a new owner lifted workspaces before it had heard
-/// what they were served, and they starved.
+/// A new owner that lifted workspaces before it knew what they had been served starved them: their
+/// past service counted twice. Found by the replay of `host-dies`.
 #[test]
 fn new_owner_lifts_no_workspace_before_it_is_synced() {
     let mut it = Counters::default();
@@ -44,8 +46,8 @@
     assert_eq!(it.total(2), 500 * UNITS_PER_TOKEN);
 }
 
-/// Found by the replay of `flood`: a workspace that came back was lifted over estimates
-/// that turned out too high, and starved until the others caught up.
+/// The lift of a returning workspace included reservations, which are estimates. Where they were too
+/// high, the workspace starved until the others caught up. Found by the replay of `flood`.
 #[test]
 fn lift_excludes_reservations() {
     let mut it = counters_with_lifts();
@@ -56,8 +58,8 @@
     assert_eq!(it.total(2), it.total(1));
 }
 
-/// Found by the replay of `flood`: an owner lifted a workspace that waits elsewhere over
-/// service that it had not heard of yet.
+/// An owner lifted a workspace that waits at another owner before it had heard of its latest service
+/// there, which then counted twice. Found by the replay of `flood`.
 #[test]
 fn workspace_that_waits_at_another_owner_is_not_lifted() {
     let mut it = counters_with_lifts();
@@ -83,7 +85,7 @@
         });
         (it.total(1), it.total(2))
     };
-    // The earlier life's reservations end with it, what it served stays.
+    // The reservations of the earlier incarnation end with it; the cost it served is kept.
     let expected = (28 * UNITS_PER_TOKEN, 7 * UNITS_PER_TOKEN);
     assert_eq!(totals(&[0, 1, 2]), expected);
     assert_eq!(totals(&[0, 1, 1, 2, 2, 0]), expected);
@@ -116,8 +118,8 @@
     assert_eq!(it.total(1), 9);
 }
 
-/// Found by the replay `one-way-cut`: an owner that peers had given up goes on under a later
-/// number, and nothing is counted twice.
+/// An owner that its peers considered gone continues under a later incarnation; the cost it served
+/// before must not count twice. Found by the replay of `one-way-cut`.
 #[test]
 fn change_of_incarnation_counts_nothing_twice() {
     let mut it = Counters::default();
--- a/crates/portfield/tests/fleet_sim/mod.rs
+++ b/crates/portfield/tests/fleet_sim/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts that only tell and hear, in virtual time: datagrams take a while, and some are lost.
+//! Simulation of hosts that only exchange digests, in virtual time. Datagrams are delayed, and some
+//! are lost.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -9,16 +10,17 @@
     wire::Digest,
 };
 
+/// Step of the virtual time.
 pub const STEP: Duration = Duration::from_millis(1);
-/// One way between two hosts.
+/// One-way delay between two hosts.
 pub const DELAY: Duration = Duration::from_millis(1);
 pub const SEED: u64 = 7;
-/// Time for which a host fetches from another one what that knows and it does not.
+/// Time that a host takes to fetch newer state from another one.
 pub const FETCH_TIME: Duration = Duration::from_millis(30);
-/// Most other hosts that each tell every other one.
+/// Largest number of other hosts for which all hosts send digests to all others.
 pub const DIRECT_LIMIT: usize = 12;
 
-/// A host that only tells and hears.
+/// A host that only exchanges digests.
 pub struct Host {
     pub address: SocketAddr,
     pub data_centre: u32,
@@ -27,33 +29,37 @@
     pub quarantine: Quarantine,
     pub drain_marks: DrainMarks,
     pub started_at: Duration,
+    /// When its next digest is due.
     pub next_digest: Duration,
     pub sequence: u64,
     pub incarnation: u64,
     pub is_alive: bool,
-    /// When each other host's own word was last heard, itself or through the speaker.
+    /// When a digest of each other host last arrived, direct or forwarded by the leader.
     pub heard_at: HashMap<u64, Duration>,
-    /// When the sum of each other data centre was last heard, and for how many it spoke.
+    /// When the summary of each other data centre last arrived, and how many hosts it covered.
     pub summaries: HashMap<u32, (Duration, u32)>,
-    /// Version of the operator's orders that it knows.
+    /// Version of the evacuation orders that it knows.
     pub orders_version: u64,
-    /// The version that it fetches, and when it has it.
+    /// Version of the orders being fetched, and when it arrives.
     pub fetching: Option<(u64, Duration)>,
     pub n_sent: u64,
     pub n_received: u64,
 }
 
+/// Simulated hosts and the datagrams between them.
 pub struct FleetSim {
     pub now: Duration,
     pub hosts: Vec<Host>,
+    /// Datagrams on their way: arrival time, sender, receiver, digest.
     pub in_flight: Vec<(Duration, SocketAddr, SocketAddr, Digest)>,
-    /// Of a hundred datagrams so many are lost.
+    /// Percentage of datagrams that are lost.
     pub loss_percent: u32,
     pub rng: fastrand::Rng,
 }
 
 impl FleetSim {
-    /// Builds a fleet that starts now; each host knows all others by the store, or only `n_seeds`.
+    /// Creates a fleet that starts now. Each host knows all others, as if from the store, or only the
+    /// first `n_seeds`.
     pub fn new(n_centres: u32, n_each: u32, n_seeds: Option<usize>) -> Self {
         let mut res = Self {
             now: Duration::from_millis(1),
@@ -67,6 +73,7 @@
         res
     }
 
+    /// Adds a host with a random start delay.
     pub fn add_host(&mut self, data_centre: u32, number: u32) {
         let address = SocketAddr::from(([10, data_centre as u8, 0, 0], 7000 + number as u16));
         let config =
@@ -93,7 +100,7 @@
         });
     }
 
-    /// Lets each host know of the others.
+    /// Adds to each host's peers all hosts, or the first `n_seeds` without their data centres.
     pub fn introduce_hosts(&mut self, n_seeds: Option<usize>) {
         let all: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         for host in &mut self.hosts {
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Starts a dead host anew at the same address.
+    /// Restarts a dead host at the same address.
     pub fn restart_host(&mut self, i: usize) {
         let known: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         let now = self.now;
@@ -124,6 +131,7 @@
         host.is_alive = true;
     }
 
+    /// Advances the virtual time.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -141,6 +149,7 @@
         }
     }
 
+    /// Sends a host's digest, and its data centre's summary if it is the leader.
     pub fn send_digest(&mut self, i: usize) {
         let now = self.now;
         let host = &mut self.hosts[i];
@@ -181,6 +190,7 @@
         self.send(i, out);
     }
 
+    /// Sends digests from a host; some are lost.
     pub fn send(&mut self, i: usize, out: Vec<(SocketAddr, Digest)>) {
         let from = self.hosts[i].address;
         self.hosts[i].n_sent += out.len() as u64;
@@ -191,6 +201,7 @@
         }
     }
 
+    /// Delivers the datagrams that are due.
     pub fn deliver(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
@@ -204,7 +215,7 @@
         }
     }
 
-    /// Does what a host does with a datagram.
+    /// Handles a datagram that arrived at a host.
     pub fn receive(&mut self, i: usize, from: SocketAddr, mut digest: Digest) {
         let host = &mut self.hosts[i];
         host.n_received += 1;
@@ -248,7 +259,7 @@
         self.send(i, out);
     }
 
-    /// Returns the hosts that live and speak for a data centre.
+    /// Returns the live hosts of a data centre that act as its leader.
     pub fn leaders(&self, data_centre: u32) -> Vec<usize> {
         let is_leader = |it: &&usize| self.hosts[**it].peers.topology().is_leader();
         let is_member =
@@ -257,17 +268,19 @@
         all.iter().filter(is_leader).copied().collect()
     }
 
-    /// Checks that each living host has heard lately of all of its data centre that live.
+    /// Asserts that each live host has a digest no older than `age` of each other live host of its
+    /// data centre.
     #[track_caller]
     pub fn check_local_known(&self, age: Duration) {
         for (host, other) in self.pairs().filter(|it| it.0.data_centre == it.1.data_centre) {
             let at = host.heard_at.get(&host_hash(other.address));
             let is_known = at.is_some_and(|it| self.now <= *it + age);
-            assert!(is_known, "{} of {}: {at:?}", host.address, other.address);
+            assert!(is_known, "{}: last digest of {} at {at:?}", host.address, other.address);
         }
     }
 
-    /// Checks that each living host has heard lately of all that live, and of none that does not.
+    /// Asserts in addition that each live host has a summary no older than `age` of each other data
+    /// centre, which covers exactly its live hosts.
     #[track_caller]
     pub fn check_all_known(&self, age: Duration) {
         self.check_local_known(age);
@@ -275,11 +288,15 @@
             let n = self.n_alive(other.data_centre);
             let summary = host.summaries.get(&other.data_centre);
             let is_known = summary.is_some_and(|it| self.now <= it.0 + age && it.1 == n);
-            assert!(is_known, "{} of {n} in {}: {summary:?}", host.address, other.data_centre);
+            assert!(
+                is_known,
+                "{}: summary of data centre {} with {n} live hosts is {summary:?}",
+                host.address, other.data_centre
+            );
         }
     }
 
-    /// Returns all pairs of living hosts.
+    /// Returns all pairs of different live hosts.
     pub fn pairs(&self) -> impl Iterator<Item = (&Host, &Host)> {
         let alive = || self.hosts.iter().filter(|it| it.is_alive);
         let others = move |host: &Host| {
@@ -289,6 +306,7 @@
         alive().flat_map(move |host| others(host).map(move |it| (host, it)))
     }
 
+    /// Returns the number of live hosts in a data centre.
     pub fn n_alive(&self, data_centre: u32) -> u32 {
         let alive = |it: &&Host| it.is_alive && it.data_centre == data_centre;
         self.hosts.iter().filter(alive).count() as u32
--- a/crates/portfield/tests/loans.rs
+++ b/crates/portfield/tests/loans.rs
@@ -1,4 +1,4 @@
-//! Slots lent between owners.
+//! Loans of slots between owners.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -10,7 +10,7 @@
 
 const HOST: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 1));
 
-/// Two data centres; only the first has an upstream, with one slot.
+/// Returns a configuration with two data centres, of which the first has an upstream with one slot.
 fn fleet() -> Fleet {
     let text = format!(
         "data_centres = ['a', 'b']\n[[service]]\nname = 's'\nkind = 'engine'\n\
@@ -32,7 +32,8 @@
     })
 }
 
-/// Lets the owners talk for a while and returns the grants of the second.
+/// Exchanges the due frames of the owners between two times in milliseconds; returns the grants of
+/// the second owner.
 fn exchange_frames(owners: &mut [ShardOwner; 2], from: u64, to: u64) -> Vec<wire::Grant> {
     let mut res = Vec::new();
     for millis in (from..to).step_by(10) {
@@ -51,8 +52,8 @@
     res
 }
 
-/// The router that used a borrowed slot is gone: what it sent may still run, so the lender
-/// must not grant the slot before a load report says that it is free.
+/// When the router that used a borrowed slot is gone, its request may still run. The lender must not
+/// grant the slot again before a load report of the upstream shows that it is free.
 #[test]
 fn borrowed_slot_of_a_lost_router_is_not_granted_while_its_request_may_run() {
     let fleet = fleet();
