--- a/crates/portfield-host/tests/cost.rs
+++ b/crates/portfield-host/tests/cost.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use fleet::{Fleet, Host, connect, read_answer, request, until};
+use fleet::{Fleet, Host, connect, read_response, request, wait_until};
 use portfield_platform_standins::UpstreamFault;
 
 /// Callers, each with a connection of its own that it keeps.
@@ -34,7 +34,7 @@
 #[ignore = "a measurement, not a check"]
 fn processor_time_of_a_request() {
     let mut fleet = Fleet::new(0, 140);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let (before, start) = (used(&host), Instant::now());
     let (mut n_whole, mut n_events) = (0, 0);
     thread::scope(|scope| {
@@ -49,9 +49,9 @@
                     }
                     let text = request("draft", &format!("{caller:04x}{n:08x}"));
                     stream.write_all(text.as_bytes()).unwrap();
-                    let answer = read_answer(&mut stream).unwrap();
-                    n_whole += usize::from(answer.status == 200);
-                    n_events += answer.events().len();
+                    let response = read_response(&mut stream).unwrap();
+                    n_whole += usize::from(response.status == 200);
+                    n_events += response.event_ids().len();
                 }
                 (n_whole, n_events)
             })
@@ -78,7 +78,7 @@
 #[ignore = "a measurement, not a check"]
 fn processor_time_of_a_refusal() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let before = used(&host);
     for n in 0..N_REFUSED {
         // A key of no workspace: refused as early as what a busy host does not admit.
@@ -93,8 +93,8 @@
 #[ignore = "a measurement, not a check"]
 fn processor_time_of_a_refusal_for_load() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.start("active_limit = 1");
-    until("the host is ready", || host.is_ready());
+    let host = fleet.spawn_host("active_limit = 1");
+    wait_until("the host is ready", || host.is_ready());
     fleet.engines[0].set_fault(UpstreamFault::Hang);
     // Two requests that hang are one more than may run at once: the rest is refused.
     let hanging: Vec<_> = (0..2)
@@ -104,7 +104,7 @@
             caller
         })
         .collect();
-    until("both hang", || fleet.engines[0].n_executed() == 2);
+    wait_until("both hang", || fleet.engines[0].n_executed() == 2);
     let before = used(&host);
     let body = "x".repeat(LARGE_BODY);
     let mut caller = connect(host.listen).unwrap();
@@ -115,7 +115,7 @@
             &format!("content-length: {LARGE_BODY}\r\n\r\n{body}"),
         );
         caller.write_all(text.as_bytes()).unwrap();
-        assert_eq!(read_answer(&mut caller).unwrap().status, 503);
+        assert_eq!(read_response(&mut caller).unwrap().status, 503);
     }
     let each = (used(&host) - before) / N_REFUSED;
     writeln!(io::stdout(), "{N_REFUSED} refusals for load, on one connection: {each:?} each")
--- a/crates/portfield-host/tests/fleet/mod.rs
+++ b/crates/portfield-host/tests/fleet/mod.rs
@@ -23,18 +23,18 @@
 use serde_json::{Value, json};
 
 /// Longest wait for a condition; far above what any takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time that a stand-in takes for a call or an event.
-const PACE: Duration = Duration::from_millis(10);
+const UPSTREAM_LATENCY: Duration = Duration::from_millis(10);
 
 static N_FLEETS: AtomicU32 = AtomicU32::new(0);
 
 /// Waits until a condition holds.
 #[track_caller]
-pub fn until(what: &str, mut f: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, mut f: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !f() {
-        assert!(Instant::now() < end, "not within {PATIENCE:?}: {what}");
+        assert!(Instant::now() < end, "not within {WAIT_TIMEOUT:?}: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -51,7 +51,7 @@
 
 impl Host {
     /// Returns the log lines with a message.
-    pub fn logged(&self, message: &str) -> Vec<Value> {
+    pub fn log_entries(&self, message: &str) -> Vec<Value> {
         let lines = self.lines.lock().unwrap();
         lines.iter().filter(|it| it["message"] == message).map(|it| it["kvs"].clone()).collect()
     }
@@ -61,7 +61,7 @@
     }
 
     /// Returns every line of its log.
-    pub fn all_lines(&self) -> Vec<Value> {
+    pub fn log_lines(&self) -> Vec<Value> {
         self.lines.lock().unwrap().clone()
     }
 
@@ -71,9 +71,9 @@
     }
 
     /// Waits for the process to end by itself and returns its exit code.
-    pub fn exit_code(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut res = None;
-        until("the process ends", || {
+        wait_until("the process ends", || {
             res = self.child.try_wait().unwrap();
             res.is_some()
         });
@@ -82,17 +82,17 @@
 
     pub fn is_ready(&self) -> bool {
         let request = "GET /api/readyz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        exchange(self.ready, request.as_bytes()).is_some_and(|it| it.status == 200)
+        send_request(self.ready, request.as_bytes()).is_some_and(|it| it.status == 200)
     }
 
     /// Sends a request on a connection of its own.
-    pub fn send(&self, request: &str) -> Answer {
-        exchange(self.listen, request.as_bytes()).expect("an answer")
+    pub fn send(&self, request: &str) -> Response {
+        send_request(self.listen, request.as_bytes()).expect("an answer")
     }
 
     pub fn metric(&self, name: &str) -> f64 {
         let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let text = exchange(self.metrics, request.as_bytes()).unwrap().text();
+        let text = send_request(self.metrics, request.as_bytes()).unwrap().text();
         let line = text.lines().find_map(|it| it.strip_prefix(name)).unwrap_or("0");
         line.trim().parse().unwrap()
     }
@@ -109,46 +109,46 @@
 pub struct Fleet {
     pub rt: Runtime,
     pub store: FakeStore,
-    pub plains: Vec<FakeUpstream>,
+    pub plain_upstreams: Vec<FakeUpstream>,
     pub engines: Vec<FakeUpstream>,
     dir: PathBuf,
     n_hosts: u32,
     /// Data centre of the host started last.
     data_centre: String,
     /// Where hosts that start from now on reach the store, if not at its own address.
-    pub store_door: Option<SocketAddr>,
+    pub store_proxy: Option<SocketAddr>,
     _stop: async_channel::Sender<()>,
 }
 
 impl Fleet {
     /// Starts the stand-ins: so many plain upstreams and engines, and a configuration.
-    pub fn new(n_plains: usize, n_engines: usize) -> Self {
+    pub fn new(n_plain: usize, n_engines: usize) -> Self {
         let rt = Runtime::default();
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let task = rt.clone();
         thread::spawn(move || task.block_on(1, stopped.recv()));
         let start = |name: &str, n: usize| -> Vec<FakeUpstream> {
             let ids = (0..n).map(|it| format!("{name}-{it}"));
-            ids.map(|id| wait(FakeUpstream::start(&rt, &id, PACE))).collect()
+            ids.map(|id| block_on(FakeUpstream::start(&rt, &id, UPSTREAM_LATENCY))).collect()
         };
-        let (plains, engines) = (start("plain", n_plains), start("engine", n_engines));
-        let store = wait(FakeStore::start(&rt));
+        let (plain_upstreams, engines) = (start("plain", n_plain), start("engine", n_engines));
+        let store = block_on(FakeStore::start(&rt));
         let number = N_FLEETS.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("pf-host-{}-{number}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         let res = Self {
             rt,
             store,
-            plains,
+            plain_upstreams,
             engines,
             dir,
             n_hosts: 0,
             data_centre: String::new(),
-            store_door: None,
+            store_proxy: None,
             _stop: stop,
         };
         res.store.put("op", "config", &config(1));
-        for it in &res.plains {
+        for it in &res.plain_upstreams {
             res.store.put("servers", &it.id, &it.entry("desk", "ready"));
         }
         for it in &res.engines {
@@ -158,23 +158,23 @@
     }
 
     /// Starts a host and waits until it is ready.
-    pub fn host(&mut self) -> Host {
-        let res = self.start("");
-        until("the host is ready", || res.is_ready());
+    pub fn start_host(&mut self) -> Host {
+        let res = self.spawn_host("");
+        wait_until("the host is ready", || res.is_ready());
         res
     }
 
     /// Starts a host with more settings, and waits only for its addresses.
-    pub fn start(&mut self, more: &str) -> Host {
-        self.start_in("north", more)
+    pub fn spawn_host(&mut self, extra_settings: &str) -> Host {
+        self.spawn_host_in("north", extra_settings)
     }
 
     /// Starts a host in a data centre.
-    pub fn start_in(&mut self, data_centre: &str, more: &str) -> Host {
+    pub fn spawn_host_in(&mut self, data_centre: &str, extra_settings: &str) -> Host {
         self.n_hosts += 1;
         self.data_centre = data_centre.to_owned();
         let path = self.dir.join(format!("host-{}.toml", self.n_hosts));
-        fs::write(&path, self.settings(more)).unwrap();
+        fs::write(&path, self.settings(extra_settings)).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_portfield-host"))
             .arg("--settings")
             .arg(&path)
@@ -189,34 +189,34 @@
         let (listen, ready, metrics) = (address("listen"), address("ready"), address("metrics"));
         let peers = address("peers");
         let lines = Arc::new(Mutex::new(vec![first]));
-        let all = lines.clone();
+        let log = lines.clone();
         thread::spawn(move || {
             for line in reader.map_while(Result::ok) {
                 let line = serde_json::from_str(&line).expect("every line is JSON");
-                all.lock().unwrap().push(line);
+                log.lock().unwrap().push(line);
             }
         });
         Host { child, listen, ready, metrics, peers, lines }
     }
 
     /// Writes the settings file of the host started last anew.
-    pub fn rewrite(&self, more: &str) {
+    pub fn rewrite_settings(&self, extra_settings: &str) {
         let path = self.dir.join(format!("host-{}.toml", self.n_hosts));
-        fs::write(path, self.settings(more)).unwrap();
+        fs::write(path, self.settings(extra_settings)).unwrap();
     }
 
-    fn settings(&self, more: &str) -> String {
-        let store = self.store_door.unwrap_or(self.store.address());
+    fn settings(&self, extra_settings: &str) -> String {
+        let store = self.store_proxy.unwrap_or(self.store.address());
         format!(
             "name = 'h{}'\ndata_centre = '{}'\nlisten = '127.0.0.1:0'\nready = '127.0.0.1:0'\n\
-             peers = '127.0.0.1:0'\nmetrics = '127.0.0.1:0'\nstore = '{store}'\ngrace_s = 3\n{more}\n",
+             peers = '127.0.0.1:0'\nmetrics = '127.0.0.1:0'\nstore = '{store}'\ngrace_s = 3\n{extra_settings}\n",
             self.n_hosts, self.data_centre
         )
     }
 
     /// Returns how many requests ran at all upstreams together.
     pub fn n_executed(&self) -> usize {
-        self.plains.iter().chain(&self.engines).map(FakeUpstream::n_executed).sum()
+        self.plain_upstreams.iter().chain(&self.engines).map(FakeUpstream::n_executed).sum()
     }
 }
 
@@ -226,7 +226,7 @@
     }
 }
 
-fn wait<T>(f: impl Future<Output = std::io::Result<T>>) -> T {
+fn block_on<T>(f: impl Future<Output = std::io::Result<T>>) -> T {
     futures_lite::future::block_on(f).unwrap()
 }
 
@@ -245,14 +245,14 @@
     resumable["target_itl_ms"] = json!(100);
     let mut public = route("public", "safe", "desk");
     public["public"] = json!(true);
-    let mut once = route("draft", "streaming", "model");
-    once["max_attempts"] = json!(1);
-    once["timeout_ms"] = json!(5000);
+    let mut single_attempt = route("draft", "streaming", "model");
+    single_attempt["max_attempts"] = json!(1);
+    single_attempt["timeout_ms"] = json!(5000);
     json!({
         "version": version,
         "routes": [
             route("check", "safe", "desk"), route("order", "unsafe", "desk"),
-            once, resumable, public,
+            single_attempt, resumable, public,
         ],
         "services": [
             { "name": "desk", "health_path": "/healthz", "max_conns": 50 },
@@ -282,15 +282,15 @@
 
 /// An answer, read to its end.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
     /// It ended as its head says.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|it| it.split_once(':'));
         lines.find(|it| it.0.eq_ignore_ascii_case(name)).map(|it| it.1.trim())
@@ -301,7 +301,7 @@
     }
 
     /// Returns the ids of the events.
-    pub fn events(&self) -> Vec<u32> {
+    pub fn event_ids(&self) -> Vec<u32> {
         let text = self.text();
         text.lines().filter_map(|it| it.strip_prefix("id: ")?.parse().ok()).collect()
     }
@@ -310,19 +310,19 @@
 /// Opens a connection on which nothing is waited for without end.
 pub fn connect(address: SocketAddr) -> Option<TcpStream> {
     let stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     Some(stream)
 }
 
 /// Sends bytes on a new connection and reads one answer.
-pub fn exchange(address: SocketAddr, request: &[u8]) -> Option<Answer> {
+pub fn send_request(address: SocketAddr, request: &[u8]) -> Option<Response> {
     let mut stream = connect(address)?;
     stream.write_all(request).ok()?;
-    read_answer(&mut stream)
+    read_response(&mut stream)
 }
 
 /// Reads one answer.
-pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
+pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -331,22 +331,22 @@
         }
     }
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    let mut res = Answer { status, head, body: Vec::new(), is_whole: true };
+    let mut res = Response { status, head, body: Vec::new(), is_complete: true };
     if let Some(n) = res.header("content-length").and_then(|it| it.parse().ok()) {
         res.body = vec![0; n];
-        res.is_whole = reader.read_exact(&mut res.body).is_ok();
+        res.is_complete = reader.read_exact(&mut res.body).is_ok();
         return Some(res);
     }
     loop {
         let mut line = String::new();
         if reader.read_line(&mut line).unwrap_or(0) == 0 {
-            res.is_whole = false;
+            res.is_complete = false;
             return Some(res);
         }
         let n = usize::from_str_radix(line.trim(), 16).ok()?;
         let mut chunk = vec![0; n + 2];
         if reader.read_exact(&mut chunk).is_err() {
-            res.is_whole = false;
+            res.is_complete = false;
             return Some(res);
         }
         if n == 0 {
--- a/crates/portfield-host/tests/knowledge.rs
+++ b/crates/portfield-host/tests/knowledge.rs
@@ -10,7 +10,7 @@
 };
 
 use async_net::TcpStream;
-use fleet::{Fleet, Host, config, request, until};
+use fleet::{Fleet, Host, config, request, wait_until};
 use portfield_net::{http1, rpc};
 use portfield_platform_standins::{FaultProxy, NetworkFault, StoreFault};
 use portfield_wire::{
@@ -35,14 +35,14 @@
 #[test]
 fn a_change_is_in_force_within_two_seconds_and_no_older_one_follows() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     assert_eq!(host.send(&request("check", "r1")).status, 200);
     fleet.store.put("op", "config", &without_checks(7));
-    until("the route is gone", || host.send(&request("check", "r2")).status == 404);
+    wait_until("the route is gone", || host.send(&request("check", "r2")).status == 404);
     fleet.store.put("op", "config", &config(3));
     let after = host.metric("portfield_list_version");
-    fleet.store.put("servers", "x", &fleet.plains[0].entry("other", "ready"));
-    until("a later change is seen", || after < host.metric("portfield_list_version"));
+    fleet.store.put("servers", "x", &fleet.plain_upstreams[0].entry("other", "ready"));
+    wait_until("a later change is seen", || after < host.metric("portfield_list_version"));
     assert_eq!(host.metric("portfield_config_version"), 7.0);
     assert_eq!(host.send(&request("check", "r3")).status, 404);
 }
@@ -57,31 +57,31 @@
         StoreFault::Slow(900),
     ] {
         let mut fleet = Fleet::new(1, 0);
-        let host = fleet.host();
+        let host = fleet.start_host();
         fleet.store.set_fault(fault);
-        until("the loss is logged", || {
-            fault == StoreFault::Slow(900) || !host.logged("store lost").is_empty()
+        wait_until("the loss is logged", || {
+            fault == StoreFault::Slow(900) || !host.log_entries("store lost").is_empty()
         });
         assert_eq!(host.send(&request("order", "r1")).status, 200, "{fault:?}");
         assert!(host.is_ready(), "{fault:?}");
         fleet.store.set_fault(StoreFault::None);
         fleet.store.put("op", "config", &without_checks(2));
-        until("the change is in force", || host.send(&request("check", "r2")).status == 404);
+        wait_until("the change is in force", || host.send(&request("check", "r2")).status == 404);
     }
 }
 
 #[test]
 fn a_forgotten_history_is_read_anew() {
     let mut fleet = Fleet::new(2, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Unavailable);
-    until("the loss is logged", || !host.logged("store lost").is_empty());
+    wait_until("the loss is logged", || !host.log_entries("store lost").is_empty());
     fleet.store.remove("servers", "plain-0");
     fleet.store.compact_history();
     fleet.store.set_fault(StoreFault::None);
-    until("the upstream is gone", || {
-        host.logged("upstream gone").iter().any(|it| it["upstream"] == "plain-0")
-            || !host.logged("upstream did not come back").is_empty()
+    wait_until("the upstream is gone", || {
+        host.log_entries("upstream gone").iter().any(|it| it["upstream"] == "plain-0")
+            || !host.log_entries("upstream did not come back").is_empty()
     });
     for n in 0..4 {
         assert_eq!(host.send(&request("order", &format!("r{n}"))).text(), "from plain-1");
@@ -91,11 +91,11 @@
 #[test]
 fn who_drains_gets_no_new_request() {
     let mut fleet = Fleet::new(2, 0);
-    let host = fleet.host();
-    let entry = fleet.plains[0].entry("desk", "draining");
+    let host = fleet.start_host();
+    let entry = fleet.plain_upstreams[0].entry("desk", "draining");
     fleet.store.put("servers", "plain-0", &entry);
-    until("the news is there", || {
-        host.logged("upstream changed").iter().any(|it| it["state"] == "Draining")
+    wait_until("the news is there", || {
+        host.log_entries("upstream changed").iter().any(|it| it["state"] == "Draining")
     });
     for n in 0..6 {
         assert_eq!(host.send(&request("order", &format!("r{n}"))).text(), "from plain-1");
@@ -105,16 +105,16 @@
 #[test]
 fn a_host_that_starts_while_the_store_is_down_learns_from_the_others() {
     let mut fleet = Fleet::new(1, 0);
-    let first = fleet.host();
+    let first = fleet.start_host();
     let known = fleet.store.keys("portfield_hosts");
-    until("the first host has written its address", || {
+    wait_until("the first host has written its address", || {
         !fleet.store.keys("portfield_hosts").is_empty()
     });
     drop(known);
     let seed = fleet.store.keys("portfield_hosts")[0].clone();
     fleet.store.set_fault(StoreFault::Unavailable);
-    let second = fleet.start(&format!("seeds = ['{seed}']"));
-    until("the second host is ready", || second.is_ready());
+    let second = fleet.spawn_host(&format!("seeds = ['{seed}']"));
+    wait_until("the second host is ready", || second.is_ready());
     assert_eq!(second.send(&request("order", "r1")).status, 200);
     assert_eq!(second.metric("portfield_config_version"), first.metric("portfield_config_version"));
 }
@@ -122,16 +122,16 @@
 #[test]
 fn a_host_that_the_store_turns_away_learns_a_change_from_the_others() {
     let mut fleet = Fleet::new(1, 0);
-    let first = fleet.host();
-    let second = fleet.host();
-    until("they hear each other", || 2.0 <= first.metric("portfield_hosts"));
+    let first = fleet.start_host();
+    let second = fleet.start_host();
+    wait_until("they hear each other", || 2.0 <= first.metric("portfield_hosts"));
     // The second host's own view of the store ends: its socket is all that it has.
     second.signal("-STOP");
     fleet.store.put("op", "config", &without_checks(5));
-    until("the first host knows", || first.metric("portfield_config_version") == 5.0);
+    wait_until("the first host knows", || first.metric("portfield_config_version") == 5.0);
     fleet.store.set_fault(StoreFault::Hang);
     second.signal("-CONT");
-    until("the second host knows", || second.metric("portfield_config_version") == 5.0);
+    wait_until("the second host knows", || second.metric("portfield_config_version") == 5.0);
     assert_eq!(second.send(&request("check", "r1")).status, 404);
 }
 
@@ -140,13 +140,13 @@
 #[test]
 fn changes_in_quick_succession_take_few_calls_to_the_store() {
     let mut fleet = Fleet::new(1, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     // The first change shows that the table is followed.
-    let entry = fleet.plains[0].entry("desk", "ready");
+    let entry = fleet.plain_upstreams[0].entry("desk", "ready");
     fleet.store.put("servers", "other-0", &entry);
     let version = || host.metric("portfield_list_version");
     let followed = version();
-    until("the table is followed", || followed < version());
+    wait_until("the table is followed", || followed < version());
     let (calls, start) = (fleet.store.n_calls(), Instant::now());
     for n in 1..=40 {
         fleet.store.put("servers", &format!("other-{n}"), &entry);
@@ -193,13 +193,13 @@
 #[test]
 fn a_configuration_does_not_wait_for_a_long_list() {
     let mut fleet = Fleet::new(1, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
-    until("the loss is logged", || !host.logged("store lost").is_empty());
+    wait_until("the loss is logged", || !host.log_entries("store lost").is_empty());
     let config = config(NEWER).to_string().into_bytes();
     let socket = serve_peer(&fleet, FakePeer { config, list: Vec::new() });
     let mut sequence = 0;
-    until("the configuration is in force", || {
+    wait_until("the configuration is in force", || {
         sequence += 1;
         let digest = Digest { config_version: NEWER, ..newer_list(sequence) };
         socket.send_to(&digest.encode_to_vec(), host.peers).unwrap();
@@ -212,19 +212,19 @@
 #[test]
 fn a_list_that_another_host_knows_is_taken_while_the_store_still_seems_to_answer() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
-    let draining = fleet.plains[0].entry("desk", "draining").to_string().into_bytes();
+    let host = fleet.start_host();
+    let draining = fleet.plain_upstreams[0].entry("desk", "draining").to_string().into_bytes();
     let entry = ListedUpstream { id: "plain-0".to_owned(), entry: draining, held: 0, row: 0 };
     let socket = serve_peer(&fleet, FakePeer { config: Vec::new(), list: vec![entry] });
     let mut sequence = 0;
-    until("the upstream gets no more requests", || {
+    wait_until("the upstream gets no more requests", || {
         sequence += 1;
         // The store answers all the while.
         fleet.store.put("op", "other", &json!({}));
         socket.send_to(&newer_list(sequence).encode_to_vec(), host.peers).unwrap();
         host.send(&request("check", &format!("r{sequence}"))).status == 503
     });
-    assert!(host.logged("store lost").is_empty());
+    assert!(host.log_entries("store lost").is_empty());
 }
 
 /// Asks a host for its list.
@@ -243,24 +243,24 @@
 #[test]
 fn what_a_host_reads_too_late_is_not_told_on() {
     let mut fleet = Fleet::new(2, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let listed = |n: usize, state: &str| ListedUpstream {
         id: format!("plain-{n}"),
-        entry: fleet.plains[n].entry("desk", state).to_string().into_bytes(),
+        entry: fleet.plain_upstreams[n].entry("desk", state).to_string().into_bytes(),
         held: 0,
         row: 0,
     };
     let list = vec![listed(0, "draining"), listed(1, "ready")];
     let socket = serve_peer(&fleet, FakePeer { config: Vec::new(), list });
     let mut sequence = 0;
-    until("the newer list is taken", || {
+    wait_until("the newer list is taken", || {
         sequence += 1;
         socket.send_to(&newer_list(sequence).encode_to_vec(), host.peers).unwrap();
         host.metric("portfield_list_version") == NEWER as f64
     });
     let before = fleet.store.n_calls();
-    fleet.store.put("servers", "plain-0", &fleet.plains[0].entry("desk", "ready"));
-    until("the store tells an older one", || before + 4 <= fleet.store.n_calls());
+    fleet.store.put("servers", "plain-0", &fleet.plain_upstreams[0].entry("desk", "ready"));
+    wait_until("the store tells an older one", || before + 4 <= fleet.store.n_calls());
     let told = list_of(&fleet, &host).into_iter().find(|it| it.id == "plain-0").unwrap();
     let told: serde_json::Value = serde_json::from_slice(&told.entry).unwrap();
     assert_eq!(told["state"], "draining");
@@ -286,19 +286,19 @@
     let places = [("north", 8), ("south", 6)];
     let mut hosts = Vec::new();
     for (place, n) in places {
-        hosts.extend((0..n).map(|_| fleet.start_in(place, "direct_hosts = 12")));
+        hosts.extend((0..n).map(|_| fleet.spawn_host_in(place, "direct_hosts = 12")));
     }
     let all = hosts.len() as f64;
     // Every host's own word would count as well, were it not left out where its sum counts.
     for host in &hosts {
-        until("it knows all by sums", || {
+        wait_until("it knows all by sums", || {
             2.0 <= host.metric("portfield_sums") && host.metric("portfield_hosts") == all
         });
     }
     let leaving = hosts.pop().expect("a host");
     drop(leaving);
     for host in &hosts {
-        until("the host that left is gone from the sum", || {
+        wait_until("the host that left is gone from the sum", || {
             host.metric("portfield_hosts") == all - 1.0
         });
     }
@@ -308,9 +308,9 @@
 #[test]
 fn a_row_of_another_writer_takes_no_request_and_hides_no_upstream() {
     let mut fleet = Fleet::new(2, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let entry = |field: &str, value: serde_json::Value| {
-        let mut res = fleet.plains[0].entry("desk", "ready");
+        let mut res = fleet.plain_upstreams[0].entry("desk", "ready");
         res[field] = value;
         res["addr"] = json!("127.0.0.1:9");
         res
@@ -319,14 +319,14 @@
     fleet.store.put("servers", "foreign-2", &entry("slots", json!("many")));
     fleet.store.put("servers", "foreign-3", &json!([1, 2]));
     fleet.store.put("servers", "plain-0", &entry("zone", json!(null)));
-    until("the rows are seen", || 4 <= host.logged("entry not readable").len());
+    wait_until("the rows are seen", || 4 <= host.log_entries("entry not readable").len());
     for n in 0..8 {
-        let answer = host.send(&request("order", &format!("r{n}")));
-        assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-1"));
+        let response = host.send(&request("order", &format!("r{n}")));
+        assert_eq!((response.status, response.text().as_str()), (200, "from plain-1"));
     }
     // A host that starts now reads them with the whole table, or from the first one.
-    let second = fleet.start("");
-    until("it is ready", || second.is_ready());
+    let second = fleet.spawn_host("");
+    wait_until("it is ready", || second.is_ready());
     assert_eq!(second.send(&request("order", "r9")).text(), "from plain-1");
 }
 
@@ -335,19 +335,20 @@
 #[test]
 fn an_upstream_that_starts_again_under_its_id_is_a_new_one() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let born = |address: &str, born: u64| {
-        let mut res = fleet.plains[0].entry("desk", "ready");
+        let mut res = fleet.plain_upstreams[0].entry("desk", "ready");
         res["addr"] = json!(address);
         res["born"] = json!(born);
         res
     };
-    let address = fleet.plains[0].address().to_string();
+    let address = fleet.plain_upstreams[0].address().to_string();
     fleet.store.put("servers", "plain-0", &born("127.0.0.1:9", 1_000));
-    until("the dead one is seen", || host.send(&request("check", "r1")).status == 503);
+    wait_until("the dead one is seen", || host.send(&request("check", "r1")).status == 503);
     fleet.store.put("servers", "plain-0", &born(&address, 2_000));
-    until("the new one is seen", || {
-        host.logged("upstream changed").iter().filter(|it| it["upstream"] == "plain-0").count() >= 3
+    wait_until("the new one is seen", || {
+        host.log_entries("upstream changed").iter().filter(|it| it["upstream"] == "plain-0").count()
+            >= 3
     });
     // The earlier one would be left alone for a while yet.
     assert_eq!(host.send(&request("order", "r2")).status, 200);
@@ -356,8 +357,8 @@
 #[test]
 fn readiness_waits_for_configuration_and_upstreams() {
     let mut fleet = Fleet::new(0, 0);
-    let host = fleet.start("");
-    until("the configuration is there", || host.metric("portfield_config_version") == 1.0);
+    let host = fleet.spawn_host("");
+    wait_until("the configuration is there", || host.metric("portfield_config_version") == 1.0);
     assert!(!host.is_ready());
     fleet.store.put(
         "servers",
@@ -367,7 +368,7 @@
             "state": "ready", "cold_remaining_ms": 0, "seq": 1,
         }),
     );
-    until("the host is ready", || host.is_ready());
+    wait_until("the host is ready", || host.is_ready());
     std::thread::sleep(Duration::ZERO);
 }
 
@@ -375,22 +376,22 @@
 #[test]
 fn who_leaves_is_gone_at_once_for_a_host_that_alone_could_not_reach_the_store() {
     let mut fleet = Fleet::new(2, 0);
-    let first = fleet.host();
+    let first = fleet.start_host();
     let proxy = FaultProxy::start(&fleet.rt, fleet.store.address());
     let proxy = futures_lite::future::block_on(proxy).unwrap();
-    fleet.store_door = Some(proxy.address());
-    let cut = fleet.host();
-    until("it hears the first", || cut.metric("portfield_hosts") == 2.0);
+    fleet.store_proxy = Some(proxy.address());
+    let cut = fleet.start_host();
+    wait_until("it hears the first", || cut.metric("portfield_hosts") == 2.0);
     proxy.set_fault(NetworkFault::StallAll);
     // Longer than the silence after which entries may have lapsed.
     thread::sleep(Duration::from_millis(3800));
     proxy.set_fault(NetworkFault::None);
-    until("it hears the store again", || !cut.logged("store regained").is_empty());
+    wait_until("it hears the store again", || !cut.log_entries("store regained").is_empty());
     // What it is told next comes from the store.
     first.signal("-STOP");
     fleet.store.remove("servers", "plain-0");
-    let is_gone = |event: &str| cut.logged(event).iter().any(|it| it["upstream"] == "plain-0");
-    until("it knows", || is_gone("upstream gone") || is_gone("upstream did not come back"));
+    let is_gone = |event: &str| cut.log_entries(event).iter().any(|it| it["upstream"] == "plain-0");
+    wait_until("it knows", || is_gone("upstream gone") || is_gone("upstream did not come back"));
     first.signal("-CONT");
     assert!(is_gone("upstream gone"), "kept for two seconds as one that may come back");
 }
@@ -404,17 +405,17 @@
     gone.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = gone.local_addr().unwrap().as_socket().unwrap();
     let entry = |address, born: u64| {
-        let mut res = fleet.plains[0].entry_at(address, "desk", "ready");
+        let mut res = fleet.plain_upstreams[0].entry_at(address, "desk", "ready");
         res["born"] = json!(born);
         res
     };
-    let (earlier, now) = (entry(address, 1), entry(fleet.plains[0].address(), 2));
+    let (earlier, now) = (entry(address, 1), entry(fleet.plain_upstreams[0].address(), 2));
     fleet.store.put("servers", "plain-0", &earlier);
-    let host = fleet.host();
+    let host = fleet.start_host();
     host.send(&request("check", "r1"));
-    until("it is tried", || !host.logged("upstream unreachable").is_empty());
+    wait_until("it is tried", || !host.log_entries("upstream unreachable").is_empty());
     fleet.store.put("servers", "plain-0", &now);
-    until("the new one serves", || host.send(&request("check", "r2")).status == 200);
+    wait_until("the new one serves", || host.send(&request("check", "r2")).status == 200);
     gone.listen(1).unwrap();
     gone.set_nonblocking(true).unwrap();
     // Twice the longest pause between two tries.
--- a/crates/portfield-host/tests/lethal.rs
+++ b/crates/portfield-host/tests/lethal.rs
@@ -25,7 +25,7 @@
     time::{Duration, Instant},
 };
 
-use fleet::{Answer, Fleet, Host, exchange, request, until};
+use fleet::{Fleet, Host, Response, request, send_request, wait_until};
 use futures_lite::future;
 use portfield_net::rt::Runtime;
 use portfield_platform_standins::{FakeStore, FakeUpstream, StoreFault, UpstreamFault};
@@ -129,7 +129,7 @@
 }
 
 /// Sends the lethal request again and again, each time to the next host, for a while.
-fn insist(hosts: &[Host], route: &str, n: usize) -> Vec<Answer> {
+fn insist(hosts: &[Host], route: &str, n: usize) -> Vec<Response> {
     let send = |n: usize| {
         thread::sleep(PAUSE);
         hosts[n % hosts.len()].send(&lethal(route, &format!("lethal-{n}")))
@@ -139,9 +139,9 @@
 
 /// Starts hosts that hear each other.
 fn hosts(fleet: &mut Fleet, n: usize) -> Vec<Host> {
-    let res: Vec<Host> = (0..n).map(|_| fleet.host()).collect();
+    let res: Vec<Host> = (0..n).map(|_| fleet.start_host()).collect();
     let hear = |it: &Host| it.metric("portfield_hosts") as usize == n;
-    until("all hosts hear each other", || res.iter().all(hear));
+    wait_until("all hosts hear each other", || res.iter().all(hear));
     res
 }
 
@@ -150,17 +150,17 @@
     let mut fleet = Fleet::new(0, 6);
     let hosts = hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
-    let answers = insist(&hosts, "draft", 24);
+    let responses = insist(&hosts, "draft", 24);
     let (n_lethal, n_ended) = (engines.n_lethal(), engines.n_ended());
     assert!(n_lethal <= ENDS + ON_THEIR_WAY, "it ran {n_lethal} times, {n_ended} engines ended");
-    let last = answers.last().unwrap();
+    let last = responses.last().unwrap();
     assert_eq!(last.status, 503);
     assert!(last.text().contains("ended"), "{}", last.text());
     let away: f64 = last.header("retry-after").unwrap().parse().unwrap();
     assert!(30.0 <= away, "told to come back after {away} s");
     for (n, host) in hosts.iter().enumerate() {
-        let answer = host.send(&request("draft", &format!("innocent-{n}")));
-        assert_eq!((answer.status, answer.is_whole), (200, true), "others are served");
+        let response = host.send(&request("draft", &format!("innocent-{n}")));
+        assert_eq!((response.status, response.is_complete), (200, true), "others are served");
     }
 }
 
@@ -183,9 +183,9 @@
     drop(first);
     let hosts = hosts(&mut fleet, 3);
     let before = engines.n_lethal();
-    let answers = insist(&hosts, "draft", 9);
+    let responses = insist(&hosts, "draft", 9);
     assert_eq!(engines.n_lethal(), before, "it ran again");
-    assert!(answers.iter().all(|it| it.status == 503));
+    assert!(responses.iter().all(|it| it.status == 503));
 }
 
 /// Callers of other requests lose what runs on an engine that ends, and no more than that.
@@ -201,8 +201,8 @@
             let mut served = (0, 0);
             while Instant::now() < end {
                 served.1 += 1;
-                let answer = host.send(&request("draft", &format!("i-{n}-{}", served.1)));
-                served.0 += usize::from(answer.status == 200 && answer.is_whole);
+                let response = host.send(&request("draft", &format!("i-{n}-{}", served.1)));
+                served.0 += usize::from(response.status == 200 && response.is_complete);
             }
             served
         };
@@ -237,7 +237,7 @@
         }
     });
     let known = |it: &Host| 1.0 <= it.metric("portfield_quarantine_refused");
-    until("all hosts know of it", || hosts.iter().all(known));
+    wait_until("all hosts know of it", || hosts.iter().all(known));
     let n_lethal = engines.n_lethal();
     // Three at a time, each on its way before the first three have ended.
     assert!(n_lethal <= ENDS * 3, "it ran {n_lethal} times");
@@ -245,7 +245,7 @@
     for n in 0..4 {
         // Of four hosts three are there at any time, and tell the new one.
         drop(hosts.remove(0));
-        hosts.push(fleet.host());
+        hosts.push(fleet.start_host());
         insist(&hosts, "draft", 4);
         assert_eq!(engines.n_lethal(), n_lethal, "after {n} hosts were killed");
     }
@@ -257,7 +257,7 @@
     let hosts = hosts(&mut fleet, 2);
     let engines = Engines::new(&fleet);
     insist(&hosts, "draft", 8);
-    until("both refuse it", || hosts.iter().all(|it| !refused(it).is_empty()));
+    wait_until("both refuse it", || hosts.iter().all(|it| !refused(it).is_empty()));
     let before = engines.n_lethal();
     let page = refused(&hosts[0]);
     assert_eq!((page[0]["workspace"].as_str(), page[0]["n_ends"].as_u64()), (Some("a"), Some(3)));
@@ -265,7 +265,7 @@
     assert_eq!(operate(&hosts[0], "DELETE", "/quarantine/soon").status, 400);
     assert_eq!(operate(&hosts[0], "DELETE", "/quarantine/12").status, 404);
     assert_eq!(operate(&hosts[0], "DELETE", &path).status, 200);
-    until("the other host hears of it", || refused(&hosts[1]).is_empty());
+    wait_until("the other host hears of it", || refused(&hosts[1]).is_empty());
     hosts[1].send(&lethal("draft", "again"));
     assert_eq!(engines.n_lethal(), before + 1);
 }
@@ -276,7 +276,7 @@
 }
 
 /// Sends a request to a host's metrics address.
-fn operate(host: &Host, method: &str, path: &str) -> Answer {
+fn operate(host: &Host, method: &str, path: &str) -> Response {
     let text = format!("{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    exchange(host.metrics, text.as_bytes()).unwrap()
+    send_request(host.metrics, text.as_bytes()).unwrap()
 }
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use fleet::{Fleet, config, connect, exchange, read_answer, request, until};
+use fleet::{Fleet, config, connect, read_response, request, send_request, wait_until};
 use portfield_platform::request::RESERVED;
 use portfield_platform_standins::UpstreamFault;
 use serde_json::json;
@@ -18,12 +18,12 @@
 #[test]
 fn a_request_reaches_its_upstream_as_it_was_sent() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
-    let answer = host.send(&request("order", "r1"));
-    assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-0"));
-    assert_eq!(answer.header("replica-signature"), Some("plain-0"));
-    assert_eq!(answer.header("attempt-id"), Some("r1"));
-    let seen = &fleet.plains[0].requests()[0];
+    let host = fleet.start_host();
+    let response = host.send(&request("order", "r1"));
+    assert_eq!((response.status, response.text().as_str()), (200, "from plain-0"));
+    assert_eq!(response.header("replica-signature"), Some("plain-0"));
+    assert_eq!(response.header("attempt-id"), Some("r1"));
+    let seen = &fleet.plain_upstreams[0].requests()[0];
     assert_eq!(seen.request_line, "POST /order/one?q=1 HTTP/1.1");
     assert_eq!(seen.body, b"body");
     assert_eq!(seen.header("host"), Some("x.example"));
@@ -38,7 +38,7 @@
 #[test]
 fn leases_and_copies_of_memory_are_never_a_caller_s_to_name() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     for (n, name) in RESERVED.iter().enumerate() {
         let forged = format!("{name}: 10.0.0.1:80/f\r\ndeadline-ms:");
         let text = request("digest", &format!("r{n}")).replace("deadline-ms:", &forged);
@@ -51,7 +51,7 @@
 #[test]
 fn bad_requests_are_told_what_is_wrong() {
     let mut fleet = Fleet::new(1, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let good = request("check", "r1");
     for (from, to, status, text) in [
         ("/check/", "/nowhere/", 404, "path"),
@@ -60,29 +60,29 @@
         ("tenant: forged", "token-count: many", 400, "Token-Count"),
         ("deadline-ms: 1200", "deadline-ms: 1e300", 400, "Deadline-Ms"),
     ] {
-        let answer = host.send(&good.replace(from, to));
-        assert_eq!(answer.status, status, "{to}");
-        assert!(answer.text().contains(text), "{}", answer.text());
-        assert_eq!(answer.header("replica-signature"), None);
+        let response = host.send(&good.replace(from, to));
+        assert_eq!(response.status, status, "{to}");
+        assert!(response.text().contains(text), "{}", response.text());
+        assert_eq!(response.header("replica-signature"), None);
     }
     let long = good.replace("content-length: 4", "content-length: 2000");
-    let answer = host.send(&long.replace("body", &"b".repeat(2000)));
-    assert_eq!(answer.status, 413);
+    let response = host.send(&long.replace("body", &"b".repeat(2000)));
+    assert_eq!(response.status, 413);
     assert_eq!(fleet.n_executed(), 0);
     let open = good.replace("/check/", "/public/").replace("authorization: Token key-a\r\n", "");
     assert_eq!(host.send(&open).status, 200);
-    assert_eq!(fleet.plains[0].requests()[0].header("tenant"), None);
+    assert_eq!(fleet.plain_upstreams[0].requests()[0].header("tenant"), None);
 }
 
 #[test]
 fn a_host_without_configuration_refuses_and_is_not_ready() {
     let mut fleet = Fleet::new(1, 0);
     fleet.store.remove("op", "config");
-    let host = fleet.start("");
+    let host = fleet.spawn_host("");
     assert!(!host.is_ready());
-    let answer = host.send(&request("check", "r1"));
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    let response = host.send(&request("check", "r1"));
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
 }
 
 #[test]
@@ -96,12 +96,12 @@
         (UpstreamFault::InternalError, 500, 1),
     ] {
         let mut fleet = Fleet::new(2, 0);
-        let host = fleet.host();
-        fleet.plains.iter().for_each(|it| it.set_fault(fault));
-        let answer = host.send(&request("order", "r1"));
-        assert_eq!(answer.status, status, "{fault:?}");
+        let host = fleet.start_host();
+        fleet.plain_upstreams.iter().for_each(|it| it.set_fault(fault));
+        let response = host.send(&request("order", "r1"));
+        assert_eq!(response.status, status, "{fault:?}");
         assert_eq!(fleet.n_executed(), n_executed, "{fault:?}");
-        assert!(answer.is_whole);
+        assert!(response.is_complete);
     }
 }
 
@@ -116,12 +116,12 @@
         UpstreamFault::InternalError,
     ] {
         let mut fleet = Fleet::new(2, 0);
-        let host = fleet.host();
-        fleet.plains[0].set_fault(fault);
+        let host = fleet.start_host();
+        fleet.plain_upstreams[0].set_fault(fault);
         for n in 0..4 {
-            let answer = host.send(&request("check", &format!("r{n}")));
-            assert_eq!(answer.status, 200, "{fault:?}");
-            assert_eq!(answer.text(), "from plain-1", "{fault:?}");
+            let response = host.send(&request("check", &format!("r{n}")));
+            assert_eq!(response.status, 200, "{fault:?}");
+            assert_eq!(response.text(), "from plain-1", "{fault:?}");
         }
     }
 }
@@ -129,71 +129,71 @@
 #[test]
 fn an_unframed_answer_is_passed_on_whole() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
-    fleet.plains[0].set_fault(UpstreamFault::CloseDelimited);
-    let answer = host.send(&request("order", "r1"));
-    assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-0"));
+    let host = fleet.start_host();
+    fleet.plain_upstreams[0].set_fault(UpstreamFault::CloseDelimited);
+    let response = host.send(&request("order", "r1"));
+    assert_eq!((response.status, response.text().as_str()), (200, "from plain-0"));
 }
 
 #[test]
 fn an_answer_that_nobody_asked_for_reaches_nobody() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
-    fleet.plains[0].set_fault(UpstreamFault::ExtraResponse);
+    let host = fleet.start_host();
+    fleet.plain_upstreams[0].set_fault(UpstreamFault::ExtraResponse);
     for n in 0..5 {
         let id = format!("r{n}");
-        let answer = host.send(&request("check", &id));
-        assert_eq!(answer.header("attempt-id"), Some(id.as_str()));
+        let response = host.send(&request("check", &id));
+        assert_eq!(response.header("attempt-id"), Some(id.as_str()));
     }
 }
 
 #[test]
 fn connections_to_upstreams_are_kept_and_lost_ones_harm_nobody() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     for n in 0..5 {
         assert_eq!(host.send(&request("order", &format!("r{n}"))).status, 200);
     }
-    assert_eq!(fleet.plains[0].n_connections(), 1);
-    fleet.plains[0].set_fault(UpstreamFault::CloseKeepAlive);
+    assert_eq!(fleet.plain_upstreams[0].n_connections(), 1);
+    fleet.plain_upstreams[0].set_fault(UpstreamFault::CloseKeepAlive);
     assert_eq!(host.send(&request("check", "r9")).status, 200);
 }
 
 #[test]
 fn another_incarnation_at_the_address_does_not_run_the_request() {
     let mut fleet = Fleet::new(1, 0);
-    let mut entry = fleet.plains[0].entry("desk", "ready");
+    let mut entry = fleet.plain_upstreams[0].entry("desk", "ready");
     fleet.store.remove("servers", "plain-0");
-    entry["addr"] = fleet.plains[0].address().to_string().into();
+    entry["addr"] = fleet.plain_upstreams[0].address().to_string().into();
     fleet.store.put("servers", "gone-0", &entry);
-    let host = fleet.host();
-    let answer = host.send(&request("order", "r1"));
-    assert_eq!((answer.status, fleet.n_executed()), (503, 0));
+    let host = fleet.start_host();
+    let response = host.send(&request("order", "r1"));
+    assert_eq!((response.status, fleet.n_executed()), (503, 0));
 }
 
 #[test]
 fn a_stream_is_passed_on_event_by_event() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.host();
-    let answer = host.send(&request("draft", "r1"));
-    assert_eq!(answer.events(), (1..=8).collect::<Vec<_>>());
-    assert!(answer.is_whole);
-    let placed = host.logged("placed");
+    let host = fleet.start_host();
+    let response = host.send(&request("draft", "r1"));
+    assert_eq!(response.event_ids(), (1..=8).collect::<Vec<_>>());
+    assert!(response.is_complete);
+    let placed = host.log_entries("placed");
     assert_eq!(placed[0]["request"], "r1");
     assert_eq!(placed[0]["unread"], 30);
-    until("the end is logged", || !host.logged("answered").is_empty());
-    assert_eq!(host.logged("answered")[0]["events"], 8);
+    wait_until("the end is logged", || !host.log_entries("answered").is_empty());
+    assert_eq!(host.log_entries("answered")[0]["events"], 8);
 }
 
 #[test]
 fn a_broken_stream_never_looks_whole() {
     for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
-        let host = fleet.host();
+        let host = fleet.start_host();
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
-        let answer = host.send(&request("draft", "r1"));
-        assert!(!answer.is_whole, "{fault:?}");
-        assert_eq!(answer.events(), [1, 2, 3], "{fault:?}");
+        let response = host.send(&request("draft", "r1"));
+        assert!(!response.is_complete, "{fault:?}");
+        assert_eq!(response.event_ids(), [1, 2, 3], "{fault:?}");
         assert_eq!(fleet.n_executed(), 1, "{fault:?}");
     }
 }
@@ -202,20 +202,20 @@
 fn a_resumable_stream_goes_on_elsewhere_with_nothing_missing() {
     for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
-        let host = fleet.host();
+        let host = fleet.start_host();
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
         let addresses: Vec<_> = fleet.engines.clone();
         let watch = thread::spawn(move || {
             // The second engine asked is well.
-            until("a stream begins", || addresses.iter().any(|it| it.n_executed() == 1));
+            wait_until("a stream begins", || addresses.iter().any(|it| it.n_executed() == 1));
             for it in addresses.iter().filter(|it| it.n_executed() == 0) {
                 it.set_fault(UpstreamFault::None);
             }
         });
-        let answer = host.send(&request("digest", "r1"));
+        let response = host.send(&request("digest", "r1"));
         watch.join().unwrap();
-        assert!(answer.is_whole, "{fault:?}");
-        assert_eq!(answer.events(), (1..=8).collect::<Vec<_>>(), "{fault:?}");
+        assert!(response.is_complete, "{fault:?}");
+        assert_eq!(response.event_ids(), (1..=8).collect::<Vec<_>>(), "{fault:?}");
         let again = fleet.engines.iter().flat_map(|it| it.requests());
         let last = again.filter_map(|it| it.header("last-event-id").map(str::to_owned));
         assert_eq!(last.collect::<Vec<_>>(), ["3"], "{fault:?}");
@@ -225,35 +225,35 @@
 #[test]
 fn a_stream_that_pauses_is_not_cut_where_no_other_upstream_would_go_on() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     // Longer than three of the route's pauses of 100 ms, after which it would be moved.
     fleet.engines[0].set_fault(UpstreamFault::PauseStream(Duration::from_millis(700)));
-    let answer = host.send(&request("digest", "r1"));
-    assert!(answer.is_whole);
-    assert_eq!(answer.events(), (1..=8).collect::<Vec<_>>());
+    let response = host.send(&request("digest", "r1"));
+    assert!(response.is_complete);
+    assert_eq!(response.event_ids(), (1..=8).collect::<Vec<_>>());
     assert_eq!(fleet.n_executed(), 1);
 }
 
 #[test]
 fn who_leaves_takes_the_upstream_work_along() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
     let long = request("draft", "r1").replace("30,24", "30,2400");
     stream.write_all(long.as_bytes()).unwrap();
-    until("the stream begins", || fleet.n_executed() == 1);
+    wait_until("the stream begins", || fleet.n_executed() == 1);
     drop(stream);
     let left = Instant::now();
-    until("the engine is left", || fleet.engines[0].n_abandoned() == 1);
+    wait_until("the engine is left", || fleet.engines[0].n_abandoned() == 1);
     assert!(left.elapsed() < Duration::from_millis(500));
-    until("it is logged", || !host.logged("not finished").is_empty());
+    wait_until("it is logged", || !host.log_entries("not finished").is_empty());
 }
 
 #[test]
 fn a_route_s_time_is_kept_with_a_final_answer() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
-    fleet.plains[0].set_fault(UpstreamFault::Hang);
+    let host = fleet.start_host();
+    fleet.plain_upstreams[0].set_fault(UpstreamFault::Hang);
     let sent = Instant::now();
     let patient = request("order", "r1").replace("deadline-ms: 1200", "deadline-ms: 9000");
     assert_eq!(host.send(&patient).status, 504);
@@ -264,29 +264,29 @@
 #[test]
 fn two_requests_on_one_connection_are_answered_in_order() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
     for id in ["r1", "r2", "r3"] {
         stream.write_all(request("order", id).as_bytes()).unwrap();
-        let answer = read_answer(&mut stream).unwrap();
-        assert_eq!(answer.header("attempt-id"), Some(id));
+        let response = read_response(&mut stream).unwrap();
+        assert_eq!(response.header("attempt-id"), Some(id));
     }
-    assert!(exchange(host.listen, b"GARBAGE\r\n\r\n").is_none_or(|it| it.status == 400));
+    assert!(send_request(host.listen, b"GARBAGE\r\n\r\n").is_none_or(|it| it.status == 400));
 }
 
 /// A body that never came held its request, and the end of the process, for ever.
 #[test]
 fn a_body_that_does_not_come_is_answered_when_its_time_is_up() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let mut stream = connect(host.listen).unwrap();
     let text = request("order", "r1").replace("1200", "200");
     stream.write_all(text.trim_end_matches("dy").as_bytes()).unwrap();
-    let answer = read_answer(&mut stream).unwrap();
-    assert_eq!(answer.status, 408);
-    assert!(answer.text().contains("not-run"), "{}", answer.text());
+    let response = read_response(&mut stream).unwrap();
+    assert_eq!(response.status, 408);
+    assert!(response.text().contains("not-run"), "{}", response.text());
     assert_eq!(fleet.n_executed(), 0);
-    until("nothing is held", || host.metric("portfield_active") == 0.0);
+    wait_until("nothing is held", || host.metric("portfield_active") == 0.0);
 }
 
 /// The kernel went on delivering a request after its caller had left and the host had closed: it
@@ -304,19 +304,19 @@
     config["limits"]["max_body_bytes"] = json!(2 * SIZE);
     config["routes"][1]["timeout_ms"] = json!(30_000);
     fleet.store.put("op", "config", &config);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let text = request("order", "r1").replace("deadline-ms: 1200", "deadline-ms: 30000");
     let text = text.replace("content-length: 4", &format!("content-length: {SIZE}"));
     listener.set_nonblocking(true).unwrap();
     let mut sent = None;
-    until("the request is on its way", || {
+    wait_until("the request is on its way", || {
         let mut caller = connect(host.listen).unwrap();
         // A host that takes over 1.5 s to read so much, beside load, has stood still, and refuses truly.
         let _ = caller.write_all(text.trim_end_matches("body").as_bytes());
         let _ = caller.write_all(&vec![b'x'; SIZE]);
         caller.set_nonblocking(true).unwrap();
         let (mut accepted, mut is_answered) = (None, false);
-        until("it is sent on or answered", || {
+        wait_until("it is sent on or answered", || {
             accepted = listener.accept().ok().map(|it| it.0);
             is_answered = !matches!(caller.peek(&mut [0; 1]), Err(err) if err.kind() == ErrorKind::WouldBlock);
             accepted.is_some() || is_answered
@@ -329,7 +329,7 @@
     upstream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     upstream.read_exact(&mut [0; 1]).unwrap();
     drop(caller);
-    until("the host gives up", || !host.logged("not finished").is_empty());
+    wait_until("the host gives up", || !host.log_entries("not finished").is_empty());
     let mut rest = Vec::new();
     let end = upstream.read_to_end(&mut rest);
     assert_eq!(end.unwrap_err().kind(), ErrorKind::ConnectionReset);
@@ -341,7 +341,7 @@
 #[test]
 fn what_is_read_after_its_caller_has_left_is_not_sent_on() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let send = |id: &str| {
         let mut caller = connect(host.listen).unwrap();
         caller.write_all(request("check", id).as_bytes()).unwrap();
@@ -353,8 +353,8 @@
     drop(send("left"));
     let mut stays = send("stays");
     host.signal("-CONT");
-    assert_eq!(read_answer(&mut stays).unwrap().status, 200);
-    let seen = fleet.plains[0].requests();
+    assert_eq!(read_response(&mut stays).unwrap().status, 200);
+    let seen = fleet.plain_upstreams[0].requests();
     let ids: Vec<_> = seen.iter().filter_map(|it| it.header("attempt-id")).collect();
     assert!(ids.contains(&"stays") && !ids.contains(&"left"), "{ids:?}");
 }
@@ -364,7 +364,7 @@
 #[test]
 fn a_host_that_cannot_accept_is_not_ready_until_it_can() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let limit = |n: u32| {
         let (pid, n) = (format!("--pid={}", host.pid()), format!("--nofile={n}:4096"));
         assert!(Command::new("prlimit").args([&pid, &n]).status().unwrap().success());
@@ -373,14 +373,14 @@
     let mut question = connect(host.ready).unwrap();
     let mut ask = || {
         question.write_all(b"GET /api/readyz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-        read_answer(&mut question).unwrap().status
+        read_response(&mut question).unwrap().status
     };
     assert_eq!(ask(), 200);
     limit(8);
     let waiting: Vec<_> = (0..3).map(|_| connect(host.listen).unwrap()).collect();
-    until("it is not ready", || ask() == 503);
+    wait_until("it is not ready", || ask() == 503);
     limit(4096);
-    until("it is ready again", || ask() == 200);
+    wait_until("it is ready again", || ask() == 200);
     drop(waiting);
     assert_eq!(host.send(&request("check", "r1")).status, 200);
 }
@@ -390,8 +390,8 @@
 #[test]
 fn a_second_in_which_a_host_refuses_for_itself_is_told_in_one_line() {
     let mut fleet = Fleet::new(0, 1);
-    let host = fleet.start("active_limit = 1");
-    until("the host is ready", || host.is_ready());
+    let host = fleet.spawn_host("active_limit = 1");
+    wait_until("the host is ready", || host.is_ready());
     let begun = |id: &str| {
         let mut caller = connect(host.listen).unwrap();
         caller.write_all(request("draft", id).as_bytes()).unwrap();
@@ -399,11 +399,11 @@
     };
     // Streams that take a while: the third finds two more than may run at once.
     let mut callers: Vec<_> = (0..6).map(|it| begun(&format!("s{it}"))).collect();
-    let statuses: Vec<_> = callers.iter_mut().map(|it| read_answer(it).unwrap().status).collect();
+    let statuses: Vec<_> = callers.iter_mut().map(|it| read_response(it).unwrap().status).collect();
     let n_refused = statuses.iter().filter(|it| **it == 503).count();
     assert!(0 < n_refused, "{statuses:?}");
-    until("the second is told", || !host.logged("short of processor time").is_empty());
-    let lines = host.logged("short of processor time");
+    wait_until("the second is told", || !host.log_entries("short of processor time").is_empty());
+    let lines = host.log_entries("short of processor time");
     let sum = |name: &str| lines.iter().map(|it| it[name].as_u64().unwrap()).sum::<u64>();
     assert_eq!(sum("refused"), n_refused as u64, "{lines:?}");
     assert_eq!(sum("refused_of_it"), n_refused as u64);
--- a/crates/portfield-host/tests/restore.rs
+++ b/crates/portfield-host/tests/restore.rs
@@ -4,7 +4,7 @@
 
 use std::{thread, time::Duration};
 
-use fleet::{Fleet, config, request, until};
+use fleet::{Fleet, config, request, wait_until};
 use portfield_platform_standins::StoreFault;
 use serde_json::Value;
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_number_that_is_given_out_again_hides_no_change() {
     let mut fleet = Fleet::new(2, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let before = fleet.store.snapshot();
     for _ in 0..6 {
         fleet.store.put("op", "other", &Value::Null);
@@ -29,15 +29,15 @@
     fleet.store.set_fault(StoreFault::Hang);
     fleet.store.restore(before);
     // The change has a number that the host believes it knows.
-    fleet.store.put("servers", "plain-0", &fleet.plains[0].entry("desk", "draining"));
+    fleet.store.put("servers", "plain-0", &fleet.plain_upstreams[0].entry("desk", "draining"));
     for _ in 0..20 {
         fleet.store.put("op", "other", &Value::Null);
     }
     fleet.store.set_fault(StoreFault::None);
-    until("the change is known", || {
-        host.logged("upstream changed").iter().any(|it| it["state"] == "Draining")
+    wait_until("the change is known", || {
+        host.log_entries("upstream changed").iter().any(|it| it["state"] == "Draining")
     });
-    assert!(!host.logged("store went back").is_empty());
+    assert!(!host.log_entries("store went back").is_empty());
     assert_eq!(host.send(&request("order", "r1")).text(), "from plain-1");
 }
 
@@ -45,18 +45,18 @@
 fn what_was_taken_away_does_not_come_back() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("op", "config", &config(2));
-    let first = fleet.host();
-    let second = fleet.host();
+    let first = fleet.start_host();
+    let second = fleet.start_host();
     let before = fleet.store.snapshot();
     fleet.store.put("op", "config", &without_key(3));
     fleet.store.remove("servers", "plain-0");
     for host in [&first, &second] {
-        until("the key is gone", || host.send(&request("check", "r1")).status == 401);
-        until("the upstream is gone", || !host.logged("upstream gone").is_empty());
+        wait_until("the key is gone", || host.send(&request("check", "r1")).status == 401);
+        wait_until("the upstream is gone", || !host.log_entries("upstream gone").is_empty());
     }
     fleet.store.restore(before);
     for host in [&first, &second] {
-        until("it has noticed", || host.metric("portfield_store_era") == 1.0);
+        wait_until("it has noticed", || host.metric("portfield_store_era") == 1.0);
         thread::sleep(Duration::from_millis(300));
         assert_eq!(host.send(&request("check", "r2")).status, 401);
         assert_eq!(host.metric("portfield_config_version"), 3.0);
@@ -71,9 +71,9 @@
 fn hosts_write_their_addresses_again_and_keep_what_upstreams_do_not_write() {
     let mut fleet = Fleet::new(1, 0);
     let empty = fleet.store.snapshot();
-    let host = fleet.host();
-    until("its address is there", || fleet.store.keys("portfield_hosts").len() == 1);
+    let host = fleet.start_host();
+    wait_until("its address is there", || fleet.store.keys("portfield_hosts").len() == 1);
     fleet.store.restore(empty);
-    until("its address is there again", || fleet.store.keys("portfield_hosts").len() == 1);
+    wait_until("its address is there again", || fleet.store.keys("portfield_hosts").len() == 1);
     assert_eq!(host.send(&request("order", "r1")).status, 200);
 }
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -20,7 +20,7 @@
     time::{Duration, Instant},
 };
 
-use fleet::{Answer, Fleet, Host, config, read_answer, request, until};
+use fleet::{Fleet, Host, Response, config, read_response, request, wait_until};
 use portfield_net::clock;
 use portfield_platform_standins::{
     FakeUpstream, FaultProxy, NetworkFault, StoreFault, StoreSnapshot, UpstreamFault,
@@ -49,7 +49,7 @@
     route: &'static str,
     /// The host that it was sent to.
     door: SocketAddr,
-    answer: Option<Answer>,
+    response: Option<Response>,
 }
 
 /// Where the callers send to: hosts come and go.
@@ -84,7 +84,7 @@
     fn start(seed: u64) -> Self {
         let fleet = Fleet::new(2, 3);
         let (mut proxies, mut entries) = (Vec::new(), Vec::new());
-        let services = [("desk", &fleet.plains), ("model", &fleet.engines)];
+        let services = [("desk", &fleet.plain_upstreams), ("model", &fleet.engines)];
         for (service, upstreams) in services {
             for it in upstreams {
                 let proxy = FaultProxy::start(&fleet.rt, it.address());
@@ -115,7 +115,7 @@
         };
         for idx in 0..N_HOSTS {
             let host = res.start_host(idx, "");
-            until("the host is ready", || host.is_ready());
+            wait_until("the host is ready", || host.is_ready());
             res.doors.lock().unwrap().push(host.listen);
             res.hosts.push(host);
         }
@@ -125,14 +125,15 @@
     fn start_host(&mut self, idx: usize, more: &str) -> Host {
         let place = self.places[idx % self.places.len()];
         let sums = if 1 < self.places.len() { "direct_hosts = 1" } else { "" };
-        self.fleet.start_in(place, &format!("{sums}\n{more}"))
+        self.fleet.spawn_host_in(place, &format!("{sums}\n{more}"))
     }
 
     /// Does one thing to the fleet; some end by themselves, the rest in [`Soak::heal`].
     fn disturb(&mut self) {
         let host = self.rng.usize(..self.hosts.len());
         let proxy = self.rng.usize(..self.proxies.len());
-        let upstreams: Vec<_> = self.fleet.plains.iter().chain(&self.fleet.engines).collect();
+        let upstreams: Vec<_> =
+            self.fleet.plain_upstreams.iter().chain(&self.fleet.engines).collect();
         let upstream = upstreams[self.rng.usize(..upstreams.len())].clone();
         let name = match self.rng.u32(..14) {
             0 => self.restart(host, "-KILL"),
@@ -268,7 +269,7 @@
 
     /// Returns all upstreams, in the order of their entries and proxies.
     fn upstreams(&self) -> Vec<&FakeUpstream> {
-        self.fleet.plains.iter().chain(&self.fleet.engines).collect()
+        self.fleet.plain_upstreams.iter().chain(&self.fleet.engines).collect()
     }
 
     /// Notes that harm to the way to an upstream has ended.
@@ -301,9 +302,9 @@
         let new = self.start_host(idx, &format!("seeds = {seeds:?}"));
         self.doors.lock().unwrap()[idx] = new.listen;
         let mut old = std::mem::replace(&mut self.hosts[idx], new);
-        self.past.push(old.all_lines());
+        self.past.push(old.log_lines());
         if signal == "-TERM" {
-            thread::spawn(move || assert_eq!(old.exit_code(), Some(0)));
+            thread::spawn(move || assert_eq!(old.wait_for_exit(), Some(0)));
         }
         format!("host {idx} {signal}, started again")
     }
@@ -311,7 +312,7 @@
     fn heal(&mut self) {
         self.proxies.iter().for_each(|it| it.set_fault(NetworkFault::None));
         (0..self.proxies.len()).for_each(|it| self.end_harm(it));
-        let upstreams = self.fleet.plains.iter().chain(&self.fleet.engines);
+        let upstreams = self.fleet.plain_upstreams.iter().chain(&self.fleet.engines);
         upstreams.for_each(|it| it.set_fault(UpstreamFault::None));
         self.fleet.store.set_fault(StoreFault::None);
     }
@@ -337,11 +338,11 @@
         };
         stream.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
         let sent = stream.write_all(request(route, &id).as_bytes());
-        let answer = sent.ok().and_then(|()| read_answer(&mut stream));
-        if answer.as_ref().is_some_and(|it| it.is_whole && it.header("connection").is_none()) {
+        let response = sent.ok().and_then(|()| read_response(&mut stream));
+        if response.as_ref().is_some_and(|it| it.is_complete && it.header("connection").is_none()) {
             kept = Some(stream);
         }
-        res.push(Outcome { id, route, door, answer });
+        res.push(Outcome { id, route, door, response });
         thread::sleep(Duration::from_millis(rng.u64(2..20)));
     }
     res
@@ -352,7 +353,7 @@
     let mut broken = Vec::new();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let known: HashMap<&str, &Outcome> = outcomes.iter().map(|it| (it.id.as_str(), it)).collect();
-    for seen in fleet.plains.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
+    for seen in fleet.plain_upstreams.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
         let id = seen.header("attempt-id").unwrap_or_default().to_owned();
         let Some(outcome) = known.get(id.as_str()) else {
             broken.push(format!("{id} reached an upstream, and nobody sent it"));
@@ -374,16 +375,16 @@
         if most < n {
             broken.push(format!("{} on {} ran {n} times", it.id, it.route));
         }
-        let Some(answer) = &it.answer else { continue };
-        broken.extend(judge_answer(it, answer, n));
+        let Some(response) = &it.response else { continue };
+        broken.extend(judge_answer(it, response, n));
     }
     broken
 }
 
-fn judge_answer(it: &Outcome, answer: &Answer, n_executed: u32) -> Option<String> {
-    let (id, status) = (&it.id, answer.status);
-    if answer.header("attempt-id").is_some_and(|it| it != id) {
-        return Some(format!("{id} got the answer to {:?}", answer.header("attempt-id")));
+fn judge_answer(it: &Outcome, response: &Response, n_executed: u32) -> Option<String> {
+    let (id, status) = (&it.id, response.status);
+    if response.header("attempt-id").is_some_and(|it| it != id) {
+        return Some(format!("{id} got the answer to {:?}", response.header("attempt-id")));
     }
     if matches!(status, 429 | 503 | 408 | 421) && 0 < n_executed && it.route != "digest" {
         return Some(format!("{id} on {} was refused with {status} and ran", it.route));
@@ -394,18 +395,19 @@
     if status != 200 {
         return None;
     }
-    if answer.header("replica-signature").is_none() {
+    if response.header("replica-signature").is_none() {
         return Some(format!("{id} got a success without a signature"));
     }
     if !matches!(it.route, "draft" | "digest") {
-        let whole = answer.text().starts_with("from plain-");
-        return (!whole || !answer.is_whole).then(|| format!("{id} got {:?}", answer.text()));
+        let whole = response.text().starts_with("from plain-");
+        return (!whole || !response.is_complete)
+            .then(|| format!("{id} got {:?}", response.text()));
     }
-    let events = answer.events();
+    let events = response.event_ids();
     let in_order = events.iter().copied().eq(1..=events.len() as u32);
     let complete = events.len() as u32 == N_EVENTS;
-    if !in_order || (answer.is_whole && !complete) {
-        return Some(format!("{id} got the events {events:?}, whole: {}", answer.is_whole));
+    if !in_order || (response.is_complete && !complete) {
+        return Some(format!("{id} got the events {events:?}, whole: {}", response.is_complete));
     }
     None
 }
@@ -432,11 +434,12 @@
     let doors = soak.doors.lock().unwrap().clone();
     for (n, door) in doors.into_iter().enumerate() {
         for route in ["order", "draft"] {
-            until("every host serves again", || {
+            wait_until("every host serves again", || {
                 let id = format!("end-{n}-{}", n_sent.fetch_add(1, Ordering::Relaxed));
-                let answer = fleet::exchange(door, request(route, &id).as_bytes());
-                let is_served = answer.as_ref().is_some_and(|it| it.status == 200 && it.is_whole);
-                outcomes.push(Outcome { id, route, door, answer });
+                let response = fleet::send_request(door, request(route, &id).as_bytes());
+                let is_served =
+                    response.as_ref().is_some_and(|it| it.status == 200 && it.is_complete);
+                outcomes.push(Outcome { id, route, door, response });
                 is_served
             });
         }
@@ -450,7 +453,7 @@
     if RECOVERY < recovered {
         broken.push(format!("it took {recovered:?} until all hosts served again"));
     }
-    let is_served = |it: &&Outcome| it.answer.as_ref().is_some_and(|it| it.status == 200);
+    let is_served = |it: &&Outcome| it.response.as_ref().is_some_and(|it| it.status == 200);
     let n_served = outcomes.iter().filter(is_served).count();
     if n_served * 4 < outcomes.len() {
         broken.push(format!("only {n_served} of {} were served", outcomes.len()));
@@ -467,7 +470,7 @@
     let _ = fs::create_dir_all(&dir);
     let text = format!("{}\n\n{}\n", broken.join("\n"), soak.log.join("\n"));
     let _ = fs::write(dir.join("faults.txt"), text);
-    let last = soak.hosts.iter().map(Host::all_lines);
+    let last = soak.hosts.iter().map(Host::log_lines);
     for (n, lines) in soak.past.iter().cloned().chain(last).enumerate() {
         let lines: Vec<String> = lines.iter().map(ToString::to_string).collect();
         let _ = fs::write(dir.join(format!("host-{n}.jsonl")), lines.join("\n"));
--- a/crates/portfield-host/tests/standstill.rs
+++ b/crates/portfield-host/tests/standstill.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use fleet::{Answer, Fleet, Host, config, connect, read_answer, request, until};
+use fleet::{Fleet, Host, Response, config, connect, read_response, request, wait_until};
 use portfield_platform_standins::StoreFault;
 use std::io::Write;
 
@@ -26,13 +26,13 @@
 }
 
 /// Stops a host, lets something happen and requests come, and returns their answers after it goes on.
-fn stand_still(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Answer> {
+fn stand_still(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
     host.signal("-STOP");
     meanwhile();
     let mut streams: Vec<_> = requests.iter().map(|it| send(host, it)).collect();
     thread::sleep(STILL);
     host.signal("-CONT");
-    streams.iter_mut().map(|it| read_answer(it).unwrap()).collect()
+    streams.iter_mut().map(|it| read_response(it).unwrap()).collect()
 }
 
 /// A configuration in which workspace b has lost its key.
@@ -45,53 +45,53 @@
 #[test]
 fn a_key_that_was_revoked_while_a_host_stood_still_is_not_used() {
     let mut fleet = Fleet::new(2, 0);
-    let (host, _other) = (fleet.host(), fleet.host());
+    let (host, _other) = (fleet.start_host(), fleet.start_host());
     let text = |n: u32| request("order", &format!("r{n}")).replace("key-a", "key-b");
     assert_eq!(host.send(&text(0)).status, 200);
     let n_executed = fleet.n_executed();
     let requests: Vec<String> = (1..6).map(text).collect();
     let store = fleet.store.clone();
-    let answers = stand_still(&host, &requests, || store.put("op", "config", &without_b(5)));
-    for it in answers {
+    let responses = stand_still(&host, &requests, || store.put("op", "config", &without_b(5)));
+    for it in responses {
         assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
     }
     assert_eq!(fleet.n_executed(), n_executed);
-    until("it serves again", || host.send(&request("order", "again")).status == 200);
+    wait_until("it serves again", || host.send(&request("order", "again")).status == 200);
 }
 
 #[test]
 fn an_upstream_that_left_while_a_host_stood_still_gets_nothing() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.remove("servers", "plain-1");
-    let (host, _other) = (fleet.host(), fleet.host());
+    let (host, _other) = (fleet.start_host(), fleet.start_host());
     assert_eq!(host.send(&request("order", "r0")).status, 200);
-    let n_executed = fleet.plains[0].n_executed();
+    let n_executed = fleet.plain_upstreams[0].n_executed();
     let requests: Vec<String> = (1..6).map(|n| request("order", &format!("r{n}"))).collect();
-    let (store, new) = (fleet.store.clone(), fleet.plains[1].entry("desk", "ready"));
-    let answers = stand_still(&host, &requests, || {
+    let (store, new) = (fleet.store.clone(), fleet.plain_upstreams[1].entry("desk", "ready"));
+    let responses = stand_still(&host, &requests, || {
         store.remove("servers", "plain-0");
         store.put("servers", "plain-1", &new);
     });
-    assert_eq!(fleet.plains[0].n_executed(), n_executed, "sent to one that has left");
-    assert!(answers.iter().all(|it| [200, 503].contains(&it.status)));
-    until("it serves again", || host.send(&request("order", "again")).status == 200);
+    assert_eq!(fleet.plain_upstreams[0].n_executed(), n_executed, "sent to one that has left");
+    assert!(responses.iter().all(|it| [200, 503].contains(&it.status)));
+    wait_until("it serves again", || host.send(&request("order", "again")).status == 200);
 }
 
 /// Cut off from all after it went on, it serves by what it knows, as any host that is cut off.
 #[test]
 fn a_host_that_hears_nobody_after_it_stood_still_serves_after_some_seconds() {
     let mut fleet = Fleet::new(1, 0);
-    let host = fleet.host();
+    let host = fleet.start_host();
     let store = fleet.store.clone();
     let requests = [request("order", "r1")];
-    let answers = stand_still(&host, &requests, || store.set_fault(StoreFault::Hang));
-    assert_eq!(answers[0].status, 503);
-    let away: f64 = answers[0].header("retry-after").unwrap().parse().unwrap();
+    let responses = stand_still(&host, &requests, || store.set_fault(StoreFault::Hang));
+    assert_eq!(responses[0].status, 503);
+    let away: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
     assert!(away < 1.0, "told to come back after {away} s");
     assert!(!host.is_ready());
     let woke = Instant::now();
-    until("it is ready", || host.is_ready());
+    wait_until("it is ready", || host.is_ready());
     assert!(woke.elapsed() < Duration::from_secs(4));
     assert_eq!(host.send(&request("order", "r2")).status, 200);
-    assert_eq!(host.logged("host stood still").len(), 1);
+    assert_eq!(host.log_entries("host stood still").len(), 1);
 }
