--- a/crates/portfield-host/tests/cost.rs
+++ b/crates/portfield-host/tests/cost.rs
@@ -32,7 +32,7 @@
 
 #[test]
 #[ignore = "a measurement, not a check"]
-fn processor_time_of_a_request() {
+fn cpu_time_per_request() {
     let mut fleet = Fleet::new(0, 140);
     let host = fleet.start_host();
     let (before, start) = (used(&host), Instant::now());
@@ -76,7 +76,7 @@
 
 #[test]
 #[ignore = "a measurement, not a check"]
-fn processor_time_of_a_refusal() {
+fn cpu_time_per_rejection() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     let before = used(&host);
@@ -91,7 +91,7 @@
 
 #[test]
 #[ignore = "a measurement, not a check"]
-fn processor_time_of_a_refusal_for_load() {
+fn cpu_time_per_overload_refusal() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.spawn_host("active_limit = 1");
     wait_until("the host is ready", || host.is_ready());
--- a/crates/portfield-host/tests/evacuation.rs
+++ b/crates/portfield-host/tests/evacuation.rs
@@ -42,7 +42,7 @@
 
 /// Runs of 5,608 requests reached a data centre that was to get nothing, on one day of the users.
 #[test]
-fn an_evacuated_data_centre_gets_nothing_until_it_is_taken_back() {
+fn evacuated_data_centre_gets_no_requests_until_the_order_is_lifted() {
     let mut fleet = two_centres();
     let host = fleet.start_host();
     assert_eq!(served_by(&host, 4), ["from plain-0"], "the near one");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_host_that_the_store_turns_away_or_that_starts_meanwhile_knows_of_an_order() {
+fn host_started_while_the_store_is_down_learns_evacuations_from_peers() {
     let mut fleet = two_centres();
     let first = fleet.start_host();
     let seeds = fleet.store.keys("portfield_hosts");
@@ -81,7 +81,7 @@
 /// The store has lost the order, and the operator writes it again; later it comes back from a copy in which an order
 /// stands that was taken back.
 #[test]
-fn a_store_that_goes_back_changes_no_order() {
+fn store_restore_changes_no_evacuation_order() {
     let mut fleet = two_centres();
     let host = fleet.start_host();
     let before = fleet.store.snapshot();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_cold_upstream_gets_few_requests_and_the_others_the_rest() {
+fn cold_upstream_gets_requests_at_its_warmup_rate() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("op", "config", &with_warming(2));
     let mut cold = fleet.plain_upstreams[0].entry("desk", "ready");
@@ -155,7 +155,7 @@
 
 /// Upstreams of a service that names no rate say that they are cold, as slow ones do: they take their part all the same.
 #[test]
-fn a_cold_upstream_whose_service_names_no_rate_takes_its_part() {
+fn cold_upstream_of_a_service_without_a_warmup_rate_gets_requests() {
     let mut fleet = Fleet::new(1, 0);
     let mut cold = fleet.plain_upstreams[0].entry("desk", "ready");
     cold["cold_remaining_ms"] = json!(60_000);
@@ -166,7 +166,7 @@
 
 /// With homes, a request is sent nowhere else, also where nothing is left at home.
 #[test]
-fn a_request_does_not_leave_the_regions_of_its_route_and_its_workspace() {
+fn request_stays_in_the_regions_of_its_route_and_workspace() {
     let mut fleet = two_centres();
     let mut text = config(2);
     text["routes"][1]["allowed_regions"] = json!(["coast"]);
--- a/crates/portfield-host/tests/pages.rs
+++ b/crates/portfield-host/tests/operations_docs.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_event_stands_on_the_page_and_every_one_there_is_written() {
+fn log_events_match_the_documentation() {
     let told = first_column("| event | what happened | values that decide |");
     let written = events(&sources());
     assert!(25 < written.len(), "{written:?}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_metric_on_the_page_is_counted() {
+fn documented_metrics_exist() {
     let sources = sources();
     let told = first_column("| metric | meaning |");
     assert!(20 < told.len(), "{told:?}");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn every_counter_stands_on_the_page() {
+fn counters_are_documented() {
     let page = page();
     for it in sources().split(".count(").skip(1) {
         let name = it.trim_start_matches("&format!(").trim_start().strip_prefix('"');
--- a/crates/portfield-host/tests/standstill.rs
+++ b/crates/portfield-host/tests/process_pause.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_key_that_was_revoked_while_a_host_stood_still_is_not_used() {
+fn key_revoked_during_a_pause_is_not_accepted() {
     let mut fleet = Fleet::new(2, 0);
     let (host, _other) = (fleet.start_host(), fleet.start_host());
     let text = |n: u32| request("order", &format!("r{n}")).replace("key-a", "key-b");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_upstream_that_left_while_a_host_stood_still_gets_nothing() {
+fn upstream_removed_during_a_pause_gets_no_requests() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.remove("servers", "plain-1");
     let (host, _other) = (fleet.start_host(), fleet.start_host());
@@ -79,7 +79,7 @@
 
 /// Cut off from all after it went on, it serves by what it knows, as any host that is cut off.
 #[test]
-fn a_host_that_hears_nobody_after_it_stood_still_serves_after_some_seconds() {
+fn isolated_host_serves_again_seconds_after_a_pause() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let store = fleet.store.clone();
--- a/crates/portfield-host/tests/lethal.rs
+++ b/crates/portfield-host/tests/quarantine.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_request_that_ends_its_upstreams_is_refused_at_every_host_after_the_third() {
+fn crashing_request_is_refused_by_all_hosts_after_three_crashes() {
     let mut fleet = Fleet::new(0, 6);
     let hosts = hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_request_that_ends_its_upstreams_is_not_repeated_by_a_host_beyond_the_third() {
+fn crashing_request_is_not_retried_after_three_crashes() {
     let mut fleet = Fleet::new(0, 6);
     let hosts = hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_request_that_ends_its_upstreams_stays_refused_when_all_hosts_are_killed() {
+fn quarantine_survives_a_kill_of_all_hosts() {
     let mut fleet = Fleet::new(0, 6);
     let first = hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
@@ -190,7 +190,7 @@
 
 /// Callers of other requests lose what runs on an engine that ends, and no more than that.
 #[test]
-fn a_request_that_ends_its_upstreams_takes_few_others_with_it() {
+fn crashing_request_interrupts_few_other_requests() {
     let mut fleet = Fleet::new(0, 6);
     let hosts = hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
@@ -220,7 +220,7 @@
 /// Many callers send it at once, hosts are killed and start anew, the store is down: after the third end and the time
 /// in which hosts hear of it, no upstream gets it any more.
 #[test]
-fn a_request_that_ends_its_upstreams_is_refused_while_hosts_are_killed_and_the_store_is_down() {
+fn quarantine_holds_while_hosts_are_killed_and_the_store_is_down() {
     let mut fleet = Fleet::new(0, 8);
     let mut hosts = hosts(&mut fleet, 4);
     let engines = Engines::new(&fleet);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn an_operator_lets_a_request_run_again() {
+fn operator_can_lift_a_quarantine() {
     let mut fleet = Fleet::new(0, 6);
     let hosts = hosts(&mut fleet, 2);
     let engines = Engines::new(&fleet);
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 #[test]
-fn a_request_reaches_its_upstream_as_it_was_sent() {
+fn forwards_request_without_caller_credentials() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let response = host.send(&request("order", "r1"));
@@ -36,7 +36,7 @@
 
 /// A caller's own lease or copy of memory made engines turn the request away.
 #[test]
-fn leases_and_copies_of_memory_are_never_a_caller_s_to_name() {
+fn reserved_headers_of_callers_are_dropped() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     for (n, name) in RESERVED.iter().enumerate() {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn bad_requests_are_told_what_is_wrong() {
+fn malformed_requests_get_specific_errors() {
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.start_host();
     let good = request("check", "r1");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_host_without_configuration_refuses_and_is_not_ready() {
+fn host_without_configuration_rejects_requests_and_is_not_ready() {
     let mut fleet = Fleet::new(1, 0);
     fleet.store.remove("op", "config");
     let host = fleet.spawn_host("");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_refusal_is_true_and_what_may_have_run_is_not_repeated() {
+fn unsafe_request_that_may_have_executed_is_not_retried() {
     for (fault, status, n_executed) in [
         (UpstreamFault::Shed, 503, 0),
         (UpstreamFault::NoResponse, 502, 1),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_safe_request_is_repeated_elsewhere() {
+fn safe_request_is_retried_on_another_upstream() {
     for fault in [
         UpstreamFault::Shed,
         UpstreamFault::NoResponse,
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_unframed_answer_is_passed_on_whole() {
+fn close_delimited_response_is_forwarded_completely() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     fleet.plain_upstreams[0].set_fault(UpstreamFault::CloseDelimited);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_answer_that_nobody_asked_for_reaches_nobody() {
+fn unsolicited_response_is_discarded() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     fleet.plain_upstreams[0].set_fault(UpstreamFault::ExtraResponse);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn connections_to_upstreams_are_kept_and_lost_ones_harm_nobody() {
+fn upstream_connections_are_reused_and_replaced_when_closed() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     for n in 0..5 {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn another_incarnation_at_the_address_does_not_run_the_request() {
+fn request_is_not_executed_by_another_incarnation_at_the_address() {
     let mut fleet = Fleet::new(1, 0);
     let mut entry = fleet.plain_upstreams[0].entry("desk", "ready");
     fleet.store.remove("servers", "plain-0");
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_stream_is_passed_on_event_by_event() {
+fn stream_is_forwarded_completely_and_logged() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     let response = host.send(&request("draft", "r1"));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_broken_stream_never_looks_whole() {
+fn broken_stream_is_not_terminated_as_complete() {
     for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
         let host = fleet.start_host();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_elsewhere_with_nothing_missing() {
+fn resumable_stream_continues_on_another_upstream_without_gaps() {
     for fault in [UpstreamFault::TruncateBody, UpstreamFault::StallStream] {
         let mut fleet = Fleet::new(0, 2);
         let host = fleet.start_host();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_stream_that_pauses_is_not_cut_where_no_other_upstream_would_go_on() {
+fn stalled_stream_is_kept_when_no_other_upstream_can_resume_it() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     // Longer than three of the route's pauses of 100 ms, after which it would be moved.
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn who_leaves_takes_the_upstream_work_along() {
+fn caller_disconnect_cancels_the_upstream_request() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_route_s_time_is_kept_with_a_final_answer() {
+fn route_timeout_returns_504() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     fleet.plain_upstreams[0].set_fault(UpstreamFault::Hang);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn two_requests_on_one_connection_are_answered_in_order() {
+fn keep_alive_requests_are_answered_in_order() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
@@ -276,7 +276,7 @@
 
 /// A body that never came held its request, and the end of the process, for ever.
 #[test]
-fn a_body_that_does_not_come_is_answered_when_its_time_is_up() {
+fn missing_body_is_answered_at_the_deadline() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let mut stream = connect(host.listen).unwrap();
@@ -292,7 +292,7 @@
 /// The kernel went on delivering a request after its caller had left and the host had closed: it
 /// reached an engine 1.7 s later, when a cut link had healed.
 #[test]
-fn what_was_not_delivered_when_the_caller_left_never_is() {
+fn undelivered_request_is_reset_when_the_caller_disconnects() {
     const SIZE: usize = 64 << 20;
     let mut fleet = Fleet::new(0, 0);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -339,7 +339,7 @@
 /// and closed: nobody would read the answer. A host without a descriptor left ran five such requests ten
 /// seconds after.
 #[test]
-fn what_is_read_after_its_caller_has_left_is_not_sent_on() {
+fn request_of_a_disconnected_caller_is_not_forwarded() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let send = |id: &str| {
@@ -362,7 +362,7 @@
 /// The test counts on the kernel's limit for one process, which it sets for the host's own. That the
 /// process itself outlives the limit is shown by `descriptors.rs` of portfield-net.
 #[test]
-fn a_host_that_cannot_accept_is_not_ready_until_it_can() {
+fn host_without_descriptors_is_not_ready() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let limit = |n: u32| {
@@ -388,7 +388,7 @@
 /// Of a host that refused thousands a second, most refusals had no line: nothing told whose requests they were, or
 /// whether callers came anew or stayed on their connections.
 #[test]
-fn a_second_in_which_a_host_refuses_for_itself_is_told_in_one_line() {
+fn overload_refusals_are_logged_once_per_second() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.spawn_host("active_limit = 1");
     wait_until("the host is ready", || host.is_ready());
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -11,7 +11,7 @@
 use portfield_platform_standins::{StoreFault, UpstreamFault};
 
 #[test]
-fn who_says_in_an_answer_that_it_drains_gets_nothing_more_while_the_store_is_away() {
+fn upstream_draining_by_response_gets_no_requests_while_the_store_is_down() {
     let mut fleet = Fleet::new(2, 2);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn whatever_else_is_wrong_with_an_answer_it_tells_that_its_upstream_drains() {
+fn faulty_response_still_reports_draining() {
     for fault in [
         UpstreamFault::InternalError,
         UpstreamFault::Shed,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn hosts_that_got_no_such_answer_hear_it_from_those_that_did() {
+fn draining_report_reaches_the_other_hosts() {
     let mut fleet = Fleet::new(2, 0);
     let hosts = [fleet.start_host(), fleet.start_host(), fleet.start_host()];
     for host in &hosts {
@@ -95,7 +95,7 @@
 
 /// The address is used again before the list tells so.
 #[test]
-fn who_answers_in_place_of_another_says_it_of_itself_only() {
+fn report_of_a_replacement_upstream_applies_to_itself_only() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("servers", "former", &fleet.plain_upstreams[0].entry("desk", "ready"));
     let host = fleet.start_host();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_upstream_whose_address_another_one_has_is_asked_once() {
+fn upstream_with_a_reused_address_is_tried_once() {
     let mut fleet = Fleet::new(1, 0);
     fleet.store.put("servers", "former", &fleet.plain_upstreams[0].entry("desk", "ready"));
     fleet.store.remove("servers", "plain-0");
@@ -138,7 +138,7 @@
 
 /// Whoever is asked by mistake tells of itself all the same.
 #[test]
-fn who_turns_away_what_was_meant_for_another_may_say_that_it_drains() {
+fn misdirected_response_reports_draining_of_its_sender() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("servers", "former", &fleet.plain_upstreams[0].entry("desk", "ready"));
     let host = fleet.start_host();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn all_of_a_service_that_drain_are_asked_nothing_and_callers_hear_it_at_once() {
+fn service_with_all_upstreams_draining_fails_fast() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn who_asks_to_be_left_alone_gets_nothing_until_the_time_is_over() {
+fn upstream_gets_no_requests_until_its_retry_after_has_passed() {
     const BACKOFF: Duration = Duration::from_millis(1200);
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
--- a/crates/portfield-host/tests/stop.rs
+++ b/crates/portfield-host/tests/shutdown.rs
@@ -11,7 +11,7 @@
 use fleet::{Fleet, read_response, request, wait_until};
 
 #[test]
-fn a_stop_cuts_no_answer() {
+fn graceful_shutdown_completes_running_responses() {
     let mut fleet = Fleet::new(1, 1);
     let mut host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_reload_cuts_nothing_and_tells_what_is_wrong() {
+fn reload_keeps_streams_and_logs_invalid_settings() {
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -5,7 +5,7 @@
 //! --release -p portfield-host --test soak -- --nocapture` runs more.
 
 mod fleet;
-mod words;
+mod self_reports;
 
 use std::{
     collections::HashMap,
@@ -25,8 +25,8 @@
 use portfield_platform_standins::{
     FakeUpstream, FaultProxy, NetworkFault, StoreFault, StoreSnapshot, UpstreamFault,
 };
+use self_reports::{Events, Span};
 use serde_json::{Value, json};
-use words::{Events, Span};
 
 /// Seeds that CI runs; a seed that ever failed is added with a line on its cause.
 ///
@@ -449,7 +449,7 @@
     outcomes.extend(callers.into_iter().flat_map(|it| it.join().unwrap()));
     let mut broken = judge(&soak.fleet, &outcomes);
     let came_to = outcomes.iter().map(|it| (it.id.as_str(), it.door)).collect();
-    broken.extend(words::judge(&soak.upstreams(), &came_to, &soak.events));
+    broken.extend(self_reports::judge(&soak.upstreams(), &came_to, &soak.events));
     if RECOVERY < recovered {
         broken.push(format!("it took {recovered:?} until all hosts served again"));
     }
@@ -482,7 +482,7 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let seeds: Vec<u64> = match number("SOAK_SEED") {
         Some(first) => (first..first + number("SOAK_COUNT").unwrap_or(1)).collect(),
         None => SEEDS.to_vec(),
--- a/crates/portfield-host/tests/knowledge.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_within_two_seconds_and_no_older_one_follows() {
+fn newer_configuration_applies_and_older_is_ignored() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     assert_eq!(host.send(&request("check", "r1")).status, 200);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn requests_go_on_while_the_store_is_away() {
+fn requests_succeed_during_store_faults() {
     for fault in [
         StoreFault::Unavailable,
         StoreFault::TooManyRequests,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_forgotten_history_is_read_anew() {
+fn compacted_history_triggers_a_full_read() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Unavailable);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn who_drains_gets_no_new_request() {
+fn draining_upstream_gets_no_new_requests() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     let entry = fleet.plain_upstreams[0].entry("desk", "draining");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_host_that_starts_while_the_store_is_down_learns_from_the_others() {
+fn host_started_while_the_store_is_down_gets_state_from_peers() {
     let mut fleet = Fleet::new(1, 0);
     let first = fleet.start_host();
     let known = fleet.store.keys("portfield_hosts");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_host_that_the_store_turns_away_learns_a_change_from_the_others() {
+fn host_cut_off_from_the_store_gets_changes_from_peers() {
     let mut fleet = Fleet::new(1, 0);
     let first = fleet.start_host();
     let second = fleet.start_host();
@@ -138,7 +138,7 @@
 /// Before the traffic of a grown day 59 hosts made 1,364 calls to the store, one for each upstream that
 /// came.
 #[test]
-fn changes_in_quick_succession_take_few_calls_to_the_store() {
+fn rapid_changes_are_batched_into_few_store_calls() {
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.start_host();
     // The first change shows that the table is followed.
@@ -191,7 +191,7 @@
 
 /// The sweep at 300 hosts broke CONFIG: 3,000 entries came along with each configuration.
 #[test]
-fn a_configuration_does_not_wait_for_a_long_list() {
+fn configuration_is_fetched_while_a_list_transfer_hangs() {
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
@@ -210,7 +210,7 @@
 /// A held call on a connection that had fallen silent hid for over two seconds that an upstream
 /// was about to leave, while the other hosts knew.
 #[test]
-fn a_list_that_another_host_knows_is_taken_while_the_store_still_seems_to_answer() {
+fn newer_list_of_a_peer_is_used_while_the_store_feed_stalls() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let draining = fleet.plain_upstreams[0].entry("desk", "draining").to_string().into_bytes();
@@ -241,7 +241,7 @@
 /// Grown Craigmhor scale-2, seed 400597386945: hosts that had just started told an upstream's older entry with a newer
 /// version, and all the others took it for ready again.
 #[test]
-fn what_a_host_reads_too_late_is_not_told_on() {
+fn stale_store_rows_are_not_passed_to_peers() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     let listed = |n: usize, state: &str| ListedUpstream {
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn many_hosts_know_another_data_centre_by_its_sum() {
+fn remote_data_centre_is_known_by_its_aggregate() {
     let mut fleet = Fleet::new(1, 1);
     let places = [("north", 8), ("south", 6)];
     let mut hosts = Vec::new();
@@ -306,7 +306,7 @@
 
 /// Rows of another writer beside and in place of upstreams' entries: they are not used, the others hold.
 #[test]
-fn a_row_of_another_writer_takes_no_request_and_hides_no_upstream() {
+fn malformed_rows_are_ignored() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     let entry = |field: &str, value: serde_json::Value| {
@@ -333,7 +333,7 @@
 /// An upstream that starts again under its id, behind another address: what was known of the earlier
 /// one, here that it can't be reached, does not hold for it.
 #[test]
-fn an_upstream_that_starts_again_under_its_id_is_a_new_one() {
+fn restarted_upstream_loses_its_unreachable_state() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let born = |address: &str, born: u64| {
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn readiness_waits_for_configuration_and_upstreams() {
+fn readiness_requires_configuration_and_upstreams() {
     let mut fleet = Fleet::new(0, 0);
     let host = fleet.spawn_host("");
     wait_until("the configuration is there", || host.metric("portfield_config_version") == 1.0);
@@ -374,7 +374,7 @@
 
 /// osu-lostfound hunt-cdc1-15: the store could not be reached by one host only, and served the others all the while.
 #[test]
-fn who_leaves_is_gone_at_once_for_a_host_that_alone_could_not_reach_the_store() {
+fn removed_upstream_is_dropped_at_once_after_a_single_host_store_outage() {
     let mut fleet = Fleet::new(2, 0);
     let first = fleet.start_host();
     let proxy = FaultProxy::start(&fleet.rt, fleet.store.address());
@@ -398,7 +398,7 @@
 
 /// A host went on trying the address of the earlier life for as long as the id was listed.
 #[test]
-fn the_address_of_an_earlier_life_is_tried_no_more() {
+fn address_of_an_earlier_incarnation_is_not_tried_again() {
     let mut fleet = Fleet::new(1, 0);
     // Bound and not listened on: nobody else gets the port meanwhile.
     let gone = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
--- a/crates/portfield-host/tests/restore.rs
+++ b/crates/portfield-host/tests/store_restore.rs
@@ -18,7 +18,7 @@
 /// The trap: the host has followed up to a number, the store goes back below it, and gives the number out again before
 /// the host asks. Nothing is said to be missing, and a change would be.
 #[test]
-fn a_number_that_is_given_out_again_hides_no_change() {
+fn reused_version_number_hides_no_change() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     let before = fleet.store.snapshot();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_was_taken_away_does_not_come_back() {
+fn removed_keys_and_upstreams_stay_removed_after_a_restore() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.put("op", "config", &config(2));
     let first = fleet.start_host();
@@ -68,7 +68,7 @@
 
 /// Each host's address is its own to write: one that starts later finds the others there.
 #[test]
-fn hosts_write_their_addresses_again_and_keep_what_upstreams_do_not_write() {
+fn hosts_rewrite_their_addresses_and_keep_upstreams_after_a_restore() {
     let mut fleet = Fleet::new(1, 0);
     let empty = fleet.store.snapshot();
     let host = fleet.start_host();
