--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -25,7 +25,7 @@
 use portfield_platform_standins::{
     FakeUpstream, FaultProxy, NetworkFault, StoreFault, StoreSnapshot, UpstreamFault,
 };
-use self_reports::{Events, Span};
+use self_reports::{Interval, Timeline};
 use serde_json::{Value, json};
 
 /// Seeds that CI runs; a seed that ever failed is added with a line on its cause.
@@ -33,13 +33,13 @@
 /// - 7, 8, 11: the store came back with an entry of an earlier incarnation, and what the later one had said of itself was lost.
 const SEEDS: [u64; 6] = [1, 2, 3, 7, 8, 11];
 /// Time that a seed takes in CI.
-const CI_TIME: Duration = Duration::from_secs(6);
+const CI_DURATION: Duration = Duration::from_secs(6);
 const N_HOSTS: usize = 3;
 const N_CALLERS: usize = 6;
 /// Time between two faults.
-const FAULT_GAP: Duration = Duration::from_millis(250);
+const FAULT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after the last fault in which requests are served again, as the users bound it.
-const RECOVERY: Duration = Duration::from_secs(12);
+const MAX_RECOVERY: Duration = Duration::from_secs(12);
 /// Streams of the callers' requests: 24 tokens, three an event.
 const N_EVENTS: u32 = 8;
 
@@ -48,36 +48,36 @@
     id: String,
     route: &'static str,
     /// The host that it was sent to.
-    door: SocketAddr,
+    host: SocketAddr,
     response: Option<Response>,
 }
 
 /// Where the callers send to: hosts come and go.
-type Doors = Arc<Mutex<Vec<SocketAddr>>>;
+type HostAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
 struct Soak {
     fleet: Fleet,
     hosts: Vec<Host>,
     proxies: Vec<FaultProxy>,
-    doors: Doors,
+    addresses: HostAddresses,
     rng: fastrand::Rng,
     /// Draws what upstreams say of themselves, beside the other faults.
-    words: fastrand::Rng,
-    events: Events,
+    report_rng: fastrand::Rng,
+    timeline: Timeline,
     /// Harm that has not ended, by the place of the upstream behind it.
-    harmed: HashMap<usize, Duration>,
-    version: u64,
-    log: Vec<String>,
+    active_faults: HashMap<usize, Duration>,
+    config_version: u64,
+    actions: Vec<String>,
     /// What hosts that were replaced had logged by then.
-    past: Vec<Vec<Value>>,
+    past_logs: Vec<Vec<Value>>,
     /// Data centres of the hosts in turn; with two, each hears of the other by sums.
-    places: &'static [&'static str],
+    data_centres: &'static [&'static str],
     /// What upstreams write to the store.
     entries: Vec<(String, Value)>,
     /// The store as it was some faults ago.
-    copy: StoreSnapshot,
+    snapshot: StoreSnapshot,
     /// Longest time for which a host is paused, in milliseconds: every third seed has standstills.
-    longest_pause: u64,
+    max_pause_ms: u64,
 }
 
 impl Soak {
@@ -95,56 +95,56 @@
                 proxies.push(proxy);
             }
         }
-        let copy = fleet.store.snapshot();
+        let snapshot = fleet.store.snapshot();
         let mut res = Self {
             fleet,
             entries,
-            copy,
+            snapshot,
             hosts: Vec::new(),
             proxies,
-            doors: Doors::default(),
+            addresses: HostAddresses::default(),
             rng: fastrand::Rng::with_seed(seed),
-            words: fastrand::Rng::with_seed(!seed),
-            events: Events::default(),
-            harmed: HashMap::new(),
-            version: 1,
-            log: Vec::new(),
-            past: Vec::new(),
-            longest_pause: if seed.is_multiple_of(3) { 2600 } else { 800 },
-            places: if seed.is_multiple_of(2) { &["north"] } else { &["north", "south"] },
+            report_rng: fastrand::Rng::with_seed(!seed),
+            timeline: Timeline::default(),
+            active_faults: HashMap::new(),
+            config_version: 1,
+            actions: Vec::new(),
+            past_logs: Vec::new(),
+            max_pause_ms: if seed.is_multiple_of(3) { 2600 } else { 800 },
+            data_centres: if seed.is_multiple_of(2) { &["north"] } else { &["north", "south"] },
         };
         for idx in 0..N_HOSTS {
             let host = res.start_host(idx, "");
             wait_until("the host is ready", || host.is_ready());
-            res.doors.lock().unwrap().push(host.listen);
+            res.addresses.lock().unwrap().push(host.listen);
             res.hosts.push(host);
         }
         res
     }
 
-    fn start_host(&mut self, idx: usize, more: &str) -> Host {
-        let place = self.places[idx % self.places.len()];
-        let sums = if 1 < self.places.len() { "direct_hosts = 1" } else { "" };
-        self.fleet.spawn_host_in(place, &format!("{sums}\n{more}"))
+    fn start_host(&mut self, idx: usize, extra_settings: &str) -> Host {
+        let data_centre = self.data_centres[idx % self.data_centres.len()];
+        let aggregate_setting = if 1 < self.data_centres.len() { "direct_hosts = 1" } else { "" };
+        self.fleet.spawn_host_in(data_centre, &format!("{aggregate_setting}\n{extra_settings}"))
     }
 
     /// Does one thing to the fleet; some end by themselves, the rest in [`Soak::heal`].
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.usize(..self.hosts.len());
         let proxy = self.rng.usize(..self.proxies.len());
         let upstreams: Vec<_> =
             self.fleet.plain_upstreams.iter().chain(&self.fleet.engines).collect();
         let upstream = upstreams[self.rng.usize(..upstreams.len())].clone();
-        let name = match self.rng.u32(..14) {
+        let action = match self.rng.u32(..14) {
             0 => self.restart(host, "-KILL"),
             1 => self.restart(host, "-TERM"),
             2 => {
-                let from = clock::now();
+                let start = clock::now();
                 self.hosts[host].signal("-STOP");
-                thread::sleep(Duration::from_millis(self.rng.u64(50..self.longest_pause)));
+                thread::sleep(Duration::from_millis(self.rng.u64(50..self.max_pause_ms)));
                 self.hosts[host].signal("-CONT");
-                let span = Span { from, to: clock::now() };
-                self.events.pauses.push((self.hosts[host].listen, span));
+                let interval = Interval { start, end: clock::now() };
+                self.timeline.pauses.push((self.hosts[host].listen, interval));
                 format!("host {host} paused")
             }
             3 => {
@@ -152,22 +152,22 @@
                 format!("host {host} reloads")
             }
             4..=6 => {
-                let harms = [
+                let faults = [
                     NetworkFault::Delay(self.rng.u64(5..80)),
                     NetworkFault::Reset,
                     NetworkFault::StallRequests,
                     NetworkFault::StallResponses,
                     NetworkFault::StallAll,
                 ];
-                let harm = harms[self.rng.usize(..harms.len())];
-                self.proxies[proxy].set_fault(harm);
-                match harm {
-                    NetworkFault::Delay(_) => self.end_harm(proxy),
+                let fault = faults[self.rng.usize(..faults.len())];
+                self.proxies[proxy].set_fault(fault);
+                match fault {
+                    NetworkFault::Delay(_) => self.end_link_fault(proxy),
                     _ => {
-                        self.harmed.entry(proxy).or_insert_with(clock::now);
+                        self.active_faults.entry(proxy).or_insert_with(clock::now);
                     }
                 }
-                format!("proxy {proxy} {harm:?}")
+                format!("proxy {proxy} {fault:?}")
             }
             7 | 8 => {
                 let faults = [
@@ -198,36 +198,36 @@
                 format!("store {fault:?}")
             }
             10 => {
-                self.version += self.rng.u64(1..5);
-                self.fleet.store.put("op", "config", &config(self.version));
-                format!("configuration {}", self.version)
+                self.config_version += self.rng.u64(1..5);
+                self.fleet.store.put("op", "config", &config(self.config_version));
+                format!("configuration {}", self.config_version)
             }
-            11 | 12 => self.go_back(),
+            11 | 12 => self.restore_store(),
             _ => {
                 self.fleet.store.compact_history();
-                self.heal();
+                self.clear_faults();
                 "all healed, history forgotten".to_owned()
             }
         };
-        self.note(name);
+        self.record_action(action);
     }
 
     /// Notes what was done, and when.
-    fn note(&mut self, what: String) {
-        self.log.push(format!("{:.3} {what}", clock::now().as_secs_f64()));
+    fn record_action(&mut self, what: String) {
+        self.actions.push(format!("{:.3} {what}", clock::now().as_secs_f64()));
     }
 
     /// Has an upstream say something of itself, or start anew, whatever else goes on.
-    fn speak(&mut self) {
-        let place = self.words.usize(..self.entries.len());
-        let upstream = self.upstreams()[place].clone();
-        let name = match self.words.u32(..8) {
+    fn inject_self_report(&mut self) {
+        let index = self.report_rng.usize(..self.entries.len());
+        let upstream = self.upstreams()[index].clone();
+        let action = match self.report_rng.u32(..8) {
             0 | 1 => {
                 upstream.set_draining(true);
-                if self.words.bool() {
-                    return self.note(format!("{} drains by its word only", upstream.id));
+                if self.report_rng.bool() {
+                    return self.record_action(format!("{} drains by its word only", upstream.id));
                 }
-                let entry = &mut self.entries[place].1;
+                let entry = &mut self.entries[index].1;
                 entry["state"] = json!("draining");
                 self.fleet.store.put("servers", &upstream.id, entry);
                 format!("{} drains", upstream.id)
@@ -239,31 +239,31 @@
                     UpstreamFault::ShedAbove(2),
                 ];
                 let values = ["0.8", "1.5", "3", "2.25", "0", "soon", "-1"];
-                let fault = faults[self.words.usize(..faults.len())];
-                let value = values[self.words.usize(..values.len())];
+                let fault = faults[self.report_rng.usize(..faults.len())];
+                let value = values[self.report_rng.usize(..values.len())];
                 upstream.set_retry_after(Some(value));
                 upstream.set_fault(fault);
                 format!("{} {fault:?}, retry after {value}", upstream.id)
             }
             _ => {
-                self.start_anew(place);
+                self.restart_upstream(index);
                 format!("{} starts anew", upstream.id)
             }
         };
-        self.note(name);
+        self.record_action(action);
     }
 
     /// Has an upstream start anew under its id: what it said before no longer holds.
-    fn start_anew(&mut self, place: usize) {
-        let upstream = self.upstreams()[place].clone();
+    fn restart_upstream(&mut self, index: usize) {
+        let upstream = self.upstreams()[index].clone();
         upstream.set_draining(false);
         upstream.set_retry_after(None);
         upstream.set_fault(UpstreamFault::None);
         let now = clock::now();
-        self.events.starts.push((place, now));
-        self.entries[place].1["state"] = json!("ready");
-        self.entries[place].1["born"] = json!(now.as_millis() as u64);
-        let (id, entry) = &self.entries[place];
+        self.timeline.restarts.push((index, now));
+        self.entries[index].1["state"] = json!("ready");
+        self.entries[index].1["born"] = json!(now.as_millis() as u64);
+        let (id, entry) = &self.entries[index];
         self.fleet.store.put("servers", id, entry);
     }
 
@@ -273,22 +273,22 @@
     }
 
     /// Notes that harm to the way to an upstream has ended.
-    fn end_harm(&mut self, place: usize) {
-        if let Some(from) = self.harmed.remove(&place) {
-            self.events.harms.push((place, Span { from, to: clock::now() }));
+    fn end_link_fault(&mut self, index: usize) {
+        if let Some(start) = self.active_faults.remove(&index) {
+            self.timeline.link_faults.push((index, Interval { start, end: clock::now() }));
         }
     }
 
     /// Has the store come back from its last copy; what the operator and upstreams wrote since is written again.
-    fn go_back(&mut self) -> String {
+    fn restore_store(&mut self) -> String {
         let now = self.fleet.store.snapshot();
-        let copy = std::mem::replace(&mut self.copy, now);
+        let snapshot = std::mem::replace(&mut self.snapshot, now);
         self.fleet.store.set_fault(StoreFault::Hang);
         thread::sleep(Duration::from_millis(self.rng.u64(20..600)));
-        self.fleet.store.restore(copy);
+        self.fleet.store.restore(snapshot);
         self.fleet.store.set_fault(StoreFault::None);
         thread::sleep(Duration::from_millis(self.rng.u64(0..400)));
-        self.fleet.store.put("op", "config", &config(self.version));
+        self.fleet.store.put("op", "config", &config(self.config_version));
         for (id, entry) in &self.entries {
             self.fleet.store.put("servers", id, entry);
         }
@@ -300,18 +300,18 @@
         // A host that starts while the store is down learns from those it is told of.
         let seeds = self.fleet.store.keys("portfield_hosts");
         let new = self.start_host(idx, &format!("seeds = {seeds:?}"));
-        self.doors.lock().unwrap()[idx] = new.listen;
+        self.addresses.lock().unwrap()[idx] = new.listen;
         let mut old = std::mem::replace(&mut self.hosts[idx], new);
-        self.past.push(old.log_lines());
+        self.past_logs.push(old.log_lines());
         if signal == "-TERM" {
             thread::spawn(move || assert_eq!(old.wait_for_exit(), Some(0)));
         }
         format!("host {idx} {signal}, started again")
     }
 
-    fn heal(&mut self) {
+    fn clear_faults(&mut self) {
         self.proxies.iter().for_each(|it| it.set_fault(NetworkFault::None));
-        (0..self.proxies.len()).for_each(|it| self.end_harm(it));
+        (0..self.proxies.len()).for_each(|it| self.end_link_fault(it));
         let upstreams = self.fleet.plain_upstreams.iter().chain(&self.fleet.engines);
         upstreams.for_each(|it| it.set_fault(UpstreamFault::None));
         self.fleet.store.set_fault(StoreFault::None);
@@ -319,19 +319,24 @@
 }
 
 /// Sends requests on kept connections until told to stop.
-fn call(doors: &Doors, caller: usize, n_sent: &AtomicU64, stop: &AtomicBool) -> Vec<Outcome> {
+fn run_caller(
+    addresses: &HostAddresses,
+    caller: usize,
+    n_sent: &AtomicU64,
+    stop: &AtomicBool,
+) -> Vec<Outcome> {
     let routes = ["check", "order", "draft", "digest"];
     let mut rng = fastrand::Rng::with_seed(caller as u64);
-    let mut kept: Option<TcpStream> = None;
+    let mut connection: Option<TcpStream> = None;
     let mut res = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let route = routes[rng.usize(..routes.len())];
         let id = format!("c{caller}-{}", n_sent.fetch_add(1, Ordering::Relaxed));
-        let door = doors.lock().unwrap()[rng.usize(..N_HOSTS)];
-        let stream = kept.take().or_else(|| TcpStream::connect(door).ok());
-        let Some((mut stream, door)) = stream.and_then(|it| {
-            let door = it.peer_addr().ok()?;
-            Some((it, door))
+        let address = addresses.lock().unwrap()[rng.usize(..N_HOSTS)];
+        let stream = connection.take().or_else(|| TcpStream::connect(address).ok());
+        let Some((mut stream, address)) = stream.and_then(|it| {
+            let address = it.peer_addr().ok()?;
+            Some((it, address))
         }) else {
             thread::sleep(Duration::from_millis(10));
             continue;
@@ -340,48 +345,48 @@
         let sent = stream.write_all(request(route, &id).as_bytes());
         let response = sent.ok().and_then(|()| read_response(&mut stream));
         if response.as_ref().is_some_and(|it| it.is_complete && it.header("connection").is_none()) {
-            kept = Some(stream);
+            connection = Some(stream);
         }
-        res.push(Outcome { id, route, door, response });
+        res.push(Outcome { id, route, host: address, response });
         thread::sleep(Duration::from_millis(rng.u64(2..20)));
     }
     res
 }
 
 /// Returns what was broken of the promises.
-fn judge(fleet: &Fleet, outcomes: &[Outcome]) -> Vec<String> {
-    let mut broken = Vec::new();
+fn find_violations(fleet: &Fleet, outcomes: &[Outcome]) -> Vec<String> {
+    let mut violations = Vec::new();
     let mut runs: HashMap<String, u32> = HashMap::new();
-    let known: HashMap<&str, &Outcome> = outcomes.iter().map(|it| (it.id.as_str(), it)).collect();
+    let by_id: HashMap<&str, &Outcome> = outcomes.iter().map(|it| (it.id.as_str(), it)).collect();
     for seen in fleet.plain_upstreams.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
         let id = seen.header("attempt-id").unwrap_or_default().to_owned();
-        let Some(outcome) = known.get(id.as_str()) else {
-            broken.push(format!("{id} reached an upstream, and nobody sent it"));
+        let Some(outcome) = by_id.get(id.as_str()) else {
+            violations.push(format!("{id} reached an upstream, and nobody sent it"));
             continue;
         };
         if !seen.request_line.contains(&format!("/{}/one?q=1", outcome.route))
             || seen.body != b"body"
         {
-            broken.push(format!("{id} was changed on its way: {}", seen.request_line));
+            violations.push(format!("{id} was changed on its way: {}", seen.request_line));
         }
         if seen.header("tenant") != Some("a") || seen.header("authorization").is_some() {
-            broken.push(format!("{id} came with another workspace, or with its key"));
+            violations.push(format!("{id} came with another workspace, or with its key"));
         }
         *runs.entry(id).or_default() += u32::from(seen.is_executed);
     }
     for it in outcomes {
         let n = runs.get(&it.id).copied().unwrap_or(0);
-        let most = if matches!(it.route, "order" | "draft") { 1 } else { 2 };
-        if most < n {
-            broken.push(format!("{} on {} ran {n} times", it.id, it.route));
+        let max_executed = if matches!(it.route, "order" | "draft") { 1 } else { 2 };
+        if max_executed < n {
+            violations.push(format!("{} on {} ran {n} times", it.id, it.route));
         }
         let Some(response) = &it.response else { continue };
-        broken.extend(judge_answer(it, response, n));
+        violations.extend(response_violation(it, response, n));
     }
-    broken
+    violations
 }
 
-fn judge_answer(it: &Outcome, response: &Response, n_executed: u32) -> Option<String> {
+fn response_violation(it: &Outcome, response: &Response, n_executed: u32) -> Option<String> {
     let (id, status) = (&it.id, response.status);
     if response.header("attempt-id").is_some_and(|it| it != id) {
         return Some(format!("{id} got the answer to {:?}", response.header("attempt-id")));
@@ -399,14 +404,14 @@
         return Some(format!("{id} got a success without a signature"));
     }
     if !matches!(it.route, "draft" | "digest") {
-        let whole = response.text().starts_with("from plain-");
-        return (!whole || !response.is_complete)
+        let is_from_service = response.text().starts_with("from plain-");
+        return (!is_from_service || !response.is_complete)
             .then(|| format!("{id} got {:?}", response.text()));
     }
     let events = response.event_ids();
-    let in_order = events.iter().copied().eq(1..=events.len() as u32);
-    let complete = events.len() as u32 == N_EVENTS;
-    if !in_order || (response.is_complete && !complete) {
+    let is_in_order = events.iter().copied().eq(1..=events.len() as u32);
+    let has_all_events = events.len() as u32 == N_EVENTS;
+    if !is_in_order || (response.is_complete && !has_all_events) {
         return Some(format!("{id} got the events {events:?}, whole: {}", response.is_complete));
     }
     None
@@ -417,78 +422,78 @@
     let (stop, n_sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let callers: Vec<_> = (0..N_CALLERS)
         .map(|it| {
-            let (doors, n_sent, stop) = (soak.doors.clone(), n_sent.clone(), stop.clone());
-            thread::spawn(move || call(&doors, it, &n_sent, &stop))
+            let (addresses, n_sent, stop) = (soak.addresses.clone(), n_sent.clone(), stop.clone());
+            thread::spawn(move || run_caller(&addresses, it, &n_sent, &stop))
         })
         .collect();
     let end = Instant::now() + time;
     while Instant::now() < end {
-        soak.disturb();
-        soak.speak();
-        thread::sleep(FAULT_GAP);
+        soak.inject_fault();
+        soak.inject_self_report();
+        thread::sleep(FAULT_INTERVAL);
     }
-    soak.heal();
-    (0..soak.entries.len()).for_each(|it| soak.start_anew(it));
-    let healed = Instant::now();
+    soak.clear_faults();
+    (0..soak.entries.len()).for_each(|it| soak.restart_upstream(it));
+    let cleared_at = Instant::now();
     let mut outcomes = Vec::new();
-    let doors = soak.doors.lock().unwrap().clone();
-    for (n, door) in doors.into_iter().enumerate() {
+    let addresses = soak.addresses.lock().unwrap().clone();
+    for (n, address) in addresses.into_iter().enumerate() {
         for route in ["order", "draft"] {
             wait_until("every host serves again", || {
                 let id = format!("end-{n}-{}", n_sent.fetch_add(1, Ordering::Relaxed));
-                let response = fleet::send_request(door, request(route, &id).as_bytes());
+                let response = fleet::send_request(address, request(route, &id).as_bytes());
                 let is_served =
                     response.as_ref().is_some_and(|it| it.status == 200 && it.is_complete);
-                outcomes.push(Outcome { id, route, door, response });
+                outcomes.push(Outcome { id, route, host: address, response });
                 is_served
             });
         }
     }
-    let recovered = healed.elapsed();
+    let recovered = cleared_at.elapsed();
     stop.store(true, Ordering::Relaxed);
     outcomes.extend(callers.into_iter().flat_map(|it| it.join().unwrap()));
-    let mut broken = judge(&soak.fleet, &outcomes);
-    let came_to = outcomes.iter().map(|it| (it.id.as_str(), it.door)).collect();
-    broken.extend(self_reports::judge(&soak.upstreams(), &came_to, &soak.events));
-    if RECOVERY < recovered {
-        broken.push(format!("it took {recovered:?} until all hosts served again"));
+    let mut violations = find_violations(&soak.fleet, &outcomes);
+    let targets = outcomes.iter().map(|it| (it.id.as_str(), it.host)).collect();
+    violations.extend(self_reports::find_violations(&soak.upstreams(), &targets, &soak.timeline));
+    if MAX_RECOVERY < recovered {
+        violations.push(format!("it took {recovered:?} until all hosts served again"));
     }
     let is_served = |it: &&Outcome| it.response.as_ref().is_some_and(|it| it.status == 200);
     let n_served = outcomes.iter().filter(is_served).count();
     if n_served * 4 < outcomes.len() {
-        broken.push(format!("only {n_served} of {} were served", outcomes.len()));
+        violations.push(format!("only {n_served} of {} were served", outcomes.len()));
     }
-    if !broken.is_empty() {
-        keep(seed, &soak, &broken);
+    if !violations.is_empty() {
+        save_artifacts(seed, &soak, &violations);
     }
-    broken
+    violations
 }
 
 /// Keeps what is needed to trace a failure.
-fn keep(seed: u64, soak: &Soak, broken: &[String]) {
+fn save_artifacts(seed: u64, soak: &Soak, violations: &[String]) {
     let dir = env::temp_dir().join(format!("portfield-soak-{seed}"));
     let _ = fs::create_dir_all(&dir);
-    let text = format!("{}\n\n{}\n", broken.join("\n"), soak.log.join("\n"));
+    let text = format!("{}\n\n{}\n", violations.join("\n"), soak.actions.join("\n"));
     let _ = fs::write(dir.join("faults.txt"), text);
-    let last = soak.hosts.iter().map(Host::log_lines);
-    for (n, lines) in soak.past.iter().cloned().chain(last).enumerate() {
+    let current_logs = soak.hosts.iter().map(Host::log_lines);
+    for (n, lines) in soak.past_logs.iter().cloned().chain(current_logs).enumerate() {
         let lines: Vec<String> = lines.iter().map(ToString::to_string).collect();
         let _ = fs::write(dir.join(format!("host-{n}.jsonl")), lines.join("\n"));
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
 
 #[test]
 fn guarantees_hold_under_random_faults() {
-    let seeds: Vec<u64> = match number("SOAK_SEED") {
-        Some(first) => (first..first + number("SOAK_COUNT").unwrap_or(1)).collect(),
+    let seeds: Vec<u64> = match env_number("SOAK_SEED") {
+        Some(first) => (first..first + env_number("SOAK_COUNT").unwrap_or(1)).collect(),
         None => SEEDS.to_vec(),
     };
-    let time = number("SOAK_SECONDS").map_or(CI_TIME, Duration::from_secs);
-    let broken: Vec<(u64, Vec<String>)> =
+    let time = env_number("SOAK_SECONDS").map_or(CI_DURATION, Duration::from_secs);
+    let violations: Vec<(u64, Vec<String>)> =
         seeds.into_iter().map(|it| (it, soak(it, time))).filter(|it| !it.1.is_empty()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
