--- a/crates/portfield-host/tests/cost.rs
+++ b/crates/portfield-host/tests/cost.rs
@@ -18,16 +18,16 @@
 /// Callers, each with a connection of its own that it keeps.
 const N_CALLERS: usize = 48;
 /// Time for which they send.
-const TIME: Duration = Duration::from_secs(8);
+const DURATION: Duration = Duration::from_secs(8);
 /// Time of the kernel's processor clock tick.
-const TICK: Duration = Duration::from_millis(10);
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
 /// Returns the processor time that a process has used.
-fn used(host: &Host) -> Duration {
+fn cpu_time(host: &Host) -> Duration {
     let text = fs::read_to_string(format!("/proc/{}/stat", host.pid())).unwrap();
     let fields: Vec<&str> = text.rsplit_once(") ").unwrap().1.split(' ').collect();
     // Fields 14 and 15 of proc(5): user and system time, in ticks.
-    TICK * (fields[11].parse::<u32>().unwrap() + fields[12].parse::<u32>().unwrap())
+    CLOCK_TICK * (fields[11].parse::<u32>().unwrap() + fields[12].parse::<u32>().unwrap())
 }
 
 #[test]
@@ -35,37 +35,42 @@
 fn cpu_time_per_request() {
     let mut fleet = Fleet::new(0, 140);
     let host = fleet.start_host();
-    let (before, start) = (used(&host), Instant::now());
-    let (mut n_whole, mut n_events) = (0, 0);
+    let (before, start) = (cpu_time(&host), Instant::now());
+    let (mut n_completed, mut n_events) = (0, 0);
     thread::scope(|scope| {
         let caller = |caller: usize| {
             let listen = host.listen;
             scope.spawn(move || {
-                let (mut n_whole, mut n_events) = (0, 0);
+                let (mut n_completed, mut n_events) = (0, 0);
                 let mut stream = TcpStream::connect(listen).unwrap();
                 for n in 0.. {
-                    if TIME < start.elapsed() {
+                    if DURATION < start.elapsed() {
                         break;
                     }
                     let text = request("draft", &format!("{caller:04x}{n:08x}"));
                     stream.write_all(text.as_bytes()).unwrap();
                     let response = read_response(&mut stream).unwrap();
-                    n_whole += usize::from(response.status == 200);
+                    n_completed += usize::from(response.status == 200);
                     n_events += response.event_ids().len();
                 }
-                (n_whole, n_events)
+                (n_completed, n_events)
             })
         };
         let callers: Vec<_> = (0..N_CALLERS).map(caller).collect();
         for it in callers {
-            let (whole, events) = it.join().unwrap();
-            n_whole += whole;
+            let (completed, events) = it.join().unwrap();
+            n_completed += completed;
             n_events += events;
         }
     });
-    let time = used(&host) - before;
-    let (n_each, each) = (n_events / n_whole.max(1), time / n_whole.max(1) as u32);
-    writeln!(io::stdout(), "{n_whole} requests of {n_each} events: {each:?} a request").unwrap();
+    let time = cpu_time(&host) - before;
+    let (events_per_request, per_request) =
+        (n_events / n_completed.max(1), time / n_completed.max(1) as u32);
+    writeln!(
+        io::stdout(),
+        "{n_completed} requests of {events_per_request} events: {per_request:?} a request"
+    )
+    .unwrap();
 }
 
 /// Bytes of the body of a request that is refused for load: that of a large prompt.
@@ -79,14 +84,14 @@
 fn cpu_time_per_rejection() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
-    let before = used(&host);
+    let before = cpu_time(&host);
     for n in 0..N_REFUSED {
         // A key of no workspace: refused as early as what a busy host does not admit.
         let text = request("draft", &format!("{n:08x}")).replace("key-a", "key-of-nobody");
         assert_eq!(host.send(&text).status, 401);
     }
-    let each = (used(&host) - before) / N_REFUSED;
-    writeln!(io::stdout(), "{N_REFUSED} refusals: {each:?} each").unwrap();
+    let per_request = (cpu_time(&host) - before) / N_REFUSED;
+    writeln!(io::stdout(), "{N_REFUSED} refusals: {per_request:?} each").unwrap();
 }
 
 #[test]
@@ -105,7 +110,7 @@
         })
         .collect();
     wait_until("both hang", || fleet.engines[0].n_executed() == 2);
-    let before = used(&host);
+    let before = cpu_time(&host);
     let body = "x".repeat(LARGE_BODY);
     let mut caller = connect(host.listen).unwrap();
     for n in 0..N_REFUSED {
@@ -117,8 +122,11 @@
         caller.write_all(text.as_bytes()).unwrap();
         assert_eq!(read_response(&mut caller).unwrap().status, 503);
     }
-    let each = (used(&host) - before) / N_REFUSED;
-    writeln!(io::stdout(), "{N_REFUSED} refusals for load, on one connection: {each:?} each")
-        .unwrap();
+    let per_request = (cpu_time(&host) - before) / N_REFUSED;
+    writeln!(
+        io::stdout(),
+        "{N_REFUSED} refusals for load, on one connection: {per_request:?} each"
+    )
+    .unwrap();
     drop(hanging);
 }
--- a/crates/portfield-host/tests/evacuation.rs
+++ b/crates/portfield-host/tests/evacuation.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 /// A fleet whose second plain upstream stands in another data centre.
-fn two_centres() -> Fleet {
+fn two_data_centres() -> Fleet {
     let fleet = Fleet::new(2, 0);
     fleet.store.put("servers", "plain-1", &entry_in(&fleet.plain_upstreams[1], "south"));
     fleet
@@ -25,7 +25,7 @@
 }
 
 /// Returns which upstreams serve so many requests; one that the host has no processor time for is sent again.
-fn served_by(host: &Host, n: usize) -> Vec<String> {
+fn serving_upstreams(host: &Host, n: usize) -> Vec<String> {
     let send = |n| {
         let mut text = String::new();
         wait_until("the host has time for it", || {
@@ -43,15 +43,15 @@
 /// Runs of 5,608 requests reached a data centre that was to get nothing, on one day of the users.
 #[test]
 fn evacuated_data_centre_gets_no_requests_until_the_order_is_lifted() {
-    let mut fleet = two_centres();
+    let mut fleet = two_data_centres();
     let host = fleet.start_host();
-    assert_eq!(served_by(&host, 4), ["from plain-0"], "the near one");
+    assert_eq!(serving_upstreams(&host, 4), ["from plain-0"], "the near one");
     // The row is the order: what it holds does not matter.
     fleet.store.put("op", "evacuate/north", &json!("not { an object"));
-    let ordered = Instant::now();
+    let ordered_at = Instant::now();
     wait_until("it is in force", || !host.log_entries("data centre evacuated").is_empty());
-    assert!(ordered.elapsed() < Duration::from_secs(1), "{:?}", ordered.elapsed());
-    assert_eq!(served_by(&host, 8), ["from plain-1"]);
+    assert!(ordered_at.elapsed() < Duration::from_secs(1), "{:?}", ordered_at.elapsed());
+    assert_eq!(serving_upstreams(&host, 8), ["from plain-1"]);
     // A later order for the other one stands beside it: nothing is left.
     fleet.store.put("op", "evacuate/south", &json!({}));
     wait_until("both are in force", || host.metric("portfield_evacuated") == 2.0);
@@ -60,12 +60,12 @@
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
     fleet.store.remove("op", "evacuate/north");
     wait_until("one is taken back", || host.metric("portfield_evacuated") == 1.0);
-    assert_eq!(served_by(&host, 8), ["from plain-0"]);
+    assert_eq!(serving_upstreams(&host, 8), ["from plain-0"]);
 }
 
 #[test]
 fn host_started_while_the_store_is_down_learns_evacuations_from_peers() {
-    let mut fleet = two_centres();
+    let mut fleet = two_data_centres();
     let first = fleet.start_host();
     let seeds = fleet.store.keys("portfield_hosts");
     // The second host follows nothing yet when the store goes silent for it: the first tells it.
@@ -75,14 +75,14 @@
     let second = fleet.spawn_host(&format!("seeds = {seeds:?}"));
     wait_until("the second knows", || second.metric("portfield_evacuated") == 1.0);
     wait_until("it is ready", || second.is_ready());
-    assert_eq!(served_by(&second, 6), ["from plain-1"]);
+    assert_eq!(serving_upstreams(&second, 6), ["from plain-1"]);
 }
 
 /// The store has lost the order, and the operator writes it again; later it comes back from a copy in which an order
 /// stands that was taken back.
 #[test]
 fn store_restore_changes_no_evacuation_order() {
-    let mut fleet = two_centres();
+    let mut fleet = two_data_centres();
     let host = fleet.start_host();
     let before = fleet.store.snapshot();
     fleet.store.put("op", "evacuate/north", &json!({}));
@@ -90,7 +90,7 @@
     fleet.store.restore(before);
     wait_until("the host has noticed", || host.metric("portfield_store_era") == 1.0);
     for _ in 0..10 {
-        assert_eq!(served_by(&host, 2), ["from plain-1"]);
+        assert_eq!(serving_upstreams(&host, 2), ["from plain-1"]);
         thread::sleep(Duration::from_millis(50));
     }
     fleet.store.put("op", "evacuate/north", &json!({}));
@@ -101,13 +101,13 @@
     fleet.store.restore(with_order);
     wait_until("the host has noticed", || host.metric("portfield_store_era") == 2.0);
     for _ in 0..10 {
-        assert_eq!(served_by(&host, 2), ["from plain-0"]);
+        assert_eq!(serving_upstreams(&host, 2), ["from plain-0"]);
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 /// A configuration in which the upstreams of the plain service are cold after their start.
-fn with_warming(version: u64) -> Value {
+fn config_with_warmup(version: u64) -> Value {
     let mut res = config(version);
     res["services"][0]["cold_start_s"] = json!(3.0);
     res["services"][0]["cold_per_s"] = json!(2.0);
@@ -117,7 +117,7 @@
 #[test]
 fn cold_upstream_gets_requests_at_its_warmup_rate() {
     let mut fleet = Fleet::new(2, 0);
-    fleet.store.put("op", "config", &with_warming(2));
+    fleet.store.put("op", "config", &config_with_warmup(2));
     let mut cold = fleet.plain_upstreams[0].entry("desk", "ready");
     cold["cold_remaining_ms"] = json!(3000);
     let mut hosts = Vec::new();
@@ -148,7 +148,7 @@
     fleet.store.put("servers", "plain-0", &warm);
     wait_until("it takes its part again", || {
         let before = fleet.plain_upstreams[0].n_executed();
-        served_by(&hosts[0], 40);
+        serving_upstreams(&hosts[0], 40);
         10 < fleet.plain_upstreams[0].n_executed() - before
     });
 }
@@ -161,23 +161,23 @@
     cold["cold_remaining_ms"] = json!(60_000);
     fleet.store.put("servers", "plain-0", &cold);
     let host = fleet.start_host();
-    assert_eq!(served_by(&host, 30), ["from plain-0"]);
+    assert_eq!(serving_upstreams(&host, 30), ["from plain-0"]);
 }
 
 /// With homes, a request is sent nowhere else, also where nothing is left at home.
 #[test]
 fn request_stays_in_the_regions_of_its_route_and_workspace() {
-    let mut fleet = two_centres();
-    let mut text = config(2);
-    text["routes"][1]["allowed_regions"] = json!(["coast"]);
-    fleet.store.put("op", "config", &text);
+    let mut fleet = two_data_centres();
+    let mut config_value = config(2);
+    config_value["routes"][1]["allowed_regions"] = json!(["coast"]);
+    fleet.store.put("op", "config", &config_value);
     let host = fleet.spawn_host("regions = { north = 'hills', south = 'coast' }");
     wait_until("it is ready", || host.is_ready());
     wait_until("it is in force", || host.metric("portfield_config_version") == 2.0);
-    assert_eq!(served_by(&host, 6), ["from plain-1"]);
-    text["version"] = json!(3);
-    text["tenants"][0]["allowed_regions"] = json!(["hills"]);
-    fleet.store.put("op", "config", &text);
+    assert_eq!(serving_upstreams(&host, 6), ["from plain-1"]);
+    config_value["version"] = json!(3);
+    config_value["tenants"][0]["allowed_regions"] = json!(["hills"]);
+    fleet.store.put("op", "config", &config_value);
     wait_until("it is in force", || host.metric("portfield_config_version") == 3.0);
     assert_eq!(
         host.send(&request("order", "r7")).status,
--- a/crates/portfield-host/tests/operations_docs.rs
+++ b/crates/portfield-host/tests/operations_docs.rs
@@ -4,28 +4,28 @@
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-fn page() -> String {
+fn operations_page() -> String {
     fs::read_to_string(Path::new(ROOT).join("docs/OPERATIONS.md")).unwrap()
 }
 
 /// Returns the sources of the host's process, without line breaks.
 fn sources() -> String {
-    let text = read_all(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
+    let text = read_dir_recursively(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
 /// Returns the text of all files of a folder and of those in it.
-fn read_all(dir: &Path) -> String {
+fn read_dir_recursively(dir: &Path) -> String {
     let paths = fs::read_dir(dir).unwrap().map(|it| it.unwrap().path());
     let read = |it: std::path::PathBuf| {
-        if it.is_dir() { read_all(&it) } else { fs::read_to_string(it).unwrap() }
+        if it.is_dir() { read_dir_recursively(&it) } else { fs::read_to_string(it).unwrap() }
     };
     paths.map(read).collect()
 }
 
 /// Returns what stands in backticks in the first column of a table that begins with `header`.
-fn first_column(header: &str) -> BTreeSet<String> {
-    let page = page();
+fn documented_names(header: &str) -> BTreeSet<String> {
+    let page = operations_page();
     let table = page.split_once(header).expect("the table").1;
     let rows = table.lines().skip(1).take_while(|it| it.starts_with('|'));
     let cells = rows.filter_map(|it| it.split('|').nth(1));
@@ -34,7 +34,7 @@
 }
 
 /// Returns the messages of the log lines that are written.
-fn events(sources: &str) -> BTreeSet<String> {
+fn logged_events(sources: &str) -> BTreeSet<String> {
     let macros = ["log::info!(", "log::warn!(", "log::error!("];
     let calls = macros.iter().flat_map(|it| sources.split(it).skip(1));
     // The message follows the values and a semicolon.
@@ -47,21 +47,21 @@
 
 #[test]
 fn log_events_match_the_documentation() {
-    let told = first_column("| event | what happened | values that decide |");
-    let written = events(&sources());
-    assert!(25 < written.len(), "{written:?}");
-    let lacking: Vec<_> = written.difference(&told).collect();
-    assert!(lacking.is_empty(), "not on the page: {lacking:?}");
-    let unknown: Vec<_> = told.difference(&written).collect();
+    let documented = documented_names("| event | what happened | values that decide |");
+    let logged = logged_events(&sources());
+    assert!(25 < logged.len(), "{logged:?}");
+    let undocumented: Vec<_> = logged.difference(&documented).collect();
+    assert!(undocumented.is_empty(), "not on the page: {undocumented:?}");
+    let unknown: Vec<_> = documented.difference(&logged).collect();
     assert!(unknown.is_empty(), "not in the code: {unknown:?}");
 }
 
 #[test]
 fn documented_metrics_exist() {
     let sources = sources();
-    let told = first_column("| metric | meaning |");
-    assert!(20 < told.len(), "{told:?}");
-    for it in told {
+    let documented = documented_names("| metric | meaning |");
+    assert!(20 < documented.len(), "{documented:?}");
+    for it in documented {
         let name = it.split('{').next().unwrap().trim_start_matches("portfield_");
         let short = name.trim_end_matches("_ms");
         let is_there = [name, short].iter().any(|it| {
@@ -73,7 +73,7 @@
 
 #[test]
 fn counters_are_documented() {
-    let page = page();
+    let page = operations_page();
     for it in sources().split(".count(").skip(1) {
         let name = it.trim_start_matches("&format!(").trim_start().strip_prefix('"');
         let Some(name) = name else { continue };
--- a/crates/portfield-host/tests/process_pause.rs
+++ b/crates/portfield-host/tests/process_pause.rs
@@ -16,27 +16,27 @@
 use std::io::Write;
 
 /// Time for which the host stands still; above that for which what it knows may be used.
-const STILL: Duration = Duration::from_millis(2500);
+const PAUSE: Duration = Duration::from_millis(2500);
 
 /// Sends a request whose answer is read later.
-fn send(host: &Host, text: &str) -> TcpStream {
+fn send_unanswered(host: &Host, text: &str) -> TcpStream {
     let mut stream = connect(host.listen).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
 
 /// Stops a host, lets something happen and requests come, and returns their answers after it goes on.
-fn stand_still(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
+fn pause_host(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
     host.signal("-STOP");
     meanwhile();
-    let mut streams: Vec<_> = requests.iter().map(|it| send(host, it)).collect();
-    thread::sleep(STILL);
+    let mut streams: Vec<_> = requests.iter().map(|it| send_unanswered(host, it)).collect();
+    thread::sleep(PAUSE);
     host.signal("-CONT");
     streams.iter_mut().map(|it| read_response(it).unwrap()).collect()
 }
 
 /// A configuration in which workspace b has lost its key.
-fn without_b(version: u64) -> serde_json::Value {
+fn config_without_key_b(version: u64) -> serde_json::Value {
     let mut res = config(version);
     res["tenants"].as_array_mut().unwrap().remove(1);
     res
@@ -51,7 +51,8 @@
     let n_executed = fleet.n_executed();
     let requests: Vec<String> = (1..6).map(text).collect();
     let store = fleet.store.clone();
-    let responses = stand_still(&host, &requests, || store.put("op", "config", &without_b(5)));
+    let responses =
+        pause_host(&host, &requests, || store.put("op", "config", &config_without_key_b(5)));
     for it in responses {
         assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
     }
@@ -67,10 +68,10 @@
     assert_eq!(host.send(&request("order", "r0")).status, 200);
     let n_executed = fleet.plain_upstreams[0].n_executed();
     let requests: Vec<String> = (1..6).map(|n| request("order", &format!("r{n}"))).collect();
-    let (store, new) = (fleet.store.clone(), fleet.plain_upstreams[1].entry("desk", "ready"));
-    let responses = stand_still(&host, &requests, || {
+    let (store, entry) = (fleet.store.clone(), fleet.plain_upstreams[1].entry("desk", "ready"));
+    let responses = pause_host(&host, &requests, || {
         store.remove("servers", "plain-0");
-        store.put("servers", "plain-1", &new);
+        store.put("servers", "plain-1", &entry);
     });
     assert_eq!(fleet.plain_upstreams[0].n_executed(), n_executed, "sent to one that has left");
     assert!(responses.iter().all(|it| [200, 503].contains(&it.status)));
@@ -84,14 +85,14 @@
     let host = fleet.start_host();
     let store = fleet.store.clone();
     let requests = [request("order", "r1")];
-    let responses = stand_still(&host, &requests, || store.set_fault(StoreFault::Hang));
+    let responses = pause_host(&host, &requests, || store.set_fault(StoreFault::Hang));
     assert_eq!(responses[0].status, 503);
-    let away: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
-    assert!(away < 1.0, "told to come back after {away} s");
+    let retry_after: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after < 1.0, "told to come back after {retry_after} s");
     assert!(!host.is_ready());
-    let woke = Instant::now();
+    let resumed_at = Instant::now();
     wait_until("it is ready", || host.is_ready());
-    assert!(woke.elapsed() < Duration::from_secs(4));
+    assert!(resumed_at.elapsed() < Duration::from_secs(4));
     assert_eq!(host.send(&request("order", "r2")).status, 200);
     assert_eq!(host.log_entries("host stood still").len(), 1);
 }
--- a/crates/portfield-host/tests/quarantine.rs
+++ b/crates/portfield-host/tests/quarantine.rs
@@ -32,96 +32,96 @@
 use serde_json::Value;
 
 /// What the body of a lethal request holds.
-const LETHAL: &str = "!!!!";
+const POISON_BODY: &str = "!!!!";
 /// Ends by which a request is known to be lethal.
-const ENDS: usize = 3;
+const CRASH_THRESHOLD: usize = 3;
 /// Runs more that may be on their way by then, at other hosts.
-const ON_THEIR_WAY: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 /// Callers of other requests, each with one at a time.
-const CALLERS: usize = 6;
+const N_CALLERS: usize = 6;
 /// Time after which an engine that ended is back.
-const BACK: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// Time that an engine takes for an event.
-const PACE: Duration = Duration::from_millis(10);
+const ENGINE_LATENCY: Duration = Duration::from_millis(10);
 /// Time between two attempts of the lethal request's caller.
-const PAUSE: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// A request whose run ends its engine.
-fn lethal(route: &str, id: &str) -> String {
-    request(route, id).replace("\r\n\r\nbody", &format!("\r\n\r\n{LETHAL}"))
+fn poison_request(route: &str, id: &str) -> String {
+    request(route, id).replace("\r\n\r\nbody", &format!("\r\n\r\n{POISON_BODY}"))
 }
 
 /// Engines that end on lethal requests, and come back as new ones.
 struct Engines {
     all: Arc<Mutex<Vec<FakeUpstream>>>,
-    is_over: Arc<AtomicBool>,
-    keeper: Option<JoinHandle<()>>,
+    is_stopped: Arc<AtomicBool>,
+    restarter: Option<JoinHandle<()>>,
 }
 
 impl Engines {
     fn new(fleet: &Fleet) -> Self {
         for it in &fleet.engines {
-            it.set_fault(UpstreamFault::CrashOn(LETHAL));
+            it.set_fault(UpstreamFault::CrashOn(POISON_BODY));
         }
         let all = Arc::new(Mutex::new(fleet.engines.clone()));
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let (rt, store) = (fleet.rt.clone(), fleet.store.clone());
-        let (list, over) = (all.clone(), is_over.clone());
-        let keeper = thread::spawn(move || {
-            let mut n_back = 0;
-            while !over.load(Ordering::Relaxed) {
+        let (list, stopped) = (all.clone(), is_stopped.clone());
+        let restarter = thread::spawn(move || {
+            let mut n_restarted = 0;
+            while !stopped.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(10));
-                n_back += bring_back(&rt, &store, &list, n_back);
+                n_restarted += restart_crashed(&rt, &store, &list, n_restarted);
             }
         });
-        Self { all, is_over, keeper: Some(keeper) }
+        Self { all, is_stopped, restarter: Some(restarter) }
     }
 
-    fn n_ended(&self) -> usize {
+    fn n_crashed(&self) -> usize {
         self.all.lock().unwrap().iter().filter(|it| it.has_crashed()).count()
     }
 
     /// Returns how many lethal requests ran.
-    fn n_lethal(&self) -> usize {
+    fn n_poison_runs(&self) -> usize {
         let all = self.all.lock().unwrap();
         let seen = all.iter().flat_map(FakeUpstream::requests);
-        seen.filter(|it| it.is_executed && it.body == LETHAL.as_bytes()).count()
+        seen.filter(|it| it.is_executed && it.body == POISON_BODY.as_bytes()).count()
     }
 
     /// Returns how many other requests were cut by them.
-    fn n_bystanders(&self) -> u32 {
+    fn n_interrupted(&self) -> u32 {
         self.all.lock().unwrap().iter().map(FakeUpstream::n_interrupted).sum()
     }
 }
 
 impl Drop for Engines {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
-        let _ = self.keeper.take().map(JoinHandle::join);
+        self.is_stopped.store(true, Ordering::Relaxed);
+        let _ = self.restarter.take().map(JoinHandle::join);
     }
 }
 
 /// Starts a new engine for each that has ended since the last look; returns how many.
-fn bring_back(
+fn restart_crashed(
     rt: &Runtime,
     store: &FakeStore,
     all: &Mutex<Vec<FakeUpstream>>,
-    n_back: usize,
+    n_restarted: usize,
 ) -> usize {
-    let mut ended: Vec<FakeUpstream> = all.lock().unwrap().clone();
-    ended.retain(FakeUpstream::has_crashed);
-    let n_new = ended.len().saturating_sub(n_back);
+    let mut crashed: Vec<FakeUpstream> = all.lock().unwrap().clone();
+    crashed.retain(FakeUpstream::has_crashed);
+    let n_new = crashed.len().saturating_sub(n_restarted);
     if n_new == 0 {
         return 0;
     }
-    thread::sleep(BACK);
-    for it in &ended {
+    thread::sleep(RESTART_DELAY);
+    for it in &crashed {
         store.remove("servers", &it.id);
     }
     for n in 0..n_new {
-        let id = format!("engine-again-{}", n_back + n);
-        let it = future::block_on(FakeUpstream::start(rt, &id, PACE)).unwrap();
-        it.set_fault(UpstreamFault::CrashOn(LETHAL));
+        let id = format!("engine-again-{}", n_restarted + n);
+        let it = future::block_on(FakeUpstream::start(rt, &id, ENGINE_LATENCY)).unwrap();
+        it.set_fault(UpstreamFault::CrashOn(POISON_BODY));
         store.put("servers", &id, &it.entry("model", "ready"));
         all.lock().unwrap().push(it);
     }
@@ -129,35 +129,38 @@
 }
 
 /// Sends the lethal request again and again, each time to the next host, for a while.
-fn insist(hosts: &[Host], route: &str, n: usize) -> Vec<Response> {
+fn resend_poison(hosts: &[Host], route: &str, n: usize) -> Vec<Response> {
     let send = |n: usize| {
-        thread::sleep(PAUSE);
-        hosts[n % hosts.len()].send(&lethal(route, &format!("lethal-{n}")))
+        thread::sleep(RETRY_DELAY);
+        hosts[n % hosts.len()].send(&poison_request(route, &format!("lethal-{n}")))
     };
     (0..n).map(send).collect()
 }
 
 /// Starts hosts that hear each other.
-fn hosts(fleet: &mut Fleet, n: usize) -> Vec<Host> {
+fn start_hosts(fleet: &mut Fleet, n: usize) -> Vec<Host> {
     let res: Vec<Host> = (0..n).map(|_| fleet.start_host()).collect();
-    let hear = |it: &Host| it.metric("portfield_hosts") as usize == n;
-    wait_until("all hosts hear each other", || res.iter().all(hear));
+    let has_all_peers = |it: &Host| it.metric("portfield_hosts") as usize == n;
+    wait_until("all hosts hear each other", || res.iter().all(has_all_peers));
     res
 }
 
 #[test]
 fn crashing_request_is_refused_by_all_hosts_after_three_crashes() {
     let mut fleet = Fleet::new(0, 6);
-    let hosts = hosts(&mut fleet, 3);
+    let hosts = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
-    let responses = insist(&hosts, "draft", 24);
-    let (n_lethal, n_ended) = (engines.n_lethal(), engines.n_ended());
-    assert!(n_lethal <= ENDS + ON_THEIR_WAY, "it ran {n_lethal} times, {n_ended} engines ended");
+    let responses = resend_poison(&hosts, "draft", 24);
+    let (n_poison_runs, n_crashed) = (engines.n_poison_runs(), engines.n_crashed());
+    assert!(
+        n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT,
+        "it ran {n_poison_runs} times, {n_crashed} engines ended"
+    );
     let last = responses.last().unwrap();
     assert_eq!(last.status, 503);
     assert!(last.text().contains("ended"), "{}", last.text());
-    let away: f64 = last.header("retry-after").unwrap().parse().unwrap();
-    assert!(30.0 <= away, "told to come back after {away} s");
+    let retry_after: f64 = last.header("retry-after").unwrap().parse().unwrap();
+    assert!(30.0 <= retry_after, "told to come back after {retry_after} s");
     for (n, host) in hosts.iter().enumerate() {
         let response = host.send(&request("draft", &format!("innocent-{n}")));
         assert_eq!((response.status, response.is_complete), (200, true), "others are served");
@@ -167,24 +170,24 @@
 #[test]
 fn crashing_request_is_not_retried_after_three_crashes() {
     let mut fleet = Fleet::new(0, 6);
-    let hosts = hosts(&mut fleet, 3);
+    let hosts = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
-    insist(&hosts, "digest", 12);
-    let n_lethal = engines.n_lethal();
-    assert!(n_lethal <= ENDS + ON_THEIR_WAY, "it ran {n_lethal} times");
+    resend_poison(&hosts, "digest", 12);
+    let n_poison_runs = engines.n_poison_runs();
+    assert!(n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT, "it ran {n_poison_runs} times");
 }
 
 #[test]
 fn quarantine_survives_a_kill_of_all_hosts() {
     let mut fleet = Fleet::new(0, 6);
-    let first = hosts(&mut fleet, 3);
+    let first = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
-    insist(&first, "draft", 12);
+    resend_poison(&first, "draft", 12);
     drop(first);
-    let hosts = hosts(&mut fleet, 3);
-    let before = engines.n_lethal();
-    let responses = insist(&hosts, "draft", 9);
-    assert_eq!(engines.n_lethal(), before, "it ran again");
+    let hosts = start_hosts(&mut fleet, 3);
+    let before = engines.n_poison_runs();
+    let responses = resend_poison(&hosts, "draft", 9);
+    assert_eq!(engines.n_poison_runs(), before, "it ran again");
     assert!(responses.iter().all(|it| it.status == 503));
 }
 
@@ -192,11 +195,11 @@
 #[test]
 fn crashing_request_interrupts_few_other_requests() {
     let mut fleet = Fleet::new(0, 6);
-    let hosts = hosts(&mut fleet, 3);
+    let hosts = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
     let end = Instant::now() + Duration::from_secs(4);
     let served = thread::scope(|scope| {
-        let innocent = |n: usize| {
+        let send_others = |n: usize| {
             let host = &hosts[n % hosts.len()];
             let mut served = (0, 0);
             while Instant::now() < end {
@@ -206,15 +209,18 @@
             }
             served
         };
-        let callers: Vec<_> = (0..CALLERS).map(|n| scope.spawn(move || innocent(n))).collect();
-        insist(&hosts, "draft", 24);
+        let callers: Vec<_> = (0..N_CALLERS).map(|n| scope.spawn(move || send_others(n))).collect();
+        resend_poison(&hosts, "draft", 24);
         callers.into_iter().map(|it| it.join().unwrap()).collect::<Vec<_>>()
     });
     let (n_served, n_sent) = served.iter().fold((0, 0), |sum, it| (sum.0 + it.0, sum.1 + it.1));
-    let (n_cut, n_ended) = (engines.n_bystanders() as usize, engines.n_ended());
-    let most = CALLERS * (ENDS + ON_THEIR_WAY);
-    assert!(n_cut <= most, "{n_cut} others were cut, {n_ended} engines ended");
-    assert!(n_sent - n_served <= most, "{n_served} of {n_sent} others were served");
+    let (n_interrupted, n_crashed) = (engines.n_interrupted() as usize, engines.n_crashed());
+    let max_interrupted = N_CALLERS * (CRASH_THRESHOLD + MAX_IN_FLIGHT);
+    assert!(
+        n_interrupted <= max_interrupted,
+        "{n_interrupted} others were cut, {n_crashed} engines ended"
+    );
+    assert!(n_sent - n_served <= max_interrupted, "{n_served} of {n_sent} others were served");
 }
 
 /// Many callers send it at once, hosts are killed and start anew, the store is down: after the third end and the time
@@ -222,7 +228,7 @@
 #[test]
 fn quarantine_holds_while_hosts_are_killed_and_the_store_is_down() {
     let mut fleet = Fleet::new(0, 8);
-    let mut hosts = hosts(&mut fleet, 4);
+    let mut hosts = start_hosts(&mut fleet, 4);
     let engines = Engines::new(&fleet);
     fleet.store.set_fault(StoreFault::Unavailable);
     thread::scope(|scope| {
@@ -230,53 +236,53 @@
             let hosts = &hosts;
             scope.spawn(move || {
                 for m in 0..12 {
-                    thread::sleep(PAUSE / 4);
-                    hosts[(n + m) % 4].send(&lethal("draft", &format!("lethal-{n}-{m}")));
+                    thread::sleep(RETRY_DELAY / 4);
+                    hosts[(n + m) % 4].send(&poison_request("draft", &format!("lethal-{n}-{m}")));
                 }
             });
         }
     });
-    let known = |it: &Host| 1.0 <= it.metric("portfield_quarantine_refused");
-    wait_until("all hosts know of it", || hosts.iter().all(known));
-    let n_lethal = engines.n_lethal();
+    let has_quarantined = |it: &Host| 1.0 <= it.metric("portfield_quarantine_refused");
+    wait_until("all hosts know of it", || hosts.iter().all(has_quarantined));
+    let n_poison_runs = engines.n_poison_runs();
     // Three at a time, each on its way before the first three have ended.
-    assert!(n_lethal <= ENDS * 3, "it ran {n_lethal} times");
+    assert!(n_poison_runs <= CRASH_THRESHOLD * 3, "it ran {n_poison_runs} times");
     fleet.store.set_fault(StoreFault::None);
     for n in 0..4 {
         // Of four hosts three are there at any time, and tell the new one.
         drop(hosts.remove(0));
         hosts.push(fleet.start_host());
-        insist(&hosts, "draft", 4);
-        assert_eq!(engines.n_lethal(), n_lethal, "after {n} hosts were killed");
+        resend_poison(&hosts, "draft", 4);
+        assert_eq!(engines.n_poison_runs(), n_poison_runs, "after {n} hosts were killed");
     }
 }
 
 #[test]
 fn operator_can_lift_a_quarantine() {
     let mut fleet = Fleet::new(0, 6);
-    let hosts = hosts(&mut fleet, 2);
+    let hosts = start_hosts(&mut fleet, 2);
     let engines = Engines::new(&fleet);
-    insist(&hosts, "draft", 8);
-    wait_until("both refuse it", || hosts.iter().all(|it| !refused(it).is_empty()));
-    let before = engines.n_lethal();
-    let page = refused(&hosts[0]);
+    resend_poison(&hosts, "draft", 8);
+    wait_until("both refuse it", || hosts.iter().all(|it| !quarantined_requests(it).is_empty()));
+    let before = engines.n_poison_runs();
+    let page = quarantined_requests(&hosts[0]);
     assert_eq!((page[0]["workspace"].as_str(), page[0]["n_ends"].as_u64()), (Some("a"), Some(3)));
     let path = format!("/quarantine/{}", page[0]["fingerprint"].as_str().unwrap());
-    assert_eq!(operate(&hosts[0], "DELETE", "/quarantine/soon").status, 400);
-    assert_eq!(operate(&hosts[0], "DELETE", "/quarantine/12").status, 404);
-    assert_eq!(operate(&hosts[0], "DELETE", &path).status, 200);
-    wait_until("the other host hears of it", || refused(&hosts[1]).is_empty());
-    hosts[1].send(&lethal("draft", "again"));
-    assert_eq!(engines.n_lethal(), before + 1);
+    assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/soon").status, 400);
+    assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/12").status, 404);
+    assert_eq!(admin_request(&hosts[0], "DELETE", &path).status, 200);
+    wait_until("the other host hears of it", || quarantined_requests(&hosts[1]).is_empty());
+    hosts[1].send(&poison_request("draft", "again"));
+    assert_eq!(engines.n_poison_runs(), before + 1);
 }
 
 /// Returns what a host's page of refused requests shows.
-fn refused(host: &Host) -> Vec<Value> {
-    serde_json::from_str(&operate(host, "GET", "/quarantine").text()).unwrap()
+fn quarantined_requests(host: &Host) -> Vec<Value> {
+    serde_json::from_str(&admin_request(host, "GET", "/quarantine").text()).unwrap()
 }
 
 /// Sends a request to a host's metrics address.
-fn operate(host: &Host, method: &str, path: &str) -> Response {
+fn admin_request(host: &Host, method: &str, path: &str) -> Response {
     let text = format!("{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     send_request(host.metrics, text.as_bytes()).unwrap()
 }
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -23,15 +23,15 @@
     assert_eq!((response.status, response.text().as_str()), (200, "from plain-0"));
     assert_eq!(response.header("replica-signature"), Some("plain-0"));
     assert_eq!(response.header("attempt-id"), Some("r1"));
-    let seen = &fleet.plain_upstreams[0].requests()[0];
-    assert_eq!(seen.request_line, "POST /order/one?q=1 HTTP/1.1");
-    assert_eq!(seen.body, b"body");
-    assert_eq!(seen.header("host"), Some("x.example"));
-    assert_eq!(seen.header("tenant"), Some("a"));
-    assert_eq!(seen.header("expect-replica"), Some("plain-0"));
-    assert_eq!(seen.header("authorization"), None);
-    let left: u64 = seen.header("deadline-ms").unwrap().parse().unwrap();
-    assert!((1..=1200).contains(&left), "{left}");
+    let received = &fleet.plain_upstreams[0].requests()[0];
+    assert_eq!(received.request_line, "POST /order/one?q=1 HTTP/1.1");
+    assert_eq!(received.body, b"body");
+    assert_eq!(received.header("host"), Some("x.example"));
+    assert_eq!(received.header("tenant"), Some("a"));
+    assert_eq!(received.header("expect-replica"), Some("plain-0"));
+    assert_eq!(received.header("authorization"), None);
+    let remaining_ms: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
+    assert!((1..=1200).contains(&remaining_ms), "{remaining_ms}");
 }
 
 /// A caller's own lease or copy of memory made engines turn the request away.
@@ -43,8 +43,11 @@
         let forged = format!("{name}: 10.0.0.1:80/f\r\ndeadline-ms:");
         let text = request("digest", &format!("r{n}")).replace("deadline-ms:", &forged);
         assert_eq!(host.send(&text).status, 200, "{name}");
-        let seen = fleet.engines[0].requests();
-        assert!(seen[n].header(name.as_str()).is_none_or(|it| !it.contains("10.0.0.1")), "{name}");
+        let received = fleet.engines[0].requests();
+        assert!(
+            received[n].header(name.as_str()).is_none_or(|it| !it.contains("10.0.0.1")),
+            "{name}"
+        );
     }
 }
 
@@ -65,12 +68,13 @@
         assert!(response.text().contains(text), "{}", response.text());
         assert_eq!(response.header("replica-signature"), None);
     }
-    let long = good.replace("content-length: 4", "content-length: 2000");
-    let response = host.send(&long.replace("body", &"b".repeat(2000)));
+    let oversized = good.replace("content-length: 4", "content-length: 2000");
+    let response = host.send(&oversized.replace("body", &"b".repeat(2000)));
     assert_eq!(response.status, 413);
     assert_eq!(fleet.n_executed(), 0);
-    let open = good.replace("/check/", "/public/").replace("authorization: Token key-a\r\n", "");
-    assert_eq!(host.send(&open).status, 200);
+    let unauthenticated =
+        good.replace("/check/", "/public/").replace("authorization: Token key-a\r\n", "");
+    assert_eq!(host.send(&unauthenticated).status, 200);
     assert_eq!(fleet.plain_upstreams[0].requests()[0].header("tenant"), None);
 }
 
@@ -204,20 +208,20 @@
         let mut fleet = Fleet::new(0, 2);
         let host = fleet.start_host();
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
-        let addresses: Vec<_> = fleet.engines.clone();
-        let watch = thread::spawn(move || {
+        let engines: Vec<_> = fleet.engines.clone();
+        let recovery = thread::spawn(move || {
             // The second engine asked is well.
-            wait_until("a stream begins", || addresses.iter().any(|it| it.n_executed() == 1));
-            for it in addresses.iter().filter(|it| it.n_executed() == 0) {
+            wait_until("a stream begins", || engines.iter().any(|it| it.n_executed() == 1));
+            for it in engines.iter().filter(|it| it.n_executed() == 0) {
                 it.set_fault(UpstreamFault::None);
             }
         });
         let response = host.send(&request("digest", "r1"));
-        watch.join().unwrap();
+        recovery.join().unwrap();
         assert!(response.is_complete, "{fault:?}");
         assert_eq!(response.event_ids(), (1..=8).collect::<Vec<_>>(), "{fault:?}");
-        let again = fleet.engines.iter().flat_map(|it| it.requests());
-        let last = again.filter_map(|it| it.header("last-event-id").map(str::to_owned));
+        let requests = fleet.engines.iter().flat_map(|it| it.requests());
+        let last = requests.filter_map(|it| it.header("last-event-id").map(str::to_owned));
         assert_eq!(last.collect::<Vec<_>>(), ["3"], "{fault:?}");
     }
 }
@@ -239,13 +243,13 @@
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
-    let long = request("draft", "r1").replace("30,24", "30,2400");
-    stream.write_all(long.as_bytes()).unwrap();
+    let long_stream = request("draft", "r1").replace("30,24", "30,2400");
+    stream.write_all(long_stream.as_bytes()).unwrap();
     wait_until("the stream begins", || fleet.n_executed() == 1);
     drop(stream);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     wait_until("the engine is left", || fleet.engines[0].n_abandoned() == 1);
-    assert!(left.elapsed() < Duration::from_millis(500));
+    assert!(disconnected_at.elapsed() < Duration::from_millis(500));
     wait_until("it is logged", || !host.log_entries("not finished").is_empty());
 }
 
@@ -255,8 +259,8 @@
     let host = fleet.start_host();
     fleet.plain_upstreams[0].set_fault(UpstreamFault::Hang);
     let sent = Instant::now();
-    let patient = request("order", "r1").replace("deadline-ms: 1200", "deadline-ms: 9000");
-    assert_eq!(host.send(&patient).status, 504);
+    let long_deadline = request("order", "r1").replace("deadline-ms: 1200", "deadline-ms: 9000");
+    assert_eq!(host.send(&long_deadline).status, 504);
     let time = sent.elapsed();
     assert!(Duration::from_millis(1400) < time && time < Duration::from_millis(2000), "{time:?}");
 }
@@ -354,8 +358,8 @@
     let mut stays = send("stays");
     host.signal("-CONT");
     assert_eq!(read_response(&mut stays).unwrap().status, 200);
-    let seen = fleet.plain_upstreams[0].requests();
-    let ids: Vec<_> = seen.iter().filter_map(|it| it.header("attempt-id")).collect();
+    let received = fleet.plain_upstreams[0].requests();
+    let ids: Vec<_> = received.iter().filter_map(|it| it.header("attempt-id")).collect();
     assert!(ids.contains(&"stays") && !ids.contains(&"left"), "{ids:?}");
 }
 
@@ -365,22 +369,22 @@
 fn host_without_descriptors_is_not_ready() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
-    let limit = |n: u32| {
+    let set_descriptor_limit = |n: u32| {
         let (pid, n) = (format!("--pid={}", host.pid()), format!("--nofile={n}:4096"));
         assert!(Command::new("prlimit").args([&pid, &n]).status().unwrap().success());
     };
     // The answer to a question for readiness needs a descriptor too: its connection is there before.
-    let mut question = connect(host.ready).unwrap();
-    let mut ask = || {
-        question.write_all(b"GET /api/readyz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-        read_response(&mut question).unwrap().status
+    let mut readiness_connection = connect(host.ready).unwrap();
+    let mut readiness_status = || {
+        readiness_connection.write_all(b"GET /api/readyz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+        read_response(&mut readiness_connection).unwrap().status
     };
-    assert_eq!(ask(), 200);
-    limit(8);
+    assert_eq!(readiness_status(), 200);
+    set_descriptor_limit(8);
     let waiting: Vec<_> = (0..3).map(|_| connect(host.listen).unwrap()).collect();
-    wait_until("it is not ready", || ask() == 503);
-    limit(4096);
-    wait_until("it is ready again", || ask() == 200);
+    wait_until("it is not ready", || readiness_status() == 503);
+    set_descriptor_limit(4096);
+    wait_until("it is ready again", || readiness_status() == 200);
     drop(waiting);
     assert_eq!(host.send(&request("check", "r1")).status, 200);
 }
@@ -392,13 +396,13 @@
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.spawn_host("active_limit = 1");
     wait_until("the host is ready", || host.is_ready());
-    let begun = |id: &str| {
+    let start_stream = |id: &str| {
         let mut caller = connect(host.listen).unwrap();
         caller.write_all(request("draft", id).as_bytes()).unwrap();
         caller
     };
     // Streams that take a while: the third finds two more than may run at once.
-    let mut callers: Vec<_> = (0..6).map(|it| begun(&format!("s{it}"))).collect();
+    let mut callers: Vec<_> = (0..6).map(|it| start_stream(&format!("s{it}"))).collect();
     let statuses: Vec<_> = callers.iter_mut().map(|it| read_response(it).unwrap().status).collect();
     let n_refused = statuses.iter().filter(|it| **it == 503).count();
     assert!(0 < n_refused, "{statuses:?}");
--- a/crates/portfield-host/tests/shutdown.rs
+++ b/crates/portfield-host/tests/shutdown.rs
@@ -21,15 +21,15 @@
     wait_until("the stream begins", || fleet.n_executed() == 1);
     host.signal("-TERM");
     wait_until("the host is not ready", || !host.is_ready());
-    let late = host.send(&request("order", "r2"));
-    assert_eq!(late.status, 200);
-    assert_eq!(late.header("connection"), Some("close"));
+    let late_response = host.send(&request("order", "r2"));
+    assert_eq!(late_response.status, 200);
+    assert_eq!(late_response.header("connection"), Some("close"));
     let response = read_response(&mut stream).unwrap();
     assert!(response.is_complete);
     assert_eq!(response.event_ids().len(), 120);
-    let told = Instant::now();
+    let completed_at = Instant::now();
     assert_eq!(host.wait_for_exit(), Some(0));
-    assert!(told.elapsed() < Duration::from_secs(3));
+    assert!(completed_at.elapsed() < Duration::from_secs(3));
     assert_eq!(host.log_entries("stopped")[0]["cut"], 0);
 }
 
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -23,10 +23,10 @@
 use tonic::{Request, Response, Status};
 
 /// A version above any that the stand-in of the store gives in a test.
-const NEWER: u64 = 1_000_000;
+const NEWER_VERSION: u64 = 1_000_000;
 
 /// A configuration in which the route for checks is gone.
-fn without_checks(version: u64) -> serde_json::Value {
+fn config_without_check_route(version: u64) -> serde_json::Value {
     let mut res = config(version);
     res["routes"].as_array_mut().unwrap().remove(0);
     res
@@ -37,7 +37,7 @@
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     assert_eq!(host.send(&request("check", "r1")).status, 200);
-    fleet.store.put("op", "config", &without_checks(7));
+    fleet.store.put("op", "config", &config_without_check_route(7));
     wait_until("the route is gone", || host.send(&request("check", "r2")).status == 404);
     fleet.store.put("op", "config", &config(3));
     let after = host.metric("portfield_list_version");
@@ -65,7 +65,7 @@
         assert_eq!(host.send(&request("order", "r1")).status, 200, "{fault:?}");
         assert!(host.is_ready(), "{fault:?}");
         fleet.store.set_fault(StoreFault::None);
-        fleet.store.put("op", "config", &without_checks(2));
+        fleet.store.put("op", "config", &config_without_check_route(2));
         wait_until("the change is in force", || host.send(&request("check", "r2")).status == 404);
     }
 }
@@ -106,11 +106,11 @@
 fn host_started_while_the_store_is_down_gets_state_from_peers() {
     let mut fleet = Fleet::new(1, 0);
     let first = fleet.start_host();
-    let known = fleet.store.keys("portfield_hosts");
+    let seeds = fleet.store.keys("portfield_hosts");
     wait_until("the first host has written its address", || {
         !fleet.store.keys("portfield_hosts").is_empty()
     });
-    drop(known);
+    drop(seeds);
     let seed = fleet.store.keys("portfield_hosts")[0].clone();
     fleet.store.set_fault(StoreFault::Unavailable);
     let second = fleet.spawn_host(&format!("seeds = ['{seed}']"));
@@ -127,7 +127,7 @@
     wait_until("they hear each other", || 2.0 <= first.metric("portfield_hosts"));
     // The second host's own view of the store ends: its socket is all that it has.
     second.signal("-STOP");
-    fleet.store.put("op", "config", &without_checks(5));
+    fleet.store.put("op", "config", &config_without_check_route(5));
     wait_until("the first host knows", || first.metric("portfield_config_version") == 5.0);
     fleet.store.set_fault(StoreFault::Hang);
     second.signal("-CONT");
@@ -172,16 +172,17 @@
         &self,
         request: Request<KnowledgeRequest>,
     ) -> Result<Response<KnowledgeReply>, Status> {
-        if request.into_inner().list_version < NEWER {
+        if request.into_inner().list_version < NEWER_VERSION {
             if self.list.is_empty() {
                 return std::future::pending().await;
             }
             let list = self.list.clone();
-            let reply = KnowledgeReply { list_version: NEWER, list, ..KnowledgeReply::default() };
+            let reply =
+                KnowledgeReply { list_version: NEWER_VERSION, list, ..KnowledgeReply::default() };
             return Ok(Response::new(reply));
         }
         let reply = KnowledgeReply {
-            config_version: NEWER,
+            config_version: NEWER_VERSION,
             config: self.config.clone(),
             ..KnowledgeReply::default()
         };
@@ -196,14 +197,14 @@
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
     wait_until("the loss is logged", || !host.log_entries("store lost").is_empty());
-    let config = config(NEWER).to_string().into_bytes();
+    let config = config(NEWER_VERSION).to_string().into_bytes();
     let socket = serve_peer(&fleet, FakePeer { config, list: Vec::new() });
     let mut sequence = 0;
     wait_until("the configuration is in force", || {
         sequence += 1;
-        let digest = Digest { config_version: NEWER, ..newer_list(sequence) };
+        let digest = Digest { config_version: NEWER_VERSION, ..newer_list_digest(sequence) };
         socket.send_to(&digest.encode_to_vec(), host.peers).unwrap();
-        host.metric("portfield_config_version") == NEWER as f64
+        host.metric("portfield_config_version") == NEWER_VERSION as f64
     });
 }
 
@@ -221,14 +222,14 @@
         sequence += 1;
         // The store answers all the while.
         fleet.store.put("op", "other", &json!({}));
-        socket.send_to(&newer_list(sequence).encode_to_vec(), host.peers).unwrap();
+        socket.send_to(&newer_list_digest(sequence).encode_to_vec(), host.peers).unwrap();
         host.send(&request("check", &format!("r{sequence}"))).status == 503
     });
     assert!(host.log_entries("store lost").is_empty());
 }
 
 /// Asks a host for its list.
-fn list_of(fleet: &Fleet, host: &Host) -> Vec<ListedUpstream> {
+fn fetch_list(fleet: &Fleet, host: &Host) -> Vec<ListedUpstream> {
     let ask = async {
         let stream = TcpStream::connect(host.peers).await.unwrap();
         let channel = rpc::Channel::open(&fleet.rt, stream).await.unwrap();
@@ -255,15 +256,15 @@
     let mut sequence = 0;
     wait_until("the newer list is taken", || {
         sequence += 1;
-        socket.send_to(&newer_list(sequence).encode_to_vec(), host.peers).unwrap();
-        host.metric("portfield_list_version") == NEWER as f64
+        socket.send_to(&newer_list_digest(sequence).encode_to_vec(), host.peers).unwrap();
+        host.metric("portfield_list_version") == NEWER_VERSION as f64
     });
     let before = fleet.store.n_calls();
     fleet.store.put("servers", "plain-0", &fleet.plain_upstreams[0].entry("desk", "ready"));
     wait_until("the store tells an older one", || before + 4 <= fleet.store.n_calls());
-    let told = list_of(&fleet, &host).into_iter().find(|it| it.id == "plain-0").unwrap();
-    let told: serde_json::Value = serde_json::from_slice(&told.entry).unwrap();
-    assert_eq!(told["state"], "draining");
+    let forwarded = fetch_list(&fleet, &host).into_iter().find(|it| it.id == "plain-0").unwrap();
+    let forwarded: serde_json::Value = serde_json::from_slice(&forwarded.entry).unwrap();
+    assert_eq!(forwarded["state"], "draining");
 }
 
 /// Serves another host's knowledge; returns the socket that its digests come from.
@@ -276,30 +277,30 @@
 }
 
 /// Builds the digest of a host that knows a newer list.
-fn newer_list(sequence: u64) -> Digest {
+fn newer_list_digest(sequence: u64) -> Digest {
     Digest { host: 1, incarnation: 1, sequence, list_version: u64::MAX / 2, ..Digest::default() }
 }
 
 #[test]
 fn remote_data_centre_is_known_by_its_aggregate() {
     let mut fleet = Fleet::new(1, 1);
-    let places = [("north", 8), ("south", 6)];
+    let data_centres = [("north", 8), ("south", 6)];
     let mut hosts = Vec::new();
-    for (place, n) in places {
-        hosts.extend((0..n).map(|_| fleet.spawn_host_in(place, "direct_hosts = 12")));
+    for (data_centre, n) in data_centres {
+        hosts.extend((0..n).map(|_| fleet.spawn_host_in(data_centre, "direct_hosts = 12")));
     }
-    let all = hosts.len() as f64;
+    let n_hosts = hosts.len() as f64;
     // Every host's own word would count as well, were it not left out where its sum counts.
     for host in &hosts {
         wait_until("it knows all by sums", || {
-            2.0 <= host.metric("portfield_sums") && host.metric("portfield_hosts") == all
+            2.0 <= host.metric("portfield_sums") && host.metric("portfield_hosts") == n_hosts
         });
     }
     let leaving = hosts.pop().expect("a host");
     drop(leaving);
     for host in &hosts {
         wait_until("the host that left is gone from the sum", || {
-            host.metric("portfield_hosts") == all - 1.0
+            host.metric("portfield_hosts") == n_hosts - 1.0
         });
     }
 }
@@ -336,16 +337,16 @@
 fn restarted_upstream_loses_its_unreachable_state() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
-    let born = |address: &str, born: u64| {
+    let entry_born_at = |address: &str, born: u64| {
         let mut res = fleet.plain_upstreams[0].entry("desk", "ready");
         res["addr"] = json!(address);
         res["born"] = json!(born);
         res
     };
     let address = fleet.plain_upstreams[0].address().to_string();
-    fleet.store.put("servers", "plain-0", &born("127.0.0.1:9", 1_000));
+    fleet.store.put("servers", "plain-0", &entry_born_at("127.0.0.1:9", 1_000));
     wait_until("the dead one is seen", || host.send(&request("check", "r1")).status == 503);
-    fleet.store.put("servers", "plain-0", &born(&address, 2_000));
+    fleet.store.put("servers", "plain-0", &entry_born_at(&address, 2_000));
     wait_until("the new one is seen", || {
         host.log_entries("upstream changed").iter().filter(|it| it["upstream"] == "plain-0").count()
             >= 3
@@ -380,17 +381,18 @@
     let proxy = FaultProxy::start(&fleet.rt, fleet.store.address());
     let proxy = futures_lite::future::block_on(proxy).unwrap();
     fleet.store_proxy = Some(proxy.address());
-    let cut = fleet.start_host();
-    wait_until("it hears the first", || cut.metric("portfield_hosts") == 2.0);
+    let isolated = fleet.start_host();
+    wait_until("it hears the first", || isolated.metric("portfield_hosts") == 2.0);
     proxy.set_fault(NetworkFault::StallAll);
     // Longer than the silence after which entries may have lapsed.
     thread::sleep(Duration::from_millis(3800));
     proxy.set_fault(NetworkFault::None);
-    wait_until("it hears the store again", || !cut.log_entries("store regained").is_empty());
+    wait_until("it hears the store again", || !isolated.log_entries("store regained").is_empty());
     // What it is told next comes from the store.
     first.signal("-STOP");
     fleet.store.remove("servers", "plain-0");
-    let is_gone = |event: &str| cut.log_entries(event).iter().any(|it| it["upstream"] == "plain-0");
+    let is_gone =
+        |event: &str| isolated.log_entries(event).iter().any(|it| it["upstream"] == "plain-0");
     wait_until("it knows", || is_gone("upstream gone") || is_gone("upstream did not come back"));
     first.signal("-CONT");
     assert!(is_gone("upstream gone"), "kept for two seconds as one that may come back");
@@ -401,24 +403,24 @@
 fn address_of_an_earlier_incarnation_is_not_tried_again() {
     let mut fleet = Fleet::new(1, 0);
     // Bound and not listened on: nobody else gets the port meanwhile.
-    let gone = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    gone.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-    let address = gone.local_addr().unwrap().as_socket().unwrap();
+    let closed_socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    closed_socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    let address = closed_socket.local_addr().unwrap().as_socket().unwrap();
     let entry = |address, born: u64| {
         let mut res = fleet.plain_upstreams[0].entry_at(address, "desk", "ready");
         res["born"] = json!(born);
         res
     };
-    let (earlier, now) = (entry(address, 1), entry(fleet.plain_upstreams[0].address(), 2));
+    let (earlier, current) = (entry(address, 1), entry(fleet.plain_upstreams[0].address(), 2));
     fleet.store.put("servers", "plain-0", &earlier);
     let host = fleet.start_host();
     host.send(&request("check", "r1"));
     wait_until("it is tried", || !host.log_entries("upstream unreachable").is_empty());
-    fleet.store.put("servers", "plain-0", &now);
+    fleet.store.put("servers", "plain-0", &current);
     wait_until("the new one serves", || host.send(&request("check", "r2")).status == 200);
-    gone.listen(1).unwrap();
-    gone.set_nonblocking(true).unwrap();
+    closed_socket.listen(1).unwrap();
+    closed_socket.set_nonblocking(true).unwrap();
     // Twice the longest pause between two tries.
     thread::sleep(Duration::from_millis(1200));
-    assert_eq!(gone.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
+    assert_eq!(closed_socket.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
 }
--- a/crates/portfield-host/tests/store_restore.rs
+++ b/crates/portfield-host/tests/store_restore.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 /// A configuration in which one key is gone.
-fn without_key(version: u64) -> Value {
+fn config_without_key(version: u64) -> Value {
     let mut res = config(version);
     res["tenants"].as_array_mut().unwrap().remove(0);
     res
@@ -48,7 +48,7 @@
     let first = fleet.start_host();
     let second = fleet.start_host();
     let before = fleet.store.snapshot();
-    fleet.store.put("op", "config", &without_key(3));
+    fleet.store.put("op", "config", &config_without_key(3));
     fleet.store.remove("servers", "plain-0");
     for host in [&first, &second] {
         wait_until("the key is gone", || host.send(&request("check", "r1")).status == 401);
