--- a/crates/portfield-host/tests/fleet/mod.rs
+++ b/crates/portfield-host/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Hosts as real processes, between stand-ins of the users' store and upstreams.
+//! Test fixture: real host processes between a fake store and fake upstreams.
 //!
-//! Every process binds port 0 and tells its addresses in its log.
+//! Every process binds port 0; its addresses are read from its first log line.
 
 #![allow(dead_code)]
 
@@ -22,24 +22,24 @@
 use portfield_platform_standins::{FakeStore, FakeUpstream};
 use serde_json::{Value, json};
 
-/// Longest wait for a condition; far above what any takes.
+/// Timeout for conditions and socket reads, well above the time that any of them needs.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time that a stand-in takes for a call or an event.
+/// Time that an upstream takes for a plain response, or between two events of a stream.
 const UPSTREAM_LATENCY: Duration = Duration::from_millis(10);
 
 static N_FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and panics with its description after [`WAIT_TIMEOUT`].
 #[track_caller]
 pub fn wait_until(what: &str, mut f: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !f() {
-        assert!(Instant::now() < end, "not within {WAIT_TIMEOUT:?}: {what}");
+        assert!(Instant::now() < end, "timed out after {WAIT_TIMEOUT:?} waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// One host's process; killed when dropped.
+/// Host process with its listen addresses; killed on drop.
 pub struct Host {
     child: Child,
     pub listen: SocketAddr,
@@ -50,7 +50,7 @@
 }
 
 impl Host {
-    /// Returns the log lines with a message.
+    /// Returns the fields of all log lines with this message.
     pub fn log_entries(&self, message: &str) -> Vec<Value> {
         let lines = self.lines.lock().unwrap();
         lines.iter().filter(|it| it["message"] == message).map(|it| it["kvs"].clone()).collect()
@@ -60,36 +60,39 @@
         self.child.id()
     }
 
-    /// Returns every line of its log.
+    /// Returns all log lines written so far.
     pub fn log_lines(&self) -> Vec<Value> {
         self.lines.lock().unwrap().clone()
     }
 
+    /// Sends a signal, named as for `kill`: `-STOP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself and returns its exit code.
+    /// Waits for the process to exit and returns its exit code, or `None` if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut res = None;
-        wait_until("the process ends", || {
+        wait_until("the process exits", || {
             res = self.child.try_wait().unwrap();
             res.is_some()
         });
         res.unwrap().code()
     }
 
+    /// Returns whether the readiness endpoint responds 200.
     pub fn is_ready(&self) -> bool {
         let request = "GET /api/readyz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         send_request(self.ready, request.as_bytes()).is_some_and(|it| it.status == 200)
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection and returns the response.
     pub fn send(&self, request: &str) -> Response {
-        send_request(self.listen, request.as_bytes()).expect("an answer")
+        send_request(self.listen, request.as_bytes()).expect("no response from the host")
     }
 
+    /// Returns the current value of a metric, or 0 if it isn't reported.
     pub fn metric(&self, name: &str) -> f64 {
         let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         let text = send_request(self.metrics, request.as_bytes()).unwrap().text();
@@ -105,7 +108,7 @@
     }
 }
 
-/// Hosts, a store and upstreams.
+/// Fake store and upstreams, and the settings of the hosts that are started between them.
 pub struct Fleet {
     pub rt: Runtime,
     pub store: FakeStore,
@@ -113,15 +116,15 @@
     pub engines: Vec<FakeUpstream>,
     dir: PathBuf,
     n_hosts: u32,
-    /// Data centre of the host started last.
+    /// Data centre of the host started last, used by [`Fleet::rewrite_settings`].
     data_centre: String,
-    /// Where hosts that start from now on reach the store, if not at its own address.
+    /// Store address for hosts started from now on, if they reach the store through a proxy.
     pub store_proxy: Option<SocketAddr>,
     _stop: async_channel::Sender<()>,
 }
 
 impl Fleet {
-    /// Starts the stand-ins: so many plain upstreams and engines, and a configuration.
+    /// Starts a store with a configuration, and this many plain upstreams and engines.
     pub fn new(n_plain: usize, n_engines: usize) -> Self {
         let rt = Runtime::default();
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -164,12 +167,12 @@
         res
     }
 
-    /// Starts a host with more settings, and waits only for its addresses.
+    /// Starts a host with additional settings without waiting until it is ready.
     pub fn spawn_host(&mut self, extra_settings: &str) -> Host {
         self.spawn_host_in("north", extra_settings)
     }
 
-    /// Starts a host in a data centre.
+    /// Starts a host in a data centre without waiting until it is ready.
     pub fn spawn_host_in(&mut self, data_centre: &str, extra_settings: &str) -> Host {
         self.n_hosts += 1;
         self.data_centre = data_centre.to_owned();
@@ -182,7 +185,7 @@
             .spawn()
             .unwrap();
         let mut reader = BufReader::new(child.stdout.take().unwrap()).lines();
-        let first = reader.next().expect("the process ended at its start").unwrap();
+        let first = reader.next().expect("the process exited before its first log line").unwrap();
         let first: Value = serde_json::from_str(&first).unwrap();
         assert_eq!(first["message"], "started");
         let address = |key: &str| first["kvs"][key].as_str().unwrap().parse().unwrap();
@@ -199,12 +202,13 @@
         Host { child, listen, ready, metrics, peers, lines }
     }
 
-    /// Writes the settings file of the host started last anew.
+    /// Overwrites the settings file of the host started last.
     pub fn rewrite_settings(&self, extra_settings: &str) {
         let path = self.dir.join(format!("host-{}.toml", self.n_hosts));
         fs::write(path, self.settings(extra_settings)).unwrap();
     }
 
+    /// Returns the settings file of the host started last.
     fn settings(&self, extra_settings: &str) -> String {
         let store = self.store_proxy.unwrap_or(self.store.address());
         format!(
@@ -214,7 +218,7 @@
         )
     }
 
-    /// Returns how many requests ran at all upstreams together.
+    /// Returns the number of requests executed by all upstreams.
     pub fn n_executed(&self) -> usize {
         self.plain_upstreams.iter().chain(&self.engines).map(FakeUpstream::n_executed).sum()
     }
@@ -230,7 +234,7 @@
     futures_lite::future::block_on(f).unwrap()
 }
 
-/// A configuration with one route of each kind; `key-a` and `key-b` are of two workspaces.
+/// Returns a configuration with a route of each kind and two workspaces, with the API keys `key-a` and `key-b`.
 pub fn config(version: u64) -> Value {
     let route = |name: &str, kind: &str, service: &str| {
         json!({
@@ -267,7 +271,7 @@
     })
 }
 
-/// A request of workspace a on a route.
+/// Returns a request of workspace `a` on a route, with `id` as its attempt ID.
 pub fn request(route: &str, id: &str) -> String {
     let tokens = match route {
         "draft" | "digest" => "token-count: 30,24\r\nprefix-hash: aa:20,bb:10\r\n",
@@ -280,17 +284,18 @@
     )
 }
 
-/// An answer, read to its end.
+/// Response, read to its end.
 #[derive(Debug, Clone)]
 pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// It ended as its head says.
+    /// Whether the body has the length, or the final chunk, that the head announces.
     pub is_complete: bool,
 }
 
 impl Response {
+    /// Returns the first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|it| it.split_once(':'));
         lines.find(|it| it.0.eq_ignore_ascii_case(name)).map(|it| it.1.trim())
@@ -300,28 +305,28 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Returns the ids of the events.
+    /// Returns the IDs of the server-sent events in the body.
     pub fn event_ids(&self) -> Vec<u32> {
         let text = self.text();
         text.lines().filter_map(|it| it.strip_prefix("id: ")?.parse().ok()).collect()
     }
 }
 
-/// Opens a connection on which nothing is waited for without end.
+/// Opens a connection with a read timeout; returns `None` if it is refused.
 pub fn connect(address: SocketAddr) -> Option<TcpStream> {
     let stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     Some(stream)
 }
 
-/// Sends bytes on a new connection and reads one answer.
+/// Sends a request on a new connection and reads the response.
 pub fn send_request(address: SocketAddr, request: &[u8]) -> Option<Response> {
     let mut stream = connect(address)?;
     stream.write_all(request).ok()?;
     read_response(&mut stream)
 }
 
-/// Reads one answer.
+/// Reads one response; returns `None` if the connection ends before its head does.
 pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
--- a/crates/portfield-host/tests/self_reports/mod.rs
+++ b/crates/portfield-host/tests/self_reports/mod.rs
@@ -1,21 +1,22 @@
-//! What upstreams said of themselves in a soak, and whether hosts heeded it, from what upstreams saw.
+//! Checks, from the requests that upstreams received, that hosts respected the self-reports of upstreams
+//! (draining, backoff) during a soak test.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use portfield_platform_standins::{FakeUpstream, ReceivedRequest};
 
-/// Time after an answer in which requests that were on their way still come.
+/// Time after a response in which requests already in flight may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// Time before an answer from which on harm to its way, or to its host, may have kept it from being read.
+/// Time before a response from which on a link fault or a pause of the host may have prevented its delivery.
 const READ_DELAY: Duration = Duration::from_millis(200);
 
-/// Time from an upstream's start in which a host that cannot hear the store may believe its earlier incarnation.
+/// Time after an upstream's restart in which a host cut off from the store may only know the earlier incarnation.
 ///
-/// It notes what the later one says under the earlier one's number. So one request goes to the later one once the host
-/// knows of it, and is told the same again; the users' rule allows two.
+/// The host records the report under the earlier incarnation, so it sends one more request when it learns of the
+/// later one, and gets the same report again. The platform's rule allows two requests.
 const STALE_STORE_TIME: Duration = Duration::from_secs(5);
 
-/// A time in which something was harmed.
+/// Time interval of a fault.
 #[derive(Debug, Clone, Copy)]
 pub struct Interval {
     pub start: Duration,
@@ -23,23 +24,26 @@
 }
 
 impl Interval {
+    /// Returns whether it overlaps the interval from `start` to `end`, bounds included.
     fn overlaps(&self, start: Duration, end: Duration) -> bool {
         self.start <= end && start <= self.end
     }
 }
 
-/// What happened beside the requests.
+/// Faults and restarts during a soak test that excuse requests against a self-report.
 #[derive(Debug, Default)]
 pub struct Timeline {
-    /// Standstills, by the host's address for callers.
+    /// Process pauses, by the host's listen address.
     pub pauses: Vec<(SocketAddr, Interval)>,
-    /// Harm to the way to an upstream that may lose or hold up bytes, by the upstream's place.
+    /// Faults on the link to an upstream that may lose or hold back bytes, by the upstream's index.
     pub link_faults: Vec<(usize, Interval)>,
-    /// When upstreams started anew, by their places.
+    /// Restart times of upstreams, by their index.
     pub restarts: Vec<(usize, Duration)>,
 }
 
-/// Returns what reached upstreams against their word; `doors` tells which host a request came to.
+/// Describes the requests that upstreams received against their self-reports.
+///
+/// `targets` maps the attempt ID of a request to the address of the host that it was sent to.
 pub fn find_violations(
     upstreams: &[&FakeUpstream],
     targets: &HashMap<&str, SocketAddr>,
@@ -50,6 +54,7 @@
     upstreams.iter().enumerate().flat_map(check).collect()
 }
 
+/// Describes the requests that one upstream received against its self-reports.
 fn upstream_violations(
     index: usize,
     upstream: &FakeUpstream,
@@ -78,14 +83,16 @@
             .collect();
         if timeline.n_tolerated(index, report.sent_at) < late.len() {
             let id = &upstream.id;
-            res.push(format!("{id} told {host} {report:?}, and got {late:?} from it"));
+            res.push(format!(
+                "{id} reported {report:?} to host {host}, which sent it {late:?} afterwards"
+            ));
         }
     }
     res
 }
 
 impl Timeline {
-    /// Returns whether nothing kept an answer of that time from being read.
+    /// Returns whether no link fault can have prevented the delivery of a response sent then.
     fn was_read(&self, index: usize, sent_at: Duration) -> bool {
         let overlaps = |it: &Interval| {
             it.overlaps(sent_at.saturating_sub(READ_DELAY), sent_at + IN_FLIGHT_TIME)
@@ -93,19 +100,19 @@
         !self.link_faults.iter().any(|it| it.0 == index && overlaps(&it.1))
     }
 
-    /// Returns when an upstream starts anew after a time.
+    /// Returns the time of an upstream's next restart, or the maximum if there is none.
     fn next_restart(&self, index: usize, after: Duration) -> Duration {
         let restarts = self.restarts.iter().filter(|it| it.0 == index && after <= it.1);
         restarts.map(|it| it.1).min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns how many requests may come to an upstream against its word.
+    /// Returns the number of requests tolerated against a self-report, by [`STALE_STORE_TIME`].
     fn n_tolerated(&self, index: usize, sent_at: Duration) -> usize {
         let is_recent = |start: Duration| start <= sent_at && sent_at < start + STALE_STORE_TIME;
         usize::from(self.restarts.iter().any(|it| it.0 == index && is_recent(it.1)))
     }
 
-    /// Returns whether a host stood still between an upstream's word and a request.
+    /// Returns whether a host was paused between a self-report and a request.
     fn was_paused(&self, host: SocketAddr, sent_at: Duration, received_at: Duration) -> bool {
         let overlaps = |it: &Interval| it.overlaps(sent_at.saturating_sub(READ_DELAY), received_at);
         self.pauses.iter().any(|it| it.0 == host && overlaps(&it.1))
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -1,8 +1,8 @@
-//! A randomized soak of real processes: faults from outside, and the promises checked from what
-//! callers and upstreams see.
+//! Randomized soak test of real host processes: injects faults from outside and checks the guarantees
+//! from what callers and upstreams observe.
 //!
-//! CI runs the seeds of [`SEEDS`]. By hand, `SOAK_SEED=7 SOAK_COUNT=50 SOAK_SECONDS=20 cargo test
-//! --release -p portfield-host --test soak -- --nocapture` runs more.
+//! CI runs the seeds of [`SEEDS`]. To run others: `SOAK_SEED=7 SOAK_COUNT=50 SOAK_SECONDS=20 cargo test
+//! --release -p portfield-host --test soak -- --nocapture`.
 
 mod fleet;
 mod self_reports;
@@ -28,55 +28,57 @@
 use self_reports::{Interval, Timeline};
 use serde_json::{Value, json};
 
-/// Seeds that CI runs; a seed that ever failed is added with a line on its cause.
+/// Seeds that CI runs. A seed that failed once is added with its cause.
 ///
-/// - 7, 8, 11: the store came back with an entry of an earlier incarnation, and what the later one had said of itself was lost.
+/// - 7, 8, 11: a restored store returned an upstream's entry of an earlier incarnation, and the self-report of the
+///   later one was lost.
 const SEEDS: [u64; 6] = [1, 2, 3, 7, 8, 11];
-/// Time that a seed takes in CI.
+/// Duration of the fault injection for each seed in CI.
 const CI_DURATION: Duration = Duration::from_secs(6);
 const N_HOSTS: usize = 3;
 const N_CALLERS: usize = 6;
-/// Time between two faults.
+/// Pause between two faults.
 const FAULT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after the last fault in which requests are served again, as the users bound it.
+/// Maximum time from the last fault until all hosts serve requests again, as the platform requires.
 const MAX_RECOVERY: Duration = Duration::from_secs(12);
-/// Streams of the callers' requests: 24 tokens, three an event.
+/// Number of events in a stream: 24 tokens, three per event.
 const N_EVENTS: u32 = 8;
 
-/// A request and what its caller got.
+/// Request and the response that its caller got.
 struct Outcome {
     id: String,
     route: &'static str,
-    /// The host that it was sent to.
+    /// Address of the host that it was sent to.
     host: SocketAddr,
     response: Option<Response>,
 }
 
-/// Where the callers send to: hosts come and go.
+/// Listen addresses of the running hosts, updated when a host is replaced.
 type HostAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
+/// State of a soak test with one seed.
 struct Soak {
     fleet: Fleet,
     hosts: Vec<Host>,
     proxies: Vec<FaultProxy>,
     addresses: HostAddresses,
     rng: fastrand::Rng,
-    /// Draws what upstreams say of themselves, beside the other faults.
+    /// Draws self-reports and restarts of upstreams, independently of the other faults.
     report_rng: fastrand::Rng,
     timeline: Timeline,
-    /// Harm that has not ended, by the place of the upstream behind it.
+    /// Start of the link faults in effect, by the index of the upstream.
     active_faults: HashMap<usize, Duration>,
     config_version: u64,
     actions: Vec<String>,
-    /// What hosts that were replaced had logged by then.
+    /// Log lines of replaced hosts.
     past_logs: Vec<Vec<Value>>,
-    /// Data centres of the hosts in turn; with two, each hears of the other by sums.
+    /// Data centres to which hosts are assigned in turn; with two, each knows the other by aggregates.
     data_centres: &'static [&'static str],
-    /// What upstreams write to the store.
+    /// IDs and current store entries of the upstreams.
     entries: Vec<(String, Value)>,
-    /// The store as it was some faults ago.
+    /// Earlier snapshot of the store, for the next restore.
     snapshot: StoreSnapshot,
-    /// Longest time for which a host is paused, in milliseconds: every third seed has standstills.
+    /// Maximum pause of a host, in milliseconds; every third seed pauses hosts for seconds.
     max_pause_ms: u64,
 }
 
@@ -128,7 +130,7 @@
         self.fleet.spawn_host_in(data_centre, &format!("{aggregate_setting}\n{extra_settings}"))
     }
 
-    /// Does one thing to the fleet; some end by themselves, the rest in [`Soak::heal`].
+    /// Injects a random fault; those that don't end by themselves end in [`Soak::clear_faults`].
     fn inject_fault(&mut self) {
         let host = self.rng.usize(..self.hosts.len());
         let proxy = self.rng.usize(..self.proxies.len());
@@ -149,7 +151,7 @@
             }
             3 => {
                 self.hosts[host].signal("-HUP");
-                format!("host {host} reloads")
+                format!("host {host} reloads its settings")
             }
             4..=6 => {
                 let faults = [
@@ -206,18 +208,18 @@
             _ => {
                 self.fleet.store.compact_history();
                 self.clear_faults();
-                "all healed, history forgotten".to_owned()
+                "all faults cleared, store history compacted".to_owned()
             }
         };
         self.record_action(action);
     }
 
-    /// Notes what was done, and when.
+    /// Records an injected action with its time.
     fn record_action(&mut self, what: String) {
         self.actions.push(format!("{:.3} {what}", clock::now().as_secs_f64()));
     }
 
-    /// Has an upstream say something of itself, or start anew, whatever else goes on.
+    /// Has a random upstream drain, shed with a backoff, or restart.
     fn inject_self_report(&mut self) {
         let index = self.report_rng.usize(..self.entries.len());
         let upstream = self.upstreams()[index].clone();
@@ -225,12 +227,15 @@
             0 | 1 => {
                 upstream.set_draining(true);
                 if self.report_rng.bool() {
-                    return self.record_action(format!("{} drains by its word only", upstream.id));
+                    return self.record_action(format!(
+                        "{} drains, announced in responses only",
+                        upstream.id
+                    ));
                 }
                 let entry = &mut self.entries[index].1;
                 entry["state"] = json!("draining");
                 self.fleet.store.put("servers", &upstream.id, entry);
-                format!("{} drains", upstream.id)
+                format!("{} drains, announced in the store too", upstream.id)
             }
             2..=4 => {
                 let faults = [
@@ -243,17 +248,17 @@
                 let value = values[self.report_rng.usize(..values.len())];
                 upstream.set_retry_after(Some(value));
                 upstream.set_fault(fault);
-                format!("{} {fault:?}, retry after {value}", upstream.id)
+                format!("{} {fault:?}, Retry-After: {value}", upstream.id)
             }
             _ => {
                 self.restart_upstream(index);
-                format!("{} starts anew", upstream.id)
+                format!("{} restarts", upstream.id)
             }
         };
         self.record_action(action);
     }
 
-    /// Has an upstream start anew under its id: what it said before no longer holds.
+    /// Restarts an upstream under its ID as a new incarnation; its earlier self-reports no longer apply.
     fn restart_upstream(&mut self, index: usize) {
         let upstream = self.upstreams()[index].clone();
         upstream.set_draining(false);
@@ -272,14 +277,14 @@
         self.fleet.plain_upstreams.iter().chain(&self.fleet.engines).collect()
     }
 
-    /// Notes that harm to the way to an upstream has ended.
+    /// Records the end of a fault on the link to an upstream.
     fn end_link_fault(&mut self, index: usize) {
         if let Some(start) = self.active_faults.remove(&index) {
             self.timeline.link_faults.push((index, Interval { start, end: clock::now() }));
         }
     }
 
-    /// Has the store come back from its last copy; what the operator and upstreams wrote since is written again.
+    /// Restores the store from the last snapshot, then repeats the latest writes of the operator and upstreams.
     fn restore_store(&mut self) -> String {
         let now = self.fleet.store.snapshot();
         let snapshot = std::mem::replace(&mut self.snapshot, now);
@@ -292,12 +297,13 @@
         for (id, entry) in &self.entries {
             self.fleet.store.put("servers", id, entry);
         }
-        "store goes back".to_owned()
+        "store restored from a snapshot".to_owned()
     }
 
+    /// Stops a host with a signal and starts another one in its place.
     fn restart(&mut self, idx: usize, signal: &str) -> String {
         self.hosts[idx].signal(signal);
-        // A host that starts while the store is down learns from those it is told of.
+        // A host that starts while the store is down gets its state from these peers.
         let seeds = self.fleet.store.keys("portfield_hosts");
         let new = self.start_host(idx, &format!("seeds = {seeds:?}"));
         self.addresses.lock().unwrap()[idx] = new.listen;
@@ -306,9 +312,10 @@
         if signal == "-TERM" {
             thread::spawn(move || assert_eq!(old.wait_for_exit(), Some(0)));
         }
-        format!("host {idx} {signal}, started again")
+        format!("host {idx} got {signal} and was replaced")
     }
 
+    /// Ends all faults of links, upstreams and the store.
     fn clear_faults(&mut self) {
         self.proxies.iter().for_each(|it| it.set_fault(NetworkFault::None));
         (0..self.proxies.len()).for_each(|it| self.end_link_fault(it));
@@ -318,7 +325,7 @@
     }
 }
 
-/// Sends requests on kept connections until told to stop.
+/// Sends requests on keep-alive connections until `stop` is set, and returns their outcomes.
 fn run_caller(
     addresses: &HostAddresses,
     caller: usize,
@@ -353,7 +360,7 @@
     res
 }
 
-/// Returns what was broken of the promises.
+/// Describes the guarantees that were violated, from outcomes and the requests that upstreams received.
 fn find_violations(fleet: &Fleet, outcomes: &[Outcome]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut runs: HashMap<String, u32> = HashMap::new();
@@ -361,16 +368,18 @@
     for seen in fleet.plain_upstreams.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
         let id = seen.header("attempt-id").unwrap_or_default().to_owned();
         let Some(outcome) = by_id.get(id.as_str()) else {
-            violations.push(format!("{id} reached an upstream, and nobody sent it"));
+            violations.push(format!("{id} reached an upstream, but no caller sent it"));
             continue;
         };
         if !seen.request_line.contains(&format!("/{}/one?q=1", outcome.route))
             || seen.body != b"body"
         {
-            violations.push(format!("{id} was changed on its way: {}", seen.request_line));
+            violations.push(format!("{id} was altered in transit: {}", seen.request_line));
         }
         if seen.header("tenant") != Some("a") || seen.header("authorization").is_some() {
-            violations.push(format!("{id} came with another workspace, or with its key"));
+            violations.push(format!(
+                "{id} reached an upstream with another workspace or with its API key"
+            ));
         }
         *runs.entry(id).or_default() += u32::from(seen.is_executed);
     }
@@ -378,7 +387,7 @@
         let n = runs.get(&it.id).copied().unwrap_or(0);
         let max_executed = if matches!(it.route, "order" | "draft") { 1 } else { 2 };
         if max_executed < n {
-            violations.push(format!("{} on {} ran {n} times", it.id, it.route));
+            violations.push(format!("{} on route {} was executed {n} times", it.id, it.route));
         }
         let Some(response) = &it.response else { continue };
         violations.extend(response_violation(it, response, n));
@@ -386,37 +395,42 @@
     violations
 }
 
+/// Describes how a response violates a guarantee; `n_executed` counts the executions of its request.
 fn response_violation(it: &Outcome, response: &Response, n_executed: u32) -> Option<String> {
     let (id, status) = (&it.id, response.status);
     if response.header("attempt-id").is_some_and(|it| it != id) {
-        return Some(format!("{id} got the answer to {:?}", response.header("attempt-id")));
+        return Some(format!("{id} got the response to {:?}", response.header("attempt-id")));
     }
     if matches!(status, 429 | 503 | 408 | 421) && 0 < n_executed && it.route != "digest" {
-        return Some(format!("{id} on {} was refused with {status} and ran", it.route));
+        return Some(format!(
+            "{id} on route {} was refused with {status} but was executed",
+            it.route
+        ));
     }
     if matches!(status, 400..=428) && status != 408 && status != 421 {
-        return Some(format!("{id} is proper and was rejected with {status}"));
+        return Some(format!("{id} is valid but was rejected with {status}"));
     }
     if status != 200 {
         return None;
     }
     if response.header("replica-signature").is_none() {
-        return Some(format!("{id} got a success without a signature"));
+        return Some(format!("{id} got a 200 response without a signature"));
     }
     if !matches!(it.route, "draft" | "digest") {
         let is_from_service = response.text().starts_with("from plain-");
         return (!is_from_service || !response.is_complete)
-            .then(|| format!("{id} got {:?}", response.text()));
+            .then(|| format!("{id} got the body {:?}", response.text()));
     }
     let events = response.event_ids();
     let is_in_order = events.iter().copied().eq(1..=events.len() as u32);
     let has_all_events = events.len() as u32 == N_EVENTS;
     if !is_in_order || (response.is_complete && !has_all_events) {
-        return Some(format!("{id} got the events {events:?}, whole: {}", response.is_complete));
+        return Some(format!("{id} got the events {events:?}, complete: {}", response.is_complete));
     }
     None
 }
 
+/// Runs one seed and returns the violations found; saves artifacts if there are any.
 fn soak(seed: u64, time: Duration) -> Vec<String> {
     let mut soak = Soak::start(seed);
     let (stop, n_sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
@@ -439,7 +453,7 @@
     let addresses = soak.addresses.lock().unwrap().clone();
     for (n, address) in addresses.into_iter().enumerate() {
         for route in ["order", "draft"] {
-            wait_until("every host serves again", || {
+            wait_until("every host serves requests again", || {
                 let id = format!("end-{n}-{}", n_sent.fetch_add(1, Ordering::Relaxed));
                 let response = fleet::send_request(address, request(route, &id).as_bytes());
                 let is_served =
@@ -456,12 +470,12 @@
     let targets = outcomes.iter().map(|it| (it.id.as_str(), it.host)).collect();
     violations.extend(self_reports::find_violations(&soak.upstreams(), &targets, &soak.timeline));
     if MAX_RECOVERY < recovered {
-        violations.push(format!("it took {recovered:?} until all hosts served again"));
+        violations.push(format!("recovery took {recovered:?}"));
     }
     let is_served = |it: &&Outcome| it.response.as_ref().is_some_and(|it| it.status == 200);
     let n_served = outcomes.iter().filter(is_served).count();
     if n_served * 4 < outcomes.len() {
-        violations.push(format!("only {n_served} of {} were served", outcomes.len()));
+        violations.push(format!("only {n_served} of {} requests were served", outcomes.len()));
     }
     if !violations.is_empty() {
         save_artifacts(seed, &soak, &violations);
@@ -469,7 +483,7 @@
     violations
 }
 
-/// Keeps what is needed to trace a failure.
+/// Saves violations, injected actions and host logs to a temporary directory.
 fn save_artifacts(seed: u64, soak: &Soak, violations: &[String]) {
     let dir = env::temp_dir().join(format!("portfield-soak-{seed}"));
     let _ = fs::create_dir_all(&dir);
@@ -482,6 +496,7 @@
     }
 }
 
+/// Returns the number in an environment variable, if it is set.
 fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
