--- a/crates/portfield-host/tests/process_pause.rs
+++ b/crates/portfield-host/tests/process_pause.rs
@@ -1,7 +1,7 @@
-//! A host whose process stands still for seconds, while the fleet goes on.
+//! Behaviour of a host whose process was paused for seconds while the rest of the fleet ran.
 //!
-//! Callers' requests and the others' words wait in its sockets. What it knew is as old as the time that it stood
-//! still: it may neither use a key that was revoked nor an upstream that left meanwhile.
+//! Requests and messages of other hosts wait in its sockets, and its state is as old as the pause. It must not
+//! accept an API key that was revoked, or use an upstream that was removed, during the pause.
 
 mod fleet;
 
@@ -15,17 +15,17 @@
 use portfield_platform_standins::StoreFault;
 use std::io::Write;
 
-/// Time for which the host stands still; above that for which what it knows may be used.
+/// Duration of the pause, longer than the time for which a host may use its state without an update.
 const PAUSE: Duration = Duration::from_millis(2500);
 
-/// Sends a request whose answer is read later.
+/// Sends a request without reading the response.
 fn send_unanswered(host: &Host, text: &str) -> TcpStream {
     let mut stream = connect(host.listen).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
 
-/// Stops a host, lets something happen and requests come, and returns their answers after it goes on.
+/// Pauses a host, runs `meanwhile`, sends requests, and returns their responses after the host resumes.
 fn pause_host(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
     host.signal("-STOP");
     meanwhile();
@@ -35,7 +35,7 @@
     streams.iter_mut().map(|it| read_response(it).unwrap()).collect()
 }
 
-/// A configuration in which workspace b has lost its key.
+/// Returns a configuration without workspace `b`, and so without its API key.
 fn config_without_key_b(version: u64) -> serde_json::Value {
     let mut res = config(version);
     res["tenants"].as_array_mut().unwrap().remove(1);
@@ -57,7 +57,9 @@
         assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
     }
     assert_eq!(fleet.n_executed(), n_executed);
-    wait_until("it serves again", || host.send(&request("order", "again")).status == 200);
+    wait_until("the host serves requests again", || {
+        host.send(&request("order", "again")).status == 200
+    });
 }
 
 #[test]
@@ -73,12 +75,19 @@
         store.remove("servers", "plain-0");
         store.put("servers", "plain-1", &entry);
     });
-    assert_eq!(fleet.plain_upstreams[0].n_executed(), n_executed, "sent to one that has left");
+    assert_eq!(
+        fleet.plain_upstreams[0].n_executed(),
+        n_executed,
+        "a request was sent to a removed upstream"
+    );
     assert!(responses.iter().all(|it| [200, 503].contains(&it.status)));
-    wait_until("it serves again", || host.send(&request("order", "again")).status == 200);
+    wait_until("the host serves requests again", || {
+        host.send(&request("order", "again")).status == 200
+    });
 }
 
-/// Cut off from all after it went on, it serves by what it knows, as any host that is cut off.
+/// A host that is cut off from the store and has no peers after a pause serves by its last known state, as any
+/// isolated host does.
 #[test]
 fn isolated_host_serves_again_seconds_after_a_pause() {
     let mut fleet = Fleet::new(1, 0);
@@ -88,10 +97,10 @@
     let responses = pause_host(&host, &requests, || store.set_fault(StoreFault::Hang));
     assert_eq!(responses[0].status, 503);
     let retry_after: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
-    assert!(retry_after < 1.0, "told to come back after {retry_after} s");
+    assert!(retry_after < 1.0, "Retry-After is {retry_after} s");
     assert!(!host.is_ready());
     let resumed_at = Instant::now();
-    wait_until("it is ready", || host.is_ready());
+    wait_until("the host is ready", || host.is_ready());
     assert!(resumed_at.elapsed() < Duration::from_secs(4));
     assert_eq!(host.send(&request("order", "r2")).status, 200);
     assert_eq!(host.log_entries("host stood still").len(), 1);
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What a caller and an upstream see of a request, with and without faults of the upstream.
+//! Forwarding of requests, as callers and upstreams see it, with and without upstream faults.
 
 mod fleet;
 
@@ -34,7 +34,7 @@
     assert!((1..=1200).contains(&remaining_ms), "{remaining_ms}");
 }
 
-/// A caller's own lease or copy of memory made engines turn the request away.
+/// Guards against callers who set headers for KV leases and copies themselves: engines rejected such requests.
 #[test]
 fn reserved_headers_of_callers_are_dropped() {
     let mut fleet = Fleet::new(0, 1);
@@ -185,7 +185,7 @@
     let placed = host.log_entries("placed");
     assert_eq!(placed[0]["request"], "r1");
     assert_eq!(placed[0]["unread"], 30);
-    wait_until("the end is logged", || !host.log_entries("answered").is_empty());
+    wait_until("the end of the stream is logged", || !host.log_entries("answered").is_empty());
     assert_eq!(host.log_entries("answered")[0]["events"], 8);
 }
 
@@ -210,8 +210,10 @@
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
         let engines: Vec<_> = fleet.engines.clone();
         let recovery = thread::spawn(move || {
-            // The second engine asked is well.
-            wait_until("a stream begins", || engines.iter().any(|it| it.n_executed() == 1));
+            // The engine that the stream moves to has no fault.
+            wait_until("an engine executes the stream", || {
+                engines.iter().any(|it| it.n_executed() == 1)
+            });
             for it in engines.iter().filter(|it| it.n_executed() == 0) {
                 it.set_fault(UpstreamFault::None);
             }
@@ -230,7 +232,7 @@
 fn stalled_stream_is_kept_when_no_other_upstream_can_resume_it() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
-    // Longer than three of the route's pauses of 100 ms, after which it would be moved.
+    // Longer than three token gaps of the route (100 ms), after which the stream would be moved.
     fleet.engines[0].set_fault(UpstreamFault::PauseStream(Duration::from_millis(700)));
     let response = host.send(&request("digest", "r1"));
     assert!(response.is_complete);
@@ -245,12 +247,12 @@
     let mut stream = TcpStream::connect(host.listen).unwrap();
     let long_stream = request("draft", "r1").replace("30,24", "30,2400");
     stream.write_all(long_stream.as_bytes()).unwrap();
-    wait_until("the stream begins", || fleet.n_executed() == 1);
+    wait_until("the engine executes the stream", || fleet.n_executed() == 1);
     drop(stream);
     let disconnected_at = Instant::now();
-    wait_until("the engine is left", || fleet.engines[0].n_abandoned() == 1);
+    wait_until("the engine sees the disconnect", || fleet.engines[0].n_abandoned() == 1);
     assert!(disconnected_at.elapsed() < Duration::from_millis(500));
-    wait_until("it is logged", || !host.log_entries("not finished").is_empty());
+    wait_until("the failure is logged", || !host.log_entries("not finished").is_empty());
 }
 
 #[test]
@@ -278,7 +280,7 @@
     assert!(send_request(host.listen, b"GARBAGE\r\n\r\n").is_none_or(|it| it.status == 400));
 }
 
-/// A body that never came held its request, and the end of the process, for ever.
+/// Guards against a body that never arrives: it blocked its request, and the shutdown of the host, forever.
 #[test]
 fn missing_body_is_answered_at_the_deadline() {
     let mut fleet = Fleet::new(1, 0);
@@ -290,11 +292,11 @@
     assert_eq!(response.status, 408);
     assert!(response.text().contains("not-run"), "{}", response.text());
     assert_eq!(fleet.n_executed(), 0);
-    wait_until("nothing is held", || host.metric("portfield_active") == 0.0);
+    wait_until("no request is active", || host.metric("portfield_active") == 0.0);
 }
 
-/// The kernel went on delivering a request after its caller had left and the host had closed: it
-/// reached an engine 1.7 s later, when a cut link had healed.
+/// Guards against delivery of a request by the kernel after its caller disconnected and the host closed the
+/// connection: once, it reached an engine 1.7 s later, when a broken link recovered.
 #[test]
 fn undelivered_request_is_reset_when_the_caller_disconnects() {
     const SIZE: usize = 64 << 20;
@@ -313,14 +315,14 @@
     let text = text.replace("content-length: 4", &format!("content-length: {SIZE}"));
     listener.set_nonblocking(true).unwrap();
     let mut sent = None;
-    wait_until("the request is on its way", || {
+    wait_until("the host connects to the upstream", || {
         let mut caller = connect(host.listen).unwrap();
-        // A host that takes over 1.5 s to read so much, beside load, has stood still, and refuses truly.
+        // Under load, a host that takes over 1.5 s to read the body counts as paused and refuses the request.
         let _ = caller.write_all(text.trim_end_matches("body").as_bytes());
         let _ = caller.write_all(&vec![b'x'; SIZE]);
         caller.set_nonblocking(true).unwrap();
         let (mut accepted, mut is_answered) = (None, false);
-        wait_until("it is sent on or answered", || {
+        wait_until("the request is forwarded or answered", || {
             accepted = listener.accept().ok().map(|it| it.0);
             is_answered = !matches!(caller.peek(&mut [0; 1]), Err(err) if err.kind() == ErrorKind::WouldBlock);
             accepted.is_some() || is_answered
@@ -333,15 +335,15 @@
     upstream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     upstream.read_exact(&mut [0; 1]).unwrap();
     drop(caller);
-    wait_until("the host gives up", || !host.log_entries("not finished").is_empty());
+    wait_until("the host abandons the request", || !host.log_entries("not finished").is_empty());
     let mut rest = Vec::new();
     let end = upstream.read_to_end(&mut rest);
     assert_eq!(end.unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
-/// A request that waited in a host's socket, here since the process stood still, while its caller gave up
-/// and closed: nobody would read the answer. A host without a descriptor left ran five such requests ten
-/// seconds after.
+/// Guards against execution of a request that waited in a host's socket until its caller disconnected: nobody
+/// reads the response. A host out of file descriptors forwarded five such requests ten seconds late; here the
+/// process is paused.
 #[test]
 fn request_of_a_disconnected_caller_is_not_forwarded() {
     let mut fleet = Fleet::new(1, 0);
@@ -351,7 +353,7 @@
         caller.write_all(request("check", id).as_bytes()).unwrap();
         caller
     };
-    // The connection is kept from here: opening one takes time in which the end might be seen.
+    // Opens the upstream connection beforehand: during a connect, the host might notice the disconnect.
     assert_eq!(host.send(&request("check", "r1")).status, 200);
     host.signal("-STOP");
     drop(send("left"));
@@ -363,8 +365,8 @@
     assert!(ids.contains(&"stays") && !ids.contains(&"left"), "{ids:?}");
 }
 
-/// The test counts on the kernel's limit for one process, which it sets for the host's own. That the
-/// process itself outlives the limit is shown by `descriptors.rs` of portfield-net.
+/// Lowers the kernel's descriptor limit of the host process. `descriptors.rs` of portfield-net tests that the
+/// process survives the limit.
 #[test]
 fn host_without_descriptors_is_not_ready() {
     let mut fleet = Fleet::new(1, 0);
@@ -373,7 +375,7 @@
         let (pid, n) = (format!("--pid={}", host.pid()), format!("--nofile={n}:4096"));
         assert!(Command::new("prlimit").args([&pid, &n]).status().unwrap().success());
     };
-    // The answer to a question for readiness needs a descriptor too: its connection is there before.
+    // A readiness check needs a descriptor too, so its connection is opened before the limit is set.
     let mut readiness_connection = connect(host.ready).unwrap();
     let mut readiness_status = || {
         readiness_connection.write_all(b"GET /api/readyz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
@@ -382,15 +384,15 @@
     assert_eq!(readiness_status(), 200);
     set_descriptor_limit(8);
     let waiting: Vec<_> = (0..3).map(|_| connect(host.listen).unwrap()).collect();
-    wait_until("it is not ready", || readiness_status() == 503);
+    wait_until("the host is not ready", || readiness_status() == 503);
     set_descriptor_limit(4096);
-    wait_until("it is ready again", || readiness_status() == 200);
+    wait_until("the host is ready again", || readiness_status() == 200);
     drop(waiting);
     assert_eq!(host.send(&request("check", "r1")).status, 200);
 }
 
-/// Of a host that refused thousands a second, most refusals had no line: nothing told whose requests they were, or
-/// whether callers came anew or stayed on their connections.
+/// Guards against overload refusals that leave no trace: when a host refused thousands of requests a second, the log
+/// didn't show whose they were, or whether callers reconnected or kept their connections.
 #[test]
 fn overload_refusals_are_logged_once_per_second() {
     let mut fleet = Fleet::new(0, 1);
@@ -401,12 +403,14 @@
         caller.write_all(request("draft", id).as_bytes()).unwrap();
         caller
     };
-    // Streams that take a while: the third finds two more than may run at once.
+    // Streams run long enough that the third one finds two running, one more than the limit.
     let mut callers: Vec<_> = (0..6).map(|it| start_stream(&format!("s{it}"))).collect();
     let statuses: Vec<_> = callers.iter_mut().map(|it| read_response(it).unwrap().status).collect();
     let n_refused = statuses.iter().filter(|it| **it == 503).count();
     assert!(0 < n_refused, "{statuses:?}");
-    wait_until("the second is told", || !host.log_entries("short of processor time").is_empty());
+    wait_until("the refusals are logged", || {
+        !host.log_entries("short of processor time").is_empty()
+    });
     let lines = host.log_entries("short of processor time");
     let sum = |name: &str| lines.iter().map(|it| it[name].as_u64().unwrap()).sum::<u64>();
     assert_eq!(sum("refused"), n_refused as u64, "{lines:?}");
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in answers: that they drain, and for how long they want nothing.
+//! Self-reports of upstreams in responses: that they drain, and how long they want no requests.
 
 mod fleet;
 
@@ -24,7 +24,7 @@
             assert_eq!(response.status, 200);
             n_told += u32::from(response.header("server-leaving").is_some());
         }
-        assert!(n_told <= 1, "{n_told} of 40 on {route} went to the one that drains");
+        assert!(n_told <= 1, "{n_told} of 40 requests on {route} went to the draining upstream");
     }
 }
 
@@ -50,7 +50,7 @@
             n += 1;
             host.send(&request("check", &format!("r{n}")))
         };
-        wait_until("the host knows", || {
+        wait_until("the host knows that the upstream drains", || {
             send();
             !host.log_entries("upstream drains").is_empty()
         });
@@ -65,17 +65,19 @@
     let mut fleet = Fleet::new(2, 0);
     let hosts = [fleet.start_host(), fleet.start_host(), fleet.start_host()];
     for host in &hosts {
-        wait_until("it knows the others", || host.metric("portfield_hosts") == 3.0);
+        wait_until("the host knows its peers", || host.metric("portfield_hosts") == 3.0);
     }
     fleet.store.set_fault(StoreFault::Hang);
     fleet.plain_upstreams[0].set_draining(true);
     let mut n = 0;
-    wait_until("one is told", || {
+    wait_until("a response reports draining", || {
         n += 1;
         hosts[0].send(&request("order", &format!("r{n}"))).header("server-leaving").is_some()
     });
     for host in &hosts {
-        wait_until("it knows", || host.metric("portfield_draining_unlisted") == 1.0);
+        wait_until("the host knows that the upstream drains", || {
+            host.metric("portfield_draining_unlisted") == 1.0
+        });
     }
     let n_seen = fleet.plain_upstreams[0].requests().len();
     for (n, host) in hosts.iter().cycle().take(60).enumerate() {
@@ -93,7 +95,7 @@
     );
 }
 
-/// The address is used again before the list tells so.
+/// The address of a former upstream is reused before the list is updated.
 #[test]
 fn report_of_a_replacement_upstream_applies_to_itself_only() {
     let mut fleet = Fleet::new(2, 0);
@@ -109,16 +111,16 @@
         let seen = fleet.plain_upstreams[0].requests();
         seen.iter().filter(|it| it.header("expect-replica") == Some("former")).count()
     };
-    wait_until("another one has answered in its place", || {
+    wait_until("the other upstream has answered at the address", || {
         assert_eq!(send().status, 200);
         0 < n_to_former()
     });
     (0..40).for_each(|_| assert_eq!(send().status, 200));
-    assert_eq!(n_to_former(), 1, "it is asked no more");
+    assert_eq!(n_to_former(), 1, "the former upstream gets no more requests");
     assert_eq!(host.log_entries("upstream replaced").len(), 1);
     assert!(host.log_entries("upstream drains").is_empty());
     fleet.plain_upstreams[0].set_draining(true);
-    wait_until("the host knows", || {
+    wait_until("the host knows that the upstream drains", || {
         send();
         !host.log_entries("upstream drains").is_empty()
     });
@@ -136,7 +138,7 @@
     assert_eq!((fleet.plain_upstreams[0].requests().len(), fleet.n_executed()), (1, 0));
 }
 
-/// Whoever is asked by mistake tells of itself all the same.
+/// A 421 response reports the state of the upstream that sent it.
 #[test]
 fn misdirected_response_reports_draining_of_its_sender() {
     let mut fleet = Fleet::new(2, 0);
@@ -145,18 +147,18 @@
     fleet.store.set_fault(StoreFault::Hang);
     fleet.plain_upstreams[0].set_draining(true);
     let mut n = 0;
-    wait_until("the host knows of both", || {
+    wait_until("the host knows the state of both upstreams", || {
         n += 1;
         host.send(&request("order", &format!("r{n}")));
         host.metric("portfield_draining_unlisted") == 2.0
     });
-    wait_until("it is logged", || !host.log_entries("upstream drains").is_empty());
+    wait_until("the drain is logged", || !host.log_entries("upstream drains").is_empty());
     assert_eq!(host.log_entries("upstream drains")[0]["upstream"], "plain-0");
     let n_executed = fleet.plain_upstreams[0].n_executed();
     assert_eq!(
         fleet.plain_upstreams[0].requests().len(),
         1 + n_executed,
-        "asked once for itself at most"
+        "the upstream got more than one request addressed to it"
     );
     assert!(n_executed <= 1, "{n_executed}");
 }
@@ -173,7 +175,7 @@
     assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
     assert_eq!((refused.status, fleet.n_executed()), (503, 1));
     let retry: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-    assert!((0.1..=1.2).contains(&retry), "within what the caller has left: {retry}");
+    assert!((0.1..=1.2).contains(&retry), "not within the deadline: {retry} s");
 }
 
 #[test]
@@ -191,7 +193,7 @@
         n += 1;
         host.send(&request(route, &format!("{route}-{n}")))
     };
-    wait_until("it has asked", || {
+    wait_until("the upstream has shed a request", || {
         send("order");
         !upstream.requests().is_empty()
     });
@@ -201,18 +203,18 @@
         thread::sleep(Duration::from_millis(5));
     }
     let n_seen = upstream.requests().len();
-    assert_eq!(n_seen, 1, "it was asked again before the time was over");
+    assert_eq!(n_seen, 1, "a request was sent before the backoff was over");
     fleet.plain_upstreams.iter().for_each(|it| it.set_fault(UpstreamFault::None));
-    wait_until("it takes its part again", || send("order").text() == "from plain-0");
+    wait_until("the upstream gets requests again", || send("order").text() == "from plain-0");
 }
 
-/// The host learns of the upstream's start only after its answer.
+/// The host learns of the upstream's restart only after the response that asked for the backoff.
 #[test]
 fn what_an_upstream_asked_for_holds_when_its_start_becomes_known_later() {
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
-    wait_until("the store is lost", || !host.log_entries("store lost").is_empty());
+    wait_until("the loss of the store is logged", || !host.log_entries("store lost").is_empty());
     let upstream = &fleet.plain_upstreams[0];
     let mut entry = upstream.entry("desk", "ready");
     entry["born"] = serde_json::json!(5);
@@ -224,17 +226,17 @@
         n += 1;
         host.send(&request("order", &format!("r{n}")))
     };
-    wait_until("it has asked", || {
+    wait_until("the upstream has shed a request", || {
         send();
         !upstream.requests().is_empty()
     });
     upstream.set_retry_after(None);
     upstream.set_fault(UpstreamFault::None);
     fleet.store.set_fault(StoreFault::None);
-    wait_until("its start is known", || {
+    wait_until("the host knows of the restart", || {
         host.log_entries("upstream changed").iter().filter(|it| it["upstream"] == "plain-0").count()
             == 2
     });
     (0..20).for_each(|_| assert_eq!(send().status, 200));
-    assert_eq!(upstream.requests().len(), 1, "it is asked again before the time is over");
+    assert_eq!(upstream.requests().len(), 1, "a request was sent before the backoff was over");
 }
--- a/crates/portfield-host/tests/shutdown.rs
+++ b/crates/portfield-host/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a host's process, and changes of its settings.
+//! Graceful shutdown of a host, and reload of its settings.
 
 mod fleet;
 
@@ -15,10 +15,10 @@
     let mut fleet = Fleet::new(1, 1);
     let mut host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
-    // 120 events of 10 ms: longer than the time in which new ones are taken.
+    // 120 events of 10 ms each: longer than the time for which new requests are still accepted.
     let long = request("draft", "r1").replace("30,24", "30,360").replace("1200", "4500");
     stream.write_all(long.as_bytes()).unwrap();
-    wait_until("the stream begins", || fleet.n_executed() == 1);
+    wait_until("the engine executes the stream", || fleet.n_executed() == 1);
     host.signal("-TERM");
     wait_until("the host is not ready", || !host.is_ready());
     let late_response = host.send(&request("order", "r2"));
@@ -39,13 +39,15 @@
     let host = fleet.start_host();
     let mut stream = TcpStream::connect(host.listen).unwrap();
     stream.write_all(request("draft", "r1").replace("30,24", "30,150").as_bytes()).unwrap();
-    wait_until("the stream begins", || fleet.n_executed() == 1);
+    wait_until("the engine executes the stream", || fleet.n_executed() == 1);
     fleet.rewrite_settings("retry_extra = 5");
     host.signal("-HUP");
     wait_until("the reload is logged", || !host.log_entries("settings reloaded").is_empty());
     fleet.rewrite_settings("retry_extra = 'many'");
     host.signal("-HUP");
-    wait_until("the mistake is logged", || !host.log_entries("settings not reloaded").is_empty());
+    wait_until("the invalid setting is logged", || {
+        !host.log_entries("settings not reloaded").is_empty()
+    });
     let text = host.log_entries("settings not reloaded")[0].to_string();
     assert!(text.contains("retry_extra"), "{text}");
     assert!(read_response(&mut stream).unwrap().is_complete);
