--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -18,13 +18,16 @@
     fleet.plain_upstreams[0].set_draining(true);
     fleet.engines[0].set_draining(true);
     for route in ["order", "draft", "check", "digest"] {
-        let mut n_told = 0;
+        let mut n_draining = 0;
         for n in 0..40 {
             let response = host.send(&request(route, &format!("{route}-{n}")));
             assert_eq!(response.status, 200);
-            n_told += u32::from(response.header("server-leaving").is_some());
+            n_draining += u32::from(response.header("server-leaving").is_some());
         }
-        assert!(n_told <= 1, "{n_told} of 40 requests on {route} went to the draining upstream");
+        assert!(
+            n_draining <= 1,
+            "{n_draining} of 40 requests on {route} went to the draining upstream"
+        );
     }
 }
 
@@ -54,9 +57,9 @@
             send();
             !host.log_entries("upstream drains").is_empty()
         });
-        let n_seen = upstream.requests().len();
+        let n_before = upstream.requests().len();
         (0..20).for_each(|_| assert_eq!(send().text(), "from plain-1"));
-        assert_eq!((n_seen, upstream.requests().len()), (1, 1), "{fault:?}");
+        assert_eq!((n_before, upstream.requests().len()), (1, 1), "{fault:?}");
     }
 }
 
@@ -79,11 +82,11 @@
             host.metric("portfield_draining_unlisted") == 1.0
         });
     }
-    let n_seen = fleet.plain_upstreams[0].requests().len();
+    let n_before = fleet.plain_upstreams[0].requests().len();
     for (n, host) in hosts.iter().cycle().take(60).enumerate() {
         assert_eq!(host.send(&request("order", &format!("later-{n}"))).text(), "from plain-1");
     }
-    assert_eq!((n_seen, fleet.plain_upstreams[0].requests().len()), (1, 1));
+    assert_eq!((n_before, fleet.plain_upstreams[0].requests().len()), (1, 1));
     let sources = |host: &Host| -> Vec<String> {
         let lines = host.log_entries("upstream drains");
         lines.iter().map(|it| it["source"].as_str().unwrap().to_owned()).collect()
@@ -170,9 +173,9 @@
     fleet.store.set_fault(StoreFault::Hang);
     fleet.plain_upstreams[0].set_draining(true);
     assert_eq!(host.send(&request("order", "r1")).status, 200);
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let refused = host.send(&request("order", "r2"));
-    assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
+    assert!(sent_at.elapsed() < Duration::from_millis(500), "{:?}", sent_at.elapsed());
     assert_eq!((refused.status, fleet.n_executed()), (503, 1));
     let retry: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!((0.1..=1.2).contains(&retry), "not within the deadline: {retry} s");
@@ -197,13 +200,13 @@
         send("order");
         !upstream.requests().is_empty()
     });
-    let asked = Instant::now();
-    while asked.elapsed() < BACKOFF - Duration::from_millis(100) {
+    let backoff_start = Instant::now();
+    while backoff_start.elapsed() < BACKOFF - Duration::from_millis(100) {
         assert_eq!((send("order").status, send("check").status), (503, 503));
         thread::sleep(Duration::from_millis(5));
     }
-    let n_seen = upstream.requests().len();
-    assert_eq!(n_seen, 1, "a request was sent before the backoff was over");
+    let n_requests = upstream.requests().len();
+    assert_eq!(n_requests, 1, "a request was sent before the backoff was over");
     fleet.plain_upstreams.iter().for_each(|it| it.set_fault(UpstreamFault::None));
     wait_until("the upstream gets requests again", || send("order").text() == "from plain-0");
 }
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -147,15 +147,15 @@
     let version = || host.metric("portfield_list_version");
     let followed = version();
     wait_until("the table is followed", || followed < version());
-    let (calls, start) = (fleet.store.n_calls(), Instant::now());
+    let (calls_before, start) = (fleet.store.n_calls(), Instant::now());
     for n in 1..=40 {
         fleet.store.put("servers", &format!("other-{n}"), &entry);
         thread::sleep(Duration::from_millis(10));
     }
-    let n_calls = fleet.store.n_calls() - calls;
+    let n_calls = fleet.store.n_calls() - calls_before;
     // One for each 100 ms that the changes took, and a few for the other tables.
-    let most = start.elapsed().as_millis() as u64 / 100 + 6;
-    assert!(n_calls <= most, "{n_calls} calls, at most {most}");
+    let max_calls = start.elapsed().as_millis() as u64 / 100 + 6;
+    assert!(n_calls <= max_calls, "{n_calls} calls, at most {max_calls}");
 }
 
 /// Another host that tells its configuration at once, and its list if it has one; else it never
