--- a/crates/portfield-host/tests/cost.rs
+++ b/crates/portfield-host/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a request costs a host in processor time; by hand, with numbers for docs/CAPACITY.md:
+//! CPU time of a host per request, measured by hand for docs/CAPACITY.md:
 //!
 //! `cargo test --release -p portfield-host --test cost -- --ignored --nocapture`
 
@@ -15,14 +15,14 @@
 use fleet::{Fleet, Host, connect, read_response, request, wait_until};
 use portfield_platform_standins::UpstreamFault;
 
-/// Callers, each with a connection of its own that it keeps.
+/// Number of callers, each with its own keep-alive connection.
 const N_CALLERS: usize = 48;
-/// Time for which they send.
+/// Time for which callers send requests.
 const DURATION: Duration = Duration::from_secs(8);
-/// Time of the kernel's processor clock tick.
+/// Length of a clock tick in `/proc/PID/stat`: the kernel reports CPU time in units of 10 ms.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// Returns the processor time that a process has used.
+/// Returns the CPU time that a host's process has used.
 fn cpu_time(host: &Host) -> Duration {
     let text = fs::read_to_string(format!("/proc/{}/stat", host.pid())).unwrap();
     let fields: Vec<&str> = text.rsplit_once(") ").unwrap().1.split(' ').collect();
@@ -68,15 +68,15 @@
         (n_events / n_completed.max(1), time / n_completed.max(1) as u32);
     writeln!(
         io::stdout(),
-        "{n_completed} requests of {events_per_request} events: {per_request:?} a request"
+        "{n_completed} requests of {events_per_request} events: {per_request:?} per request"
     )
     .unwrap();
 }
 
-/// Bytes of the body of a request that is refused for load: that of a large prompt.
+/// Body size of a request refused for overload, in bytes, as of a large prompt.
 const LARGE_BODY: usize = 900;
 
-/// Requests that are turned away, each on a connection of its own, as callers of a flood send them.
+/// Number of requests to reject; `Host::send` opens a connection for each, as callers in a flood do.
 const N_REFUSED: u32 = 4_000;
 
 #[test]
@@ -86,12 +86,12 @@
     let host = fleet.start_host();
     let before = cpu_time(&host);
     for n in 0..N_REFUSED {
-        // A key of no workspace: refused as early as what a busy host does not admit.
+        // An unknown API key is rejected as early as a request that an overloaded host refuses.
         let text = request("draft", &format!("{n:08x}")).replace("key-a", "key-of-nobody");
         assert_eq!(host.send(&text).status, 401);
     }
     let per_request = (cpu_time(&host) - before) / N_REFUSED;
-    writeln!(io::stdout(), "{N_REFUSED} refusals: {per_request:?} each").unwrap();
+    writeln!(io::stdout(), "{N_REFUSED} rejections: {per_request:?} each").unwrap();
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let host = fleet.spawn_host("active_limit = 1");
     wait_until("the host is ready", || host.is_ready());
     fleet.engines[0].set_fault(UpstreamFault::Hang);
-    // Two requests that hang are one more than may run at once: the rest is refused.
+    // Two hanging requests are one more than the limit, so all others are refused.
     let hanging: Vec<_> = (0..2)
         .map(|it| {
             let mut caller = connect(host.listen).unwrap();
@@ -109,7 +109,7 @@
             caller
         })
         .collect();
-    wait_until("both hang", || fleet.engines[0].n_executed() == 2);
+    wait_until("both requests hang", || fleet.engines[0].n_executed() == 2);
     let before = cpu_time(&host);
     let body = "x".repeat(LARGE_BODY);
     let mut caller = connect(host.listen).unwrap();
@@ -123,10 +123,7 @@
         assert_eq!(read_response(&mut caller).unwrap().status, 503);
     }
     let per_request = (cpu_time(&host) - before) / N_REFUSED;
-    writeln!(
-        io::stdout(),
-        "{N_REFUSED} refusals for load, on one connection: {per_request:?} each"
-    )
-    .unwrap();
+    writeln!(io::stdout(), "{N_REFUSED} overload refusals on one connection: {per_request:?} each")
+        .unwrap();
     drop(hanging);
 }
--- a/crates/portfield-host/tests/operations_docs.rs
+++ b/crates/portfield-host/tests/operations_docs.rs
@@ -1,20 +1,21 @@
-//! docs/OPERATIONS.md names every event and metric of the code, and none that the code lacks.
+//! Checks that docs/OPERATIONS.md lists the log events and metrics of the host, and none that don't exist.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
+/// Returns the text of docs/OPERATIONS.md.
 fn operations_page() -> String {
     fs::read_to_string(Path::new(ROOT).join("docs/OPERATIONS.md")).unwrap()
 }
 
-/// Returns the sources of the host's process, without line breaks.
+/// Returns the source code of the host, without line breaks.
 fn sources() -> String {
     let text = read_dir_recursively(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// Returns the text of all files of a folder and of those in it.
+/// Returns the concatenated contents of all files in a directory tree.
 fn read_dir_recursively(dir: &Path) -> String {
     let paths = fs::read_dir(dir).unwrap().map(|it| it.unwrap().path());
     let read = |it: std::path::PathBuf| {
@@ -23,21 +24,21 @@
     paths.map(read).collect()
 }
 
-/// Returns what stands in backticks in the first column of a table that begins with `header`.
+/// Returns the names in backticks in the first column of the table that begins with `header`.
 fn documented_names(header: &str) -> BTreeSet<String> {
     let page = operations_page();
-    let table = page.split_once(header).expect("the table").1;
+    let table = page.split_once(header).expect("no table with this header").1;
     let rows = table.lines().skip(1).take_while(|it| it.starts_with('|'));
     let cells = rows.filter_map(|it| it.split('|').nth(1));
     let quoted = cells.flat_map(|it| it.split('`').skip(1).step_by(2));
     quoted.map(str::to_owned).collect()
 }
 
-/// Returns the messages of the log lines that are written.
+/// Returns the messages of all log calls in the sources.
 fn logged_events(sources: &str) -> BTreeSet<String> {
     let macros = ["log::info!(", "log::warn!(", "log::error!("];
     let calls = macros.iter().flat_map(|it| sources.split(it).skip(1));
-    // The message follows the values and a semicolon.
+    // The message follows the key-value pairs and a semicolon.
     let message = |it: &str| {
         let text = it.split_once("; \"")?.1;
         Some(text.split_once('"')?.0.to_owned())
@@ -51,7 +52,7 @@
     let logged = logged_events(&sources());
     assert!(25 < logged.len(), "{logged:?}");
     let undocumented: Vec<_> = logged.difference(&documented).collect();
-    assert!(undocumented.is_empty(), "not on the page: {undocumented:?}");
+    assert!(undocumented.is_empty(), "not documented: {undocumented:?}");
     let unknown: Vec<_> = documented.difference(&logged).collect();
     assert!(unknown.is_empty(), "not in the code: {unknown:?}");
 }
--- a/crates/portfield-host/tests/quarantine.rs
+++ b/crates/portfield-host/tests/quarantine.rs
@@ -1,18 +1,14 @@
-//! A request that ends every upstream that runs it.
+//! Quarantine of poison requests, which crash every upstream that executes them.
 //!
-//! What users saw: one engine after the other ended, nine of nine within some seconds, each with the streams of
-//! all who were served there; those that came back ended again. Under one request nineteen engines ended.
+//! Guards against an outage in which one request crashed nine of nine engines within seconds, broke all streams on
+//! them, and crashed the engines again that had restarted; one such request crashed nineteen. It crashed an engine
+//! after 0.2 to 0.7 s. Its caller got a 502 or a broken stream, and retried under a new attempt ID at another host,
+//! which sent it to the next engine: hosts counted attempts within one exchange only, and neither remembered nor
+//! shared which requests were running on a crashed upstream.
 //!
-//! The order of events: a request is sent to an engine and ends it 0.2 to 0.7 s later. Its caller has a 502,
-//! or a broken stream, and asks again under another attempt's id, at another host. That host has not heard
-//! of it and sends it to the next engine.
-//!
-//! The cause: nothing outlived an attempt. Each host counted tries within one exchange; none told the
-//! others, or remembered itself, which requests had run where an upstream ended.
-//!
-//! The evidence: at fourteen engines that ended, one request was running each time, the same by workspace, route
-//! and tokens, as the first try of another attempt each time, at eight hosts of nine; no other request was
-//! at more than one of them.
+//! The request was identified at fourteen crashed engines: each time one with the same workspace, route and token
+//! counts was running, as the first try of a new attempt, from eight of nine hosts. No other request was running
+//! on more than one of them.
 
 mod fleet;
 
@@ -31,27 +27,27 @@
 use portfield_platform_standins::{FakeStore, FakeUpstream, StoreFault, UpstreamFault};
 use serde_json::Value;
 
-/// What the body of a lethal request holds.
+/// Body of a poison request.
 const POISON_BODY: &str = "!!!!";
-/// Ends by which a request is known to be lethal.
+/// Number of crashes after which a request is quarantined.
 const CRASH_THRESHOLD: usize = 3;
-/// Runs more that may be on their way by then, at other hosts.
+/// Further executions that other hosts may have started by then.
 const MAX_IN_FLIGHT: usize = 2;
-/// Callers of other requests, each with one at a time.
+/// Number of callers of other requests, each with one request at a time.
 const N_CALLERS: usize = 6;
-/// Time after which an engine that ended is back.
+/// Time after which a crashed engine restarts.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// Time that an engine takes for an event.
+/// Time between two events of an engine's stream.
 const ENGINE_LATENCY: Duration = Duration::from_millis(10);
-/// Time between two attempts of the lethal request's caller.
+/// Time between two attempts of the poison request's caller.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// A request whose run ends its engine.
+/// Returns a request that crashes the engine that executes it.
 fn poison_request(route: &str, id: &str) -> String {
     request(route, id).replace("\r\n\r\nbody", &format!("\r\n\r\n{POISON_BODY}"))
 }
 
-/// Engines that end on lethal requests, and come back as new ones.
+/// Engines that crash on poison requests and are replaced by new ones, until dropped.
 struct Engines {
     all: Arc<Mutex<Vec<FakeUpstream>>>,
     is_stopped: Arc<AtomicBool>,
@@ -77,18 +73,19 @@
         Self { all, is_stopped, restarter: Some(restarter) }
     }
 
+    /// Returns the number of engines that have crashed.
     fn n_crashed(&self) -> usize {
         self.all.lock().unwrap().iter().filter(|it| it.has_crashed()).count()
     }
 
-    /// Returns how many lethal requests ran.
+    /// Returns the number of poison requests executed.
     fn n_poison_runs(&self) -> usize {
         let all = self.all.lock().unwrap();
         let seen = all.iter().flat_map(FakeUpstream::requests);
         seen.filter(|it| it.is_executed && it.body == POISON_BODY.as_bytes()).count()
     }
 
-    /// Returns how many other requests were cut by them.
+    /// Returns the number of other requests interrupted by crashes.
     fn n_interrupted(&self) -> u32 {
         self.all.lock().unwrap().iter().map(FakeUpstream::n_interrupted).sum()
     }
@@ -101,7 +98,7 @@
     }
 }
 
-/// Starts a new engine for each that has ended since the last look; returns how many.
+/// Starts a new engine for each one crashed beyond the `n_restarted` already replaced; returns their number.
 fn restart_crashed(
     rt: &Runtime,
     store: &FakeStore,
@@ -128,7 +125,7 @@
     n_new
 }
 
-/// Sends the lethal request again and again, each time to the next host, for a while.
+/// Sends a poison request `n` times, each time to the next host.
 fn resend_poison(hosts: &[Host], route: &str, n: usize) -> Vec<Response> {
     let send = |n: usize| {
         thread::sleep(RETRY_DELAY);
@@ -137,11 +134,11 @@
     (0..n).map(send).collect()
 }
 
-/// Starts hosts that hear each other.
+/// Starts hosts and waits until they know each other.
 fn start_hosts(fleet: &mut Fleet, n: usize) -> Vec<Host> {
     let res: Vec<Host> = (0..n).map(|_| fleet.start_host()).collect();
     let has_all_peers = |it: &Host| it.metric("portfield_hosts") as usize == n;
-    wait_until("all hosts hear each other", || res.iter().all(has_all_peers));
+    wait_until("all hosts know each other", || res.iter().all(has_all_peers));
     res
 }
 
@@ -154,16 +151,20 @@
     let (n_poison_runs, n_crashed) = (engines.n_poison_runs(), engines.n_crashed());
     assert!(
         n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT,
-        "it ran {n_poison_runs} times, {n_crashed} engines ended"
+        "executed {n_poison_runs} times, {n_crashed} engines crashed"
     );
     let last = responses.last().unwrap();
     assert_eq!(last.status, 503);
     assert!(last.text().contains("ended"), "{}", last.text());
     let retry_after: f64 = last.header("retry-after").unwrap().parse().unwrap();
-    assert!(30.0 <= retry_after, "told to come back after {retry_after} s");
+    assert!(30.0 <= retry_after, "Retry-After is {retry_after} s");
     for (n, host) in hosts.iter().enumerate() {
         let response = host.send(&request("draft", &format!("innocent-{n}")));
-        assert_eq!((response.status, response.is_complete), (200, true), "others are served");
+        assert_eq!(
+            (response.status, response.is_complete),
+            (200, true),
+            "other requests are served"
+        );
     }
 }
 
@@ -174,7 +175,7 @@
     let engines = Engines::new(&fleet);
     resend_poison(&hosts, "digest", 12);
     let n_poison_runs = engines.n_poison_runs();
-    assert!(n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT, "it ran {n_poison_runs} times");
+    assert!(n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT, "executed {n_poison_runs} times");
 }
 
 #[test]
@@ -187,11 +188,11 @@
     let hosts = start_hosts(&mut fleet, 3);
     let before = engines.n_poison_runs();
     let responses = resend_poison(&hosts, "draft", 9);
-    assert_eq!(engines.n_poison_runs(), before, "it ran again");
+    assert_eq!(engines.n_poison_runs(), before, "executed again");
     assert!(responses.iter().all(|it| it.status == 503));
 }
 
-/// Callers of other requests lose what runs on an engine that ends, and no more than that.
+/// Callers of other requests lose those running on a crashing engine, and no more.
 #[test]
 fn crashing_request_interrupts_few_other_requests() {
     let mut fleet = Fleet::new(0, 6);
@@ -218,13 +219,13 @@
     let max_interrupted = N_CALLERS * (CRASH_THRESHOLD + MAX_IN_FLIGHT);
     assert!(
         n_interrupted <= max_interrupted,
-        "{n_interrupted} others were cut, {n_crashed} engines ended"
+        "{n_interrupted} other requests interrupted, {n_crashed} engines crashed"
     );
-    assert!(n_sent - n_served <= max_interrupted, "{n_served} of {n_sent} others were served");
+    assert!(n_sent - n_served <= max_interrupted, "{n_served} of {n_sent} other requests served");
 }
 
-/// Many callers send it at once, hosts are killed and start anew, the store is down: after the third end and the time
-/// in which hosts hear of it, no upstream gets it any more.
+/// Many callers send a poison request at once while hosts are killed and replaced and the store is down. After the
+/// third crash, and the time until all hosts know of it, no upstream gets the request.
 #[test]
 fn quarantine_holds_while_hosts_are_killed_and_the_store_is_down() {
     let mut fleet = Fleet::new(0, 8);
@@ -243,17 +244,21 @@
         }
     });
     let has_quarantined = |it: &Host| 1.0 <= it.metric("portfield_quarantine_refused");
-    wait_until("all hosts know of it", || hosts.iter().all(has_quarantined));
+    wait_until("all hosts have quarantined the request", || hosts.iter().all(has_quarantined));
     let n_poison_runs = engines.n_poison_runs();
-    // Three at a time, each on its way before the first three have ended.
-    assert!(n_poison_runs <= CRASH_THRESHOLD * 3, "it ran {n_poison_runs} times");
+    // Three callers at a time, each with requests in flight before the first three crashes.
+    assert!(n_poison_runs <= CRASH_THRESHOLD * 3, "executed {n_poison_runs} times");
     fleet.store.set_fault(StoreFault::None);
     for n in 0..4 {
-        // Of four hosts three are there at any time, and tell the new one.
+        // Three of four hosts run at any time and share the quarantine with the new one.
         drop(hosts.remove(0));
         hosts.push(fleet.start_host());
         resend_poison(&hosts, "draft", 4);
-        assert_eq!(engines.n_poison_runs(), n_poison_runs, "after {n} hosts were killed");
+        assert_eq!(
+            engines.n_poison_runs(),
+            n_poison_runs,
+            "executed again after {n} hosts were killed"
+        );
     }
 }
 
@@ -263,7 +268,9 @@
     let hosts = start_hosts(&mut fleet, 2);
     let engines = Engines::new(&fleet);
     resend_poison(&hosts, "draft", 8);
-    wait_until("both refuse it", || hosts.iter().all(|it| !quarantined_requests(it).is_empty()));
+    wait_until("both hosts refuse the request", || {
+        hosts.iter().all(|it| !quarantined_requests(it).is_empty())
+    });
     let before = engines.n_poison_runs();
     let page = quarantined_requests(&hosts[0]);
     assert_eq!((page[0]["workspace"].as_str(), page[0]["n_ends"].as_u64()), (Some("a"), Some(3)));
@@ -271,17 +278,17 @@
     assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/soon").status, 400);
     assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/12").status, 404);
     assert_eq!(admin_request(&hosts[0], "DELETE", &path).status, 200);
-    wait_until("the other host hears of it", || quarantined_requests(&hosts[1]).is_empty());
+    wait_until("the other host knows of the lift", || quarantined_requests(&hosts[1]).is_empty());
     hosts[1].send(&poison_request("draft", "again"));
     assert_eq!(engines.n_poison_runs(), before + 1);
 }
 
-/// Returns what a host's page of refused requests shows.
+/// Returns the entries of a host's quarantine page.
 fn quarantined_requests(host: &Host) -> Vec<Value> {
     serde_json::from_str(&admin_request(host, "GET", "/quarantine").text()).unwrap()
 }
 
-/// Sends a request to a host's metrics address.
+/// Sends an admin request to a host's metrics address.
 fn admin_request(host: &Host, method: &str, path: &str) -> Response {
     let text = format!("{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     send_request(host.metrics, text.as_bytes()).unwrap()
