--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -7,29 +7,27 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Ending, Placed, RunId},
+    balance::{Assignment, Completion, RunId},
     catalog::Upstream,
 };
 use portfield_net::clock;
-use portfield_platform::{
-    answer::{self, Head},
-    request,
-};
+use portfield_platform::{request, response::ResponseHead};
 
 use crate::{
-    answer::CALLER_LEFT,
     call::Call,
     pool::Connection,
-    quarantine::{self, End},
-    reach, self_report,
+    probe,
+    quarantine::{self, EndEvidence},
+    response::CALLER_LEFT,
     state::Host,
+    upstream_signals,
 };
 
 /// What became of sending a request.
 #[derive(Debug)]
-pub(crate) enum Sent {
+pub(crate) enum AttemptResult {
     /// The upstream answers.
-    Answer(Box<Live>),
+    Response(Box<UpstreamResponse>),
     /// It does not, and why.
     Failed(Outcome, String),
 }
@@ -69,46 +67,46 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub(crate) struct Live {
+pub(crate) struct UpstreamResponse {
     pub parts: response::Parts,
     pub body: Incoming,
-    pub head: Head,
+    pub head: ResponseHead,
     pub connection: Connection,
-    pub run: Run,
+    pub run: RunGuard,
     pub upstream: Arc<Upstream>,
 }
 
 /// A request that an upstream works on; dropped before its end it counts as cancelled.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct RunGuard {
     host: Arc<Host>,
     id: RunId,
     is_over: bool,
 }
 
-impl Run {
-    fn start(host: &Arc<Host>, call: &Call, placed: &Placed) -> Self {
-        let id = host.balancer().start(clock::now(), &call.job, placed);
+impl RunGuard {
+    fn start(host: &Arc<Host>, call: &Call, placed: &Assignment) -> Self {
+        let id = host.balancer().record_start(clock::now(), &call.job, placed);
         Self { host: host.clone(), id, is_over: false }
     }
 
     /// Notes the first event, or the answer.
     pub(crate) fn first(&self) {
-        self.host.balancer().first(clock::now(), self.id);
+        self.host.balancer().record_first_event(clock::now(), self.id);
     }
 
     /// Notes the end.
-    pub(crate) fn end(&mut self, ending: Ending) {
+    pub(crate) fn end(&mut self, ending: Completion) {
         if !self.is_over {
             self.is_over = true;
-            self.host.balancer().end(clock::now(), self.id, ending);
+            self.host.balancer().record_end(clock::now(), self.id, ending);
         }
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.end(Completion::Cancelled);
     }
 }
 
@@ -117,30 +115,30 @@
     host: &Arc<Host>,
     call: &Call,
     upstream: &Arc<Upstream>,
-    placed: &Placed,
+    placed: &Assignment,
     last_event: Option<&str>,
     patience: Duration,
-) -> Sent {
-    let mut run = Run::start(host, call, placed);
+) -> AttemptResult {
+    let mut run = RunGuard::start(host, call, placed);
     let sent = clock::now();
-    let kept = host.pool.take(upstream.number());
+    let kept = host.pool.take(upstream.wire_id());
     let mut connection = match kept {
         Some(it) => it,
         None => match open(host, upstream).await {
             Ok(it) => it,
-            Err(NotOpen { ending, text }) => {
+            Err(ConnectError { ending, text }) => {
                 run.end(ending);
-                return Sent::Failed(Outcome::NotSent, text);
+                return AttemptResult::Failed(Outcome::NotSent, text);
             }
         },
     };
     loop {
         // Since the request was placed it may drain, be evacuated, or have asked to be left alone: opening a connection
         // takes time.
-        if !host.admits(upstream) {
-            run.end(Ending::Cancelled);
+        if !host.may_send_to(upstream) {
+            run.end(Completion::Cancelled);
             let text = "nothing more may be sent there";
-            return Sent::Failed(Outcome::NotSent, text.to_owned());
+            return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
         let request = build(call, upstream, last_event);
         connection.guard.set(call.caller.clone());
@@ -148,31 +146,31 @@
         return match answer {
             None => {
                 // An answer that did not come while this host stood still says nothing of the upstream.
-                let stood_still = host.woke_at().is_some_and(|it| sent <= it);
-                run.end(if stood_still { Ending::Cancelled } else { Ending::Broken });
-                Sent::Failed(Outcome::Late, "no answer in time".to_owned())
+                let stood_still = host.resumed_at().is_some_and(|it| sent <= it);
+                run.end(if stood_still { Completion::Cancelled } else { Completion::Broken });
+                AttemptResult::Failed(Outcome::Late, "no answer in time".to_owned())
             }
             Some(Ok(response)) => judge(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
-                run.end(Ending::Cancelled);
-                Sent::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
+                run.end(Completion::Cancelled);
+                AttemptResult::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
             Some(Err(mut err)) => {
                 if err.take_message().is_none() {
-                    run.end(Ending::Broken);
-                    return Sent::Failed(Outcome::Unknown, explain(err.error()));
+                    run.end(Completion::Broken);
+                    return AttemptResult::Failed(Outcome::Unknown, error_chain(err.error()));
                 }
                 // Nothing was sent; a kept connection may have ended since its last answer.
                 if !connection.reused {
-                    run.end(Ending::Unreachable);
+                    run.end(Completion::Unreachable);
                     let text = "the connection ended before the request";
-                    return Sent::Failed(Outcome::NotSent, text.to_owned());
+                    return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
                 }
                 match open(host, upstream).await {
                     Ok(it) => connection = it,
-                    Err(NotOpen { ending, text }) => {
+                    Err(ConnectError { ending, text }) => {
                         run.end(ending);
-                        return Sent::Failed(Outcome::NotSent, text);
+                        return AttemptResult::Failed(Outcome::NotSent, text);
                     }
                 }
                 continue;
@@ -182,20 +180,20 @@
 }
 
 /// Writes an error with its causes.
-pub(crate) fn explain(err: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(err: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(err.source(), |it| it.source());
     causes.fold(err.to_string(), |text, it| format!("{text}: {it}"))
 }
 
 /// Why there is no connection to an upstream.
 #[derive(Debug)]
-struct NotOpen {
+struct ConnectError {
     /// What it says of the upstream.
-    ending: Ending,
+    ending: Completion,
     text: String,
 }
 
-async fn open(host: &Arc<Host>, upstream: &Arc<Upstream>) -> Result<Connection, NotOpen> {
+async fn open(host: &Arc<Host>, upstream: &Arc<Upstream>) -> Result<Connection, ConnectError> {
     host.metrics.count("upstream_connections");
     let res = host.pool.open(upstream.entry.address).await;
     res.map_err(|err| {
@@ -203,11 +201,11 @@
         if is_own_limit(&err) {
             // Says nothing of the upstream: with it blamed, a host without a descriptor left alone
             // one sound upstream after the other.
-            host.lacks_descriptors(&err);
-            return NotOpen { ending: Ending::Cancelled, text };
+            host.handle_fd_exhaustion(&err);
+            return ConnectError { ending: Completion::Cancelled, text };
         }
-        reach::start(host, upstream, &err);
-        NotOpen { ending: Ending::Unreachable, text }
+        probe::start_reconnect(host, upstream, &err);
+        ConnectError { ending: Completion::Unreachable, text }
     })
 }
 
@@ -219,13 +217,13 @@
 }
 
 fn build(call: &Call, upstream: &Upstream, last_event: Option<&str>) -> Request<Full<Bytes>> {
-    let headers = request::encode(
+    let headers = request::rewrite_headers(
         &call.headers,
-        &request::Upstream {
-            patience: call.left(),
-            expected: &upstream.entry.id,
+        &request::UpstreamHeaders {
+            timeout: call.left(),
+            incarnation: &upstream.entry.id,
             workspace: call.workspace.as_ref().map(|it| it.name.as_str()),
-            last_event,
+            last_event_id: last_event,
         },
     );
     let mut res = Request::new(Full::new(call.body.clone()));
@@ -242,30 +240,37 @@
     upstream: &Arc<Upstream>,
     response: Response<Incoming>,
     connection: Connection,
-    mut run: Run,
-) -> Sent {
+    mut run: RunGuard,
+) -> AttemptResult {
     let (parts, body) = response.into_parts();
-    let head = answer::decode(parts.status, &parts.headers, &call.id);
-    self_report::hear(host, call, upstream, parts.status, &head);
-    if !head.belongs {
-        run.end(Ending::Broken);
+    let head = portfield_platform::response::decode(parts.status, &parts.headers, &call.id);
+    upstream_signals::handle_response_head(host, call, upstream, parts.status, &head);
+    if !head.id_matches {
+        run.end(Completion::Broken);
         let text = "the answer belongs to another request";
-        return Sent::Failed(Outcome::Unknown, text.to_owned());
+        return AttemptResult::Failed(Outcome::Unknown, text.to_owned());
     }
-    if head.in_place_of(&upstream.entry.id).is_some() {
-        quarantine::ended(host, upstream, End::Replaced);
+    if head.replacement_of(&upstream.entry.id).is_some() {
+        quarantine::record_upstream_end(host, upstream, EndEvidence::Replaced);
     }
     if head.not_run {
         let asks_time =
-            head.backoff.as_ref().and_then(|it| it.time).is_some_and(|it| !it.is_zero());
-        run.end(if asks_time { Ending::BackedOff } else { Ending::Rejected });
+            head.retry_after.as_ref().and_then(|it| it.delay).is_some_and(|it| !it.is_zero());
+        run.end(if asks_time { Completion::BackoffRequested } else { Completion::Rejected });
         let text = format!("turned away with {}", parts.status.as_u16());
-        return Sent::Failed(Outcome::NotRun, text);
+        return AttemptResult::Failed(Outcome::NotRun, text);
     }
-    if parts.status.is_success() && !head.signed {
-        run.end(Ending::Broken);
-        return Sent::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
+    if parts.status.is_success() && !head.is_signed {
+        run.end(Completion::Broken);
+        return AttemptResult::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
     let upstream = upstream.clone();
-    Sent::Answer(Box::new(Live { parts, body, head, connection, run, upstream }))
+    AttemptResult::Response(Box::new(UpstreamResponse {
+        parts,
+        body,
+        head,
+        connection,
+        run,
+        upstream,
+    }))
 }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -8,16 +8,16 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Job, Overload, Prompt, Stage},
-    catalog::{Access, Catalog, EngineSpec, Kind, Route, Workspace},
-    quarantine::{self, Fingerprint, Identity},
+    balance::{Overload, PlacementRequest, Prompt, Stage},
+    catalog::{Access, Catalog, EngineSpec, Route, RouteKind, Workspace},
+    quarantine::{self, Fingerprint, RequestIdentity},
 };
 use portfield_net::clock;
 use portfield_platform::request;
 
 use crate::{
-    answer::Failure,
-    state::{Host, hash},
+    response::Failure,
+    state::{Host, hash_name},
 };
 
 /// When a caller is told to come back to a host that knows no configuration yet.
@@ -28,9 +28,9 @@
 
 /// When a caller is told to come back, to another host, by one that stood still: it mostly hears within as much
 /// what has changed.
-pub(crate) const WAKING_RETRY: Duration = Duration::from_millis(100);
+pub(crate) const SUSPENDED_RETRY: Duration = Duration::from_millis(100);
 /// What it is told.
-pub(crate) const STOOD_STILL: &str = "this host stood still, and hears first what has changed";
+pub(crate) const SUSPENDED_TEXT: &str = "this host stood still, and hears first what has changed";
 
 /// A request that may be sent to an upstream.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     pub service: String,
     pub workspace: Option<Arc<Workspace>>,
     pub config_version: u64,
-    pub job: Job,
+    pub job: PlacementRequest,
     /// Names the request, whatever the attempt.
     pub fingerprint: Fingerprint,
     _held: Arc<()>,
@@ -67,49 +67,50 @@
         request: Request<Incoming>,
     ) -> Result<Self, Failure> {
         let arrived = clock::now();
-        if !host.trusts() {
-            return Err(Failure::refused(STOOD_STILL, WAKING_RETRY));
+        if !host.has_fresh_state() {
+            return Err(Failure::unavailable(SUSPENDED_TEXT, SUSPENDED_RETRY));
         }
-        let Some(in_force) = host.in_force() else {
-            return Err(Failure::refused("no configuration is known yet", NO_CONFIG_RETRY));
+        let Some(active_config) = host.active_config() else {
+            return Err(Failure::unavailable("no configuration is known yet", NO_CONFIG_RETRY));
         };
-        let catalog = in_force.catalog;
+        let catalog = active_config.catalog;
         let (parts, body) = request.into_parts();
         let head = request::decode(&parts.headers)
-            .map_err(|it| Failure::bad(StatusCode::BAD_REQUEST, it.header, it.hint))?;
+            .map_err(|it| Failure::rejected(StatusCode::BAD_REQUEST, it.header, it.hint))?;
         let route = find_route(&catalog, &parts.uri, &parts.headers)?;
-        if route.kind.is_stream() && !host.takes_streams() {
-            return Err(Failure::refused("this host is about to end", STOPPING_RETRY));
+        if route.kind.is_stream() && !host.accepts_streams() {
+            return Err(Failure::unavailable("this host is about to end", STOPPING_RETRY));
         }
-        let workspace = authorize(&catalog, &route, head.key.as_deref())?;
-        let service = route.pick(fastrand::f64()).unwrap_or_default().to_owned();
+        let workspace = authorize(&catalog, &route, head.api_key.as_deref())?;
+        let service = route.pick_service(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
-        let owner = workspace.as_ref().map_or(0, |it| hash(&it.name));
+        let owner = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
         let n_messages = messages(head.prompt.as_ref(), engine);
         let draw = fastrand::f64();
-        let overload = host.governor().refuses(arrived, owner, n_messages, draw);
+        let overload = host.governor().shed(arrived, owner, n_messages, draw);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
-            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::cost);
-            host.balancer().refused(arrived, owner, tokens);
+            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::token_cost);
+            host.balancer().record_refusal(arrived, owner, tokens);
             let refused = Overloaded { owner, tokens, overload };
             log_overload(host, &head, &route, workspace.as_deref(), refused);
-            return Err(Failure::overloaded(host.governor().retry(fastrand::f64())));
+            return Err(Failure::overloaded(host.governor().retry_after(fastrand::f64())));
         }
-        let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let reading = read_body(body, catalog.limits().body_bytes);
-        let late = || Err(Failure::bad(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
+        let late =
+            || Err(Failure::rejected(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
         let body = clock::timeout(patience, reading).await.unwrap_or_else(late)?;
-        let job = Job {
+        let job = PlacementRequest {
             workspace: owner,
-            service: hash(&service),
+            service: hash_name(&service),
             prompt: head.prompt,
-            objective: route.objective,
+            objective: route.latency_target,
             waited: Duration::ZERO,
             stage: Stage::New,
             engine,
         };
-        let identity = Identity {
+        let identity = RequestIdentity {
             workspace: owner,
             method: parts.method.as_str(),
             target: parts.uri.path_and_query().map_or("", |it| it.as_str()),
@@ -117,7 +118,7 @@
         };
         let fingerprint = identity.fingerprint();
         Ok(Self {
-            id: head.id,
+            id: head.attempt_id,
             caller: caller.clone(),
             arrived,
             deadline: arrived.saturating_add(patience),
@@ -131,12 +132,12 @@
             config_version: catalog.version(),
             job,
             fingerprint,
-            _held: host.hold(),
+            _held: host.track_request(),
         })
     }
 
     /// Returns what may be repeated.
-    pub(crate) fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> RouteKind {
         self.route.kind
     }
 
@@ -146,13 +147,13 @@
     }
 
     /// Returns what hosts tell each other of the request by.
-    pub(crate) fn request(&self) -> quarantine::Request {
-        quarantine::Request { workspace: self.job.workspace, fingerprint: self.fingerprint }
+    pub(crate) fn request(&self) -> quarantine::RequestKey {
+        quarantine::RequestKey { workspace: self.job.workspace, fingerprint: self.fingerprint }
     }
 
     /// Returns what the request counts in its workspace's share, in tokens.
     pub(crate) fn tokens(&self) -> f64 {
-        self.job.tokens()
+        self.job.token_cost()
     }
 
     /// Returns the time that is left.
@@ -173,20 +174,20 @@
 
 fn log_overload(
     host: &Host,
-    head: &request::Head,
+    head: &request::RequestHead,
     route: &Route,
     workspace: Option<&Workspace>,
     Overloaded { owner, tokens, overload }: Overloaded,
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
-    host.intake.refused(name);
-    let account = host.balancer().account(clock::now(), owner);
+    host.ingress.record_refused(name);
+    let account = host.balancer().share_snapshot(clock::now(), owner);
     log::info!(
-        request = head.id, route = route.name, workspace = name, tokens,
+        request = head.attempt_id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
-        offered_level = overload.map_or(0.0, |it| it.level),
-        late_ms = overload.map_or(0.0, |it| it.late), active = host.n_active(),
-        asked = account.asked, taken = account.taken, level = account.level, best = account.best;
+        offered_level = overload.map_or(0.0, |it| it.limit),
+        late_ms = overload.map_or(0.0, |it| it.lateness), active = host.n_active(),
+        asked = account.asked, taken = account.taken, level = account.fair_share, best = account.largest_usage;
         "not admitted"
     );
 }
@@ -194,7 +195,7 @@
 /// Returns how many messages a host passes on for a request: both ways once, and the events.
 fn messages(prompt: Option<&Prompt>, engine: Option<EngineSpec>) -> f64 {
     let n_events = match (prompt, engine) {
-        (Some(prompt), Some(engine)) => prompt.output / engine.event_tokens.max(1),
+        (Some(prompt), Some(engine)) => prompt.max_output_tokens / engine.event_tokens.max(1),
         _ => 0,
     };
     2.0 + f64::from(n_events)
@@ -203,8 +204,8 @@
 fn find_route(catalog: &Catalog, uri: &Uri, headers: &HeaderMap) -> Result<Arc<Route>, Failure> {
     let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let name = named.or(uri.host()).unwrap_or_default();
-    let missing = || Failure::bad(StatusCode::NOT_FOUND, "path", "no route takes this path");
-    catalog.route(name, uri.path()).cloned().ok_or_else(missing)
+    let missing = || Failure::rejected(StatusCode::NOT_FOUND, "path", "no route takes this path");
+    catalog.find_route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
 fn authorize(
@@ -212,10 +213,10 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Failure> {
-    let found = key.and_then(|it| catalog.workspace(it)).cloned();
-    if found.is_none() && route.access == Access::Keyed {
+    let found = key.and_then(|it| catalog.workspace_by_key(it)).cloned();
+    if found.is_none() && route.access == Access::ApiKey {
         let text = "send a key of a workspace";
-        return Err(Failure::bad(StatusCode::UNAUTHORIZED, "authorization", text));
+        return Err(Failure::rejected(StatusCode::UNAUTHORIZED, "authorization", text));
     }
     Ok(found)
 }
@@ -225,8 +226,8 @@
         Ok(it) => Ok(it.to_bytes()),
         Err(err) if err.is::<http_body_util::LengthLimitError>() => {
             let text = format!("send at most {limit} bytes");
-            Err(Failure::bad(StatusCode::PAYLOAD_TOO_LARGE, "body", text))
+            Err(Failure::rejected(StatusCode::PAYLOAD_TOO_LARGE, "body", text))
         }
-        Err(err) => Err(Failure::bad(StatusCode::BAD_REQUEST, "body", err.to_string())),
+        Err(err) => Err(Failure::rejected(StatusCode::BAD_REQUEST, "body", err.to_string())),
     }
 }
--- a/crates/portfield-host/src/orders.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -2,59 +2,61 @@
 
 use std::{sync::Arc, time::Duration};
 
-use portfield::catalog::{Order, OrderChange, OrderList, Source, StoreVersion};
+use portfield::catalog::{
+    EvacuationChange, EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion,
+};
 use portfield_net::clock;
 use portfield_platform::store::{self, Row};
 
 use crate::{
-    reading::{Extent, Reading},
     state::Host,
+    table_read::{ReadScope, TableRead},
 };
 
 /// Takes rows of the operator's table.
 ///
 /// The row's key is the order: one whose value cannot be read stands all the same.
-pub(crate) fn take(host: &Arc<Host>, rows: &[Row], reading: &Reading) {
+pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
     let order = |it: &Row| {
-        let data_centre = store::evacuated(&it.key)?.to_owned();
-        Some(Order { data_centre, row: it.version, is_lifted: it.value.is_none() })
+        let data_centre = store::evacuated_data_centre(&it.key)?.to_owned();
+        Some(EvacuationRow { data_centre, row_version: it.version, is_lifted: it.value.is_none() })
     };
-    let orders: Vec<Order> = rows.iter().filter_map(order).collect();
-    if orders.is_empty() && reading.extent == Extent::Changes {
+    let orders: Vec<EvacuationRow> = rows.iter().filter_map(order).collect();
+    if orders.is_empty() && reading.scope == ReadScope::Changes {
         return;
     }
-    let Reading { version, extent, source } = *reading;
-    let source = match extent {
+    let TableRead { version, scope, source } = *reading;
+    let source = match scope {
         // Only a copy has lost what the operator wrote: a store that was merely away has not.
-        Extent::Copy => source,
-        Extent::Changes | Extent::Whole => Source::Current,
+        ReadScope::Restored => source,
+        ReadScope::Changes | ReadScope::Full => MissingRows::Deleted,
     };
-    let changes = host.update_list(|it| match extent {
-        Extent::Changes => it.evacuations.apply(version, orders),
-        Extent::Whole | Extent::Copy => it.evacuations.replace(version, orders, source),
+    let changes = host.update_list(|it| match scope {
+        ReadScope::Changes => it.evacuations.apply(version, orders),
+        ReadScope::Full | ReadScope::Restored => it.evacuations.replace(version, orders, source),
     });
-    note(host, &changes, "store");
+    record_changes(host, &changes, "store");
 }
 
 /// Takes another host's orders, as of a version of the store.
-pub(crate) fn learn(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
-    let changes = host.update_list(|it| it.evacuations.learn(clock::now(), version, list));
-    note(host, &changes, "host");
+pub(crate) fn merge_peer_orders(host: &Arc<Host>, version: StoreVersion, list: EvacuationSnapshot) {
+    let changes = host.update_list(|it| it.evacuations.merge(clock::now(), version, list));
+    record_changes(host, &changes, "host");
 }
 
 /// Ends orders that the store has lost and the operator did not write again.
 pub(crate) fn expire(host: &Arc<Host>, now: Duration) {
-    if !host.with_list(|it| it.evacuations.has_late(now)) {
+    if !host.with_list(|it| it.evacuations.has_expired(now)) {
         return;
     }
     let changes = host.update_list(|it| it.evacuations.expire(now));
-    note(host, &changes, "lost by the store");
+    record_changes(host, &changes, "lost by the store");
 }
 
 /// Tells what came into force, and has upstreams that may be used again start slowly.
-fn note(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
+fn record_changes(host: &Arc<Host>, changes: &[EvacuationChange], source: &str) {
     let orders = host.with_list(|it| it.evacuations.version());
-    for OrderChange { data_centre, is_lifted } in changes {
+    for EvacuationChange { data_centre, is_lifted } in changes {
         let store_age_ms = host.store_age().as_millis() as u64;
         if *is_lifted {
             log::warn!(data_centre, orders:%, source, store_age_ms; "evacuation over");
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -4,18 +4,18 @@
 
 use http::{Response, StatusCode};
 use portfield::{
-    balance::{Account, Placed, Stage},
-    catalog::{Kind, Upstream},
-    quarantine::Verdict,
+    balance::{Assignment, ShareSnapshot, Stage},
+    catalog::{RouteKind, Upstream},
+    quarantine::QuarantineEntry,
 };
 use portfield_net::clock;
 
 use crate::{
-    answer::{Body, CALLER_LEFT, Failure, GONE_RETRY},
-    attempt::{self, Live, Outcome, Sent},
-    call::{Call, STOOD_STILL, WAKING_RETRY},
-    placing::{Refused, Room},
-    quarantine, reach,
+    attempt::{self, AttemptResult, Outcome, UpstreamResponse},
+    call::{Call, SUSPENDED_RETRY, SUSPENDED_TEXT},
+    placement::{PlacementMode, PlacementRefusal},
+    probe, quarantine,
+    response::{Body, CALLER_LEFT, CALLER_LEFT_RETRY, Failure},
     state::Host,
 };
 
@@ -69,13 +69,13 @@
     pub(crate) async fn next_answer(
         &mut self,
         last_event: Option<&str>,
-    ) -> Result<Box<Live>, Failure> {
+    ) -> Result<Box<UpstreamResponse>, Failure> {
         loop {
             self.check_allowed()?;
             self.check_awake().await?;
             self.check_quarantine()?;
             let (placed, upstream) = self.place()?;
-            if !self.tried.is_empty() && !self.host.spend_retry(self.call.job.service) {
+            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.job.service) {
                 self.host.metrics.count("retry_budget_spent");
                 return Err(self.failure("the retry budget is spent".to_owned(), RETRY));
             }
@@ -84,22 +84,25 @@
             let patience = self.patience(placed.estimate);
             let (host, call) = (&self.host, &self.call);
             match attempt::send(host, call, &upstream, &placed, last_event, patience).await {
-                Sent::Answer(live) => {
+                AttemptResult::Response(live) => {
                     self.note_run();
                     return Ok(live);
                 }
-                Sent::Failed(outcome, cause) => self.note_failed(&upstream, outcome, cause)?,
+                AttemptResult::Failed(outcome, cause) => {
+                    self.note_failed(&upstream, outcome, cause)?;
+                }
             }
         }
     }
 
     /// Picks an upstream, or the refusal to give.
-    fn place(&mut self) -> Result<(Placed, Arc<Upstream>), Failure> {
+    fn place(&mut self) -> Result<(Assignment, Arc<Upstream>), Failure> {
         self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
-        let is_last_try = self.host.quarantine().is_last_try(clock::now(), self.call.request());
-        let room = if is_last_try { Room::Apart } else { Room::Any };
-        let Refused { reason, retry, estimate, share } =
-            match self.host.place(&self.call, &self.tried, room) {
+        let is_last_try =
+            self.host.quarantine().is_one_crash_away(clock::now(), self.call.request());
+        let mode = if is_last_try { PlacementMode::Isolated } else { PlacementMode::Any };
+        let PlacementRefusal { reason, retry, estimate, share } =
+            match self.host.place(&self.call, &self.tried, mode) {
                 Ok(it) => return Ok(it),
                 Err(it) => it,
             };
@@ -108,10 +111,10 @@
         log::info!(
             request = self.call.id, route = self.call.route.name, reason:?, share,
             workspace = self.call.workspace_name(), tokens = self.call.tokens(),
-            asked = account.asked, taken = account.taken, level = account.level,
-            best = account.best, level_age_ms = account.age.as_millis() as u64,
+            asked = account.asked, taken = account.taken, level = account.fair_share,
+            best = account.largest_usage, level_age_ms = account.age.as_millis() as u64,
             estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
-            objective_ms = self.call.route.objective.as_millis() as u64,
+            objective_ms = self.call.route.latency_target.as_millis() as u64,
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             hosts = self.host.balancer().n_hosts(clock::now()); "not placed"
@@ -120,18 +123,18 @@
         Err(self.failure(format!("refused: {reason:?}"), retry))
     }
 
-    fn account(&self) -> Account {
-        self.host.balancer().account(clock::now(), self.call.job.workspace)
+    fn account(&self) -> ShareSnapshot {
+        self.host.balancer().share_snapshot(clock::now(), self.call.job.workspace)
     }
 
-    fn log_placed(&self, placed: &Placed, upstream: &Upstream) {
+    fn log_placed(&self, placed: &Assignment, upstream: &Upstream) {
         log::info!(
             request = self.call.id, route = self.call.route.name, upstream = upstream.entry.id,
             workspace = self.call.workspace_name(),
             estimate_ms = placed.estimate.as_millis() as u64,
-            bias_ms = placed.bias.as_millis() as u64, unread = placed.unread,
-            ahead = placed.ahead, share = placed.share, attempt = self.tried.len() + 1,
-            tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_text(),
+            bias_ms = placed.bias.as_millis() as u64, unread = placed.uncached_tokens,
+            ahead = placed.queued_tokens, share = placed.share_ratio, attempt = self.tried.len() + 1,
+            tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_hex(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             store_age_ms = self.host.store_age().as_millis() as u64; "placed"
@@ -163,23 +166,23 @@
         let word = outcome.as_str();
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = word, cause,
-            fingerprint = self.call.request().fingerprint_text(),
+            fingerprint = self.call.request().fingerprint_hex(),
             left_ms = self.call.left().as_millis() as u64; "attempt failed"
         );
         self.host.metrics.count(&format!("attempts_failed{{outcome=\"{word}\"}}"));
         if outcome == Outcome::Abandoned {
-            return Err(self.failure(CALLER_LEFT.to_owned(), GONE_RETRY));
+            return Err(self.failure(CALLER_LEFT.to_owned(), CALLER_LEFT_RETRY));
         }
-        if outcome == Outcome::Late && !self.call.kind().is_repeatable() {
-            return Err(Failure::unknown(StatusCode::GATEWAY_TIMEOUT, cause));
+        if outcome == Outcome::Late && !self.call.kind().is_retryable() {
+            return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, cause));
         }
         Ok(())
     }
 
     /// Notes that a run broke, and looks whether its upstream ended with it.
     fn note_break(&self, upstream: &Arc<Upstream>) {
-        if quarantine::broke(&self.host, &self.call, upstream) {
-            reach::look(&self.host, upstream);
+        if quarantine::record_broken_run(&self.host, &self.call, upstream) {
+            probe::verify_alive(&self.host, upstream);
         }
     }
 
@@ -188,7 +191,7 @@
         self.note_break(upstream);
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = "unknown", cause,
-            fingerprint = self.call.request().fingerprint_text(),
+            fingerprint = self.call.request().fingerprint_hex(),
             left_ms = self.call.left().as_millis() as u64; "answer broke"
         );
         self.host.metrics.count("answers_broken");
@@ -211,7 +214,7 @@
 
     /// Notes that the caller has the beginning of the answer.
     pub(crate) fn begin(&mut self) {
-        self.call.job.stage = Stage::Begun;
+        self.call.job.stage = Stage::Streaming;
     }
 
     /// Returns whether another upstream would go on with the request now.
@@ -219,13 +222,13 @@
         if !self.may_repeat() {
             return false;
         }
-        let placed = self.host.place(&self.call, &self.tried, Room::Any);
+        let placed = self.host.place(&self.call, &self.tried, PlacementMode::Any);
         placed.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
     }
 
     /// Returns whether another upstream may be asked to repeat or go on with the request.
     pub(crate) fn may_repeat(&self) -> bool {
-        self.call.kind().is_repeatable()
+        self.call.kind().is_retryable()
             && self.n_run < self.call.route.max_attempts
             && !self.call.left().is_zero()
     }
@@ -239,13 +242,13 @@
         if self.call.left().is_zero() {
             let text = "the time of the request is up";
             if self.may_have_run {
-                return Err(Failure::unknown(StatusCode::GATEWAY_TIMEOUT, text));
+                return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, text));
             }
-            return Err(Failure::refused(text, RETRY));
+            return Err(Failure::unavailable(text, RETRY));
         }
-        if self.may_have_run && !self.call.kind().is_repeatable() {
+        if self.may_have_run && !self.call.kind().is_retryable() {
             let text = "the answer broke, and the request may not run twice";
-            return Err(Failure::unknown(StatusCode::BAD_GATEWAY, text));
+            return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
         let max = self.call.route.max_attempts;
         if max <= self.n_run || max + MAX_TURNED_AWAY <= self.n_run + self.n_turned {
@@ -257,9 +260,9 @@
     /// Checks that what this host knows may be used; a stream that has begun waits for it, since its caller has part
     /// of the answer.
     async fn check_awake(&mut self) -> Result<(), Failure> {
-        while !self.host.trusts() {
+        while !self.host.has_fresh_state() {
             if self.call.job.stage == Stage::New {
-                return Err(self.failure(STOOD_STILL.to_owned(), WAKING_RETRY));
+                return Err(self.failure(SUSPENDED_TEXT.to_owned(), SUSPENDED_RETRY));
             }
             clock::sleep(AWAKE_PERIOD).await;
         }
@@ -268,9 +271,11 @@
 
     /// Checks that no upstreams ended under the request, at every send: the first, a repeat, a stream that goes on.
     fn check_quarantine(&self) -> Result<(), Failure> {
-        let verdict = self.host.quarantine().verdict(clock::now(), self.call.request());
-        let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
-        let fingerprint = self.call.request().fingerprint_text();
+        let verdict = self.host.quarantine().entry(clock::now(), self.call.request());
+        let Some(QuarantineEntry { n_crashes: n_ends, remaining: left, .. }) = verdict else {
+            return Ok(());
+        };
+        let fingerprint = self.call.request().fingerprint_hex();
         log::info!(
             request = self.call.id, route = self.call.route.name, fingerprint, n_ends,
             workspace = self.call.workspace_name(), left_s = left.as_secs(); "in quarantine"
@@ -281,14 +286,14 @@
              another one for {} s",
             left.as_secs()
         );
-        Err(self.failure(reason, quarantine::seconds(left)))
+        Err(self.failure(reason, quarantine::whole_seconds(left)))
     }
 
     fn failure(&self, reason: String, retry: Duration) -> Failure {
         if self.may_have_run {
-            return Failure::unknown(StatusCode::BAD_GATEWAY, reason);
+            return Failure::outcome_unknown(StatusCode::BAD_GATEWAY, reason);
         }
-        Failure::refused(reason, retry)
+        Failure::unavailable(reason, retry)
     }
 
     /// Returns how long the next upstream is waited for.
@@ -298,9 +303,9 @@
             return left;
         }
         match self.call.kind() {
-            Kind::Safe => left.mul_f64(FIRST_PATIENCE),
-            Kind::ResumableStream => left.min(estimate * 2 + self.call.route.objective),
-            Kind::Unsafe | Kind::Stream => left,
+            RouteKind::Safe => left.mul_f64(FIRST_PATIENCE),
+            RouteKind::ResumableStream => left.min(estimate * 2 + self.call.route.latency_target),
+            RouteKind::Unsafe | RouteKind::Stream => left,
         }
     }
 
@@ -321,7 +326,7 @@
             may_have_run = self.may_have_run; "given up"
         );
         self.host.metrics.count(&format!("given_up{{status=\"{}\"}}", failure.status.as_u16()));
-        failure.answer(&self.call.id)
+        failure.to_response(&self.call.id)
     }
 }
 
--- a/crates/portfield-host/src/serve.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -4,21 +4,21 @@
 
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full};
-use portfield::balance::Ending;
+use portfield::balance::Completion;
 use portfield_net::clock;
 
 use crate::{
-    answer::{Body, Failure},
-    attempt::{self, Live},
+    attempt::{self, UpstreamResponse},
     call::Call,
     exchange::Exchange,
     quarantine, relay,
+    response::{Body, Failure},
     state::Host,
 };
 
 /// Serves a request to its end.
-pub(crate) async fn run(host: Arc<Host>, call: Call) -> Response<Body> {
-    host.earn_retry(call.job.service);
+pub(crate) async fn serve_request(host: Arc<Host>, call: Call) -> Response<Body> {
+    host.deposit_retry(call.job.service);
     let mut exchange = Exchange::new(host, call);
     loop {
         let live = match exchange.next_answer(None).await {
@@ -26,9 +26,9 @@
             Err(failure) => return exchange.give_up(failure),
         };
         let res = if exchange.call.kind().is_stream() && live.parts.status.is_success() {
-            relay::stream(exchange, live).await
+            relay::relay_stream(exchange, live).await
         } else {
-            whole(exchange, live).await
+            buffer_response(exchange, live).await
         };
         match res {
             Ok(it) => return it,
@@ -42,31 +42,34 @@
 /// # Errors
 ///
 /// The exchange, where the answer broke or is an error and the request may be sent again.
-async fn whole(mut exchange: Exchange, live: Box<Live>) -> Result<Response<Body>, Exchange> {
-    let Live { mut parts, body, head, connection, mut run, upstream } = *live;
+async fn buffer_response(
+    mut exchange: Exchange,
+    live: Box<UpstreamResponse>,
+) -> Result<Response<Body>, Exchange> {
+    let UpstreamResponse { mut parts, body, head, connection, mut run, upstream } = *live;
     let bytes = match clock::timeout(exchange.call.left(), body.collect()).await {
         Some(Ok(it)) => it.to_bytes(),
         broken => {
             let cause = match broken {
-                Some(Err(err)) => attempt::explain(&err),
+                Some(Err(err)) => attempt::error_chain(&err),
                 _ => "the answer did not end in time".to_owned(),
             };
-            run.end(Ending::Broken);
+            run.end(Completion::Broken);
             exchange.broke(&upstream, &cause);
             if exchange.may_repeat() {
                 return Err(exchange);
             }
-            return Ok(exchange.give_up(Failure::unknown(StatusCode::BAD_GATEWAY, cause)));
+            return Ok(exchange.give_up(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, cause)));
         }
     };
     let first = clock::now();
     run.first();
     let is_error = parts.status.is_server_error();
-    run.end(if is_error { Ending::Error } else { Ending::Done });
-    if head.keeps {
-        exchange.host.pool.put(upstream.number(), connection, head.idle);
+    run.end(if is_error { Completion::Error } else { Completion::Done });
+    if head.keep_alive {
+        exchange.host.pool.put(upstream.wire_id(), connection, head.idle_timeout);
     }
-    portfield_platform::request::strip_hop(&mut parts.headers);
+    portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let body = Full::new(bytes).map_err(|it| match it {}).boxed_unsync();
     let status = parts.status;
     let res = Response::from_parts(parts, body);
@@ -75,7 +78,7 @@
         return Err(exchange);
     }
     if status.is_success() {
-        quarantine::succeeded(&exchange.host, &exchange.call);
+        quarantine::record_success(&exchange.host, &exchange.call);
     }
     exchange.answered(status, first, 0);
     Ok(res)
--- a/crates/portfield-host/src/self_report.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, PoisonError};
 
 use http::StatusCode;
-use portfield::{balance::Audience, catalog::Upstream};
+use portfield::{balance::GossipTopology, catalog::Upstream};
 use portfield_net::clock;
-use portfield_platform::{answer::Head, retry_after::RetryAfter};
+use portfield_platform::{response::ResponseHead, retry_after::RetryAfter};
 use portfield_wire::Digest;
 
 use crate::{call::Call, state::Host};
@@ -17,61 +17,61 @@
 /// Takes what the head of an answer says of the upstream that gave it, whatever else becomes of the answer.
 ///
 /// An answer that names another request came on this upstream's connection all the same, and is its own.
-pub(crate) fn hear(
+pub(crate) fn handle_response_head(
     host: &Host,
     call: &Call,
     asked: &Arc<Upstream>,
     status: StatusCode,
-    head: &Head,
+    head: &ResponseHead,
 ) {
-    if let Some(other) = head.in_place_of(&asked.entry.id) {
-        note_replaced(host, call, asked, other);
+    if let Some(other) = head.replacement_of(&asked.entry.id) {
+        record_replaced(host, call, asked, other);
     }
-    if !head.draining && head.backoff.is_none() {
+    if !head.is_draining && head.retry_after.is_none() {
         return;
     }
-    let Some(upstream) = speaker(host, asked, head) else {
+    let Some(upstream) = responding_upstream(host, asked, head) else {
         log::info!(
-            request = call.id, asked = asked.entry.id, upstream = head.other;
+            request = call.id, asked = asked.entry.id, upstream = head.responder_id;
             "an unknown upstream says something of itself"
         );
         return;
     };
-    if head.draining {
+    if head.is_draining {
         host.metrics.count("answers_draining");
-        note_draining(host, call, &upstream, status);
+        record_draining(host, call, &upstream, status);
     }
-    if let Some(it) = &head.backoff {
+    if let Some(it) = &head.retry_after {
         host.metrics.count("backoffs_asked");
-        back_off(host, call, &upstream, status, it);
+        record_backoff(host, call, &upstream, status, it);
     }
 }
 
 /// Adds the upstreams that drain by their own word to this host's digest.
-pub(crate) fn report(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, audience: &GossipTopology, digest: &mut Digest) {
     // Every request reads the list, and mostly there is none.
-    if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
+    if host.with_list(|it| it.directory.draining_unlisted().next().is_none()) {
         return;
     }
     let mut listed = host.listed.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = listed.directory.report_draining(audience.telling(digest.sequence));
+    digest.draining = listed.directory.draining_for_digest(audience.detail(digest.sequence));
 }
 
 /// Adds them to the sum of this host's data centre.
-pub(crate) fn summarize(host: &Host, digest: &mut Digest) {
-    digest.draining = host.with_list(|it| it.directory.summarize_draining());
+pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
+    digest.draining = host.with_list(|it| it.directory.draining_for_summary());
 }
 
 /// Takes what another host heard of upstreams.
-pub(crate) fn take(host: &Host, digest: &Digest) {
-    let is_news = |it: &u32| !host.with_list(|list| list.directory.is_said_to_drain(*it));
+pub(crate) fn merge_digest(host: &Host, digest: &Digest) {
+    let is_news = |it: &u32| !host.with_list(|list| list.directory.is_marked_draining(*it));
     let news: Vec<u32> = digest.draining.iter().copied().filter(is_news).collect();
     if news.is_empty() {
         return;
     }
     host.update_list(|it| {
         for number in &news {
-            it.directory.note_draining(*number);
+            it.directory.mark_draining(*number);
         }
     });
     if MAX_LINES < news.len() {
@@ -79,14 +79,18 @@
         return;
     }
     for number in news {
-        log::info!(upstream = id_of(host, number), number, source = "host", host = digest.address; "upstream drains");
+        log::info!(upstream = upstream_id(host, number), number, source = "host", host = digest.address; "upstream drains");
     }
 }
 
 /// Returns the upstream that gave an answer: the one that was asked, or the one that says that it is another and stands
 /// at the same address.
-fn speaker(host: &Host, asked: &Arc<Upstream>, head: &Head) -> Option<Arc<Upstream>> {
-    let Some(other) = head.in_place_of(&asked.entry.id) else {
+fn responding_upstream(
+    host: &Host,
+    asked: &Arc<Upstream>,
+    head: &ResponseHead,
+) -> Option<Arc<Upstream>> {
+    let Some(other) = head.replacement_of(&asked.entry.id) else {
         return Some(asked.clone());
     };
     let is_other =
@@ -95,39 +99,45 @@
 }
 
 /// Leaves an upstream alone for as long as it asks for.
-fn back_off(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode, asked: &RetryAfter) {
-    let (now, number) = (clock::now(), upstream.number());
+fn record_backoff(
+    host: &Host,
+    call: &Call,
+    upstream: &Upstream,
+    status: StatusCode,
+    asked: &RetryAfter,
+) {
+    let (now, number) = (clock::now(), upstream.wire_id());
     let end = {
         let mut balancer = host.balancer();
-        if let Some(time) = asked.time {
-            balancer.back_off(now, number, time);
+        if let Some(time) = asked.delay {
+            balancer.start_backoff(now, number, time);
         }
-        balancer.backs_off_until(now, number)
+        balancer.backoff_until(now, number)
     };
     log::info!(
-        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.sent,
-        backoff_ms = asked.time.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
+        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.raw,
+        backoff_ms = asked.delay.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
         left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asks to be left alone"
     );
 }
 
 /// Logs the upstreams whose time is over.
-pub(crate) fn log_backoffs_over(host: &Host) {
-    let over = host.balancer().take_backoffs_over(clock::now());
+pub(crate) fn log_expired_backoffs(host: &Host) {
+    let over = host.balancer().take_expired_backoffs(clock::now());
     for number in over {
-        log::info!(upstream = id_of(host, number), number; "upstream may be asked again");
+        log::info!(upstream = upstream_id(host, number), number; "upstream may be asked again");
     }
 }
 
 /// Returns the id of an upstream that the list knows.
-fn id_of(host: &Host, number: u32) -> Option<String> {
-    let is_it = |it: &&Arc<Upstream>| it.number() == number;
+fn upstream_id(host: &Host, number: u32) -> Option<String> {
+    let is_it = |it: &&Arc<Upstream>| it.wire_id() == number;
     host.with_list(|it| it.directory.all().find(is_it).map(|it| it.entry.id.clone()))
 }
 
 /// Sends nothing more to an upstream in whose place another one answers, until its entry goes too.
-fn note_replaced(host: &Host, call: &Call, asked: &Upstream, other: &str) {
-    if !mark(host, asked) {
+fn record_replaced(host: &Host, call: &Call, asked: &Upstream, other: &str) {
+    if !mark_draining(host, asked) {
         return;
     }
     log::info!(
@@ -137,8 +147,8 @@
     );
 }
 
-fn note_draining(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode) {
-    if !mark(host, upstream) {
+fn record_draining(host: &Host, call: &Call, upstream: &Upstream, status: StatusCode) {
+    if !mark_draining(host, upstream) {
         return;
     }
     log::info!(
@@ -152,8 +162,8 @@
 /// Marks an upstream that gets nothing more; returns whether that is news.
 ///
 /// The lists by service are made anew only then: every answer of one that drains says so.
-fn mark(host: &Host, upstream: &Upstream) -> bool {
-    let number = upstream.number();
-    let is_known = host.with_list(|it| it.directory.is_said_to_drain(number));
-    !is_known && host.update_list(|it| it.directory.note_draining(number))
+fn mark_draining(host: &Host, upstream: &Upstream) -> bool {
+    let number = upstream.wire_id();
+    let is_known = host.with_list(|it| it.directory.is_marked_draining(number));
+    !is_known && host.update_list(|it| it.directory.mark_draining(number))
 }
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -11,7 +11,7 @@
 };
 
 use fleet::{Fleet, config, connect, read_response, request, send_request, wait_until};
-use portfield_platform::request::RESERVED;
+use portfield_platform::request::RESERVED_HEADERS;
 use portfield_platform_standins::UpstreamFault;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 fn reserved_headers_of_callers_are_dropped() {
     let mut fleet = Fleet::new(0, 1);
     let host = fleet.start_host();
-    for (n, name) in RESERVED.iter().enumerate() {
+    for (n, name) in RESERVED_HEADERS.iter().enumerate() {
         let forged = format!("{name}: 10.0.0.1:80/f\r\ndeadline-ms:");
         let text = request("digest", &format!("r{n}")).replace("deadline-ms:", &forged);
         assert_eq!(host.send(&text).status, 200, "{name}");
--- a/crates/portfield/src/balance/audience.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
-use super::balancer::WHOLE_EVERY;
-use crate::{telling::Telling, wire};
+use super::balancer::FULL_DIGEST_EVERY;
+use crate::{digest_scope::DigestScope, wire};
 
 /// Time between two digests with few hosts; fresher ones gained callers
 /// nothing.
@@ -21,43 +21,43 @@
 /// datagrams a second each way, a sixth of the smallest host's processor.
 const PERIOD_PER_HOST: Duration = Duration::from_millis(2);
 /// Silence after which a host is told only now and then.
-const SILENT: Duration = Duration::from_secs(5);
+const SILENT_AFTER: Duration = Duration::from_secs(5);
 /// How many digests a silent host is left out of, for each that it is sent.
 const SILENT_EVERY: u64 = 20;
 /// Silence after which a host no longer counts: above [`SILENT_EVERY`] of the longest periods.
-const GONE: Duration = Duration::from_secs(10);
+const DEAD_AFTER: Duration = Duration::from_secs(10);
 /// Time from a host's start in which it goes by how many others it knows of, some of them gone.
-const STARTING: Duration = Duration::from_secs(2);
+const STARTUP_TIME: Duration = Duration::from_secs(2);
 /// Periods of silence after which the next host speaks for the data centre: three lost in a row.
-const SPEAKER_PERIODS: u32 = 4;
+const LEADER_PERIODS: u32 = 4;
 /// Periods in which no host of the data centre is heard, after which this one looks for them all: the
 /// next in line has had time to take over.
-const LOST_PERIODS: u32 = 8;
+const ISOLATED_PERIODS: u32 = 8;
 /// The same, after which it is alone and speaks for itself.
 const ALONE_PERIODS: u32 = 16;
 /// How many digests a host that looks for the others leaves them out of, for each that it sends.
-const SEARCH_EVERY: u64 = 4;
+const DISCOVERY_EVERY: u64 = 4;
 
 /// This host among the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct GossipConfig {
     /// Hash of its address.
     pub host: u64,
     /// Hash of its data centre's name.
     pub data_centre: u32,
     /// Up to so many other hosts tell each other everything.
-    pub direct: usize,
+    pub direct_limit: usize,
 }
 
 /// Another host, as far as this one hears it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listener {
+pub struct RemoteHost {
     /// Hash of its address.
     pub host: u64,
     /// Hash of its data centre's name, where that is known.
     pub data_centre: Option<u32>,
     /// When it was last heard, itself or through the speaker; zero for never.
-    pub heard: Duration,
+    pub last_heard: Duration,
 }
 
 /// The other hosts at one moment.
@@ -65,84 +65,86 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::{Audience, Listener, Place};
+/// use portfield::balance::{GossipTopology, RemoteHost, GossipConfig};
 /// use std::time::Duration;
 ///
 /// let now = Duration::from_secs(30);
-/// let place = Place { host: 30, data_centre: 0, direct: 12 };
-/// let listener = |host: u64| Listener {
+/// let config = GossipConfig { host: 30, data_centre: 0, direct_limit: 12 };
+/// let remote = |host: u64| RemoteHost {
 ///     host,
 ///     data_centre: Some((host % 3) as u32),
-///     heard: now,
+///     last_heard: now,
 /// };
-/// let few: Vec<_> = (1..9).map(listener).collect();
-/// assert!(few.iter().all(|it| Audience::new(now, place, &few, 0).is_told(it, 1)));
-/// let many: Vec<_> = (1..60).map(listener).collect();
-/// let audience = Audience::new(now, place, &many, 0);
-/// let told = many.iter().filter(|it| audience.is_told(it, 1)).map(|it| it.host);
-/// assert_eq!(told.collect::<Vec<_>>(), [3, 6], "the speaker, and the next in line");
+/// let few: Vec<_> = (1..9).map(remote).collect();
+/// assert!(few.iter().all(|it| GossipTopology::new(now, config, &few, 0).is_recipient(it, 1)));
+/// let many: Vec<_> = (1..60).map(remote).collect();
+/// let topology = GossipTopology::new(now, config, &many, 0);
+/// let told = many.iter().filter(|it| topology.is_recipient(it, 1)).map(|it| it.host);
+/// assert_eq!(told.collect::<Vec<_>>(), [3, 6], "the leader and its standby");
 /// ```
 #[derive(Debug, Clone, Copy)]
-pub struct Audience {
+pub struct GossipTopology {
     now: Duration,
-    place: Place,
-    is_large: bool,
+    config: GossipConfig,
+    is_hierarchical: bool,
     period: Duration,
     /// The speaker of this data centre and the next in line, as far as they are known.
-    first: Option<u64>,
-    second: Option<u64>,
+    leader: Option<u64>,
+    standby: Option<u64>,
     /// When a host of this data centre was last heard; zero for never.
-    newest: Duration,
+    last_local: Duration,
 }
 
-impl Listener {
+impl RemoteHost {
     /// Returns whether it has not been heard for so long that its next word is news.
     pub fn is_silent(&self, now: Duration) -> bool {
-        self.heard.is_zero() || self.heard + SILENT < now
+        self.last_heard.is_zero() || self.last_heard + SILENT_AFTER < now
     }
 
     /// Returns whether it was heard, and so late that it counts.
-    pub fn is_there(&self, now: Duration) -> bool {
-        !self.heard.is_zero() && now < self.heard + GONE
+    pub fn is_alive(&self, now: Duration) -> bool {
+        !self.last_heard.is_zero() && now < self.last_heard + DEAD_AFTER
     }
 }
 
-impl Audience {
+impl GossipTopology {
     /// Looks at the other hosts; `n_far` is how many hosts the sums of other data centres speak for.
-    pub fn new(now: Duration, place: Place, others: &[Listener], n_far: usize) -> Self {
-        let near = |it: &&Listener| it.data_centre == Some(place.data_centre);
-        let n_there = others.iter().filter(|it| it.is_there(now)).count();
-        let n_near = others.iter().filter(near).filter(|it| it.is_there(now)).count();
+    pub fn new(now: Duration, config: GossipConfig, peers: &[RemoteHost], n_remote: usize) -> Self {
+        let is_local = |it: &&RemoteHost| it.data_centre == Some(config.data_centre);
+        let n_alive = peers.iter().filter(|it| it.is_alive(now)).count();
+        let n_local = peers.iter().filter(is_local).filter(|it| it.is_alive(now)).count();
         // A host that has just started has heard nobody: it goes by those that it knows of.
-        let has_started = now < STARTING && place.direct < others.len();
-        let is_large = place.direct < n_there.max(n_near + n_far) || has_started;
-        let period = PERIOD.max(PERIOD_PER_HOST * n_near as u32);
-        let newest = others.iter().filter(near).map(|it| it.heard).max().unwrap_or_default();
+        let is_starting = now < STARTUP_TIME && config.direct_limit < peers.len();
+        let is_hierarchical = config.direct_limit < n_alive.max(n_local + n_remote) || is_starting;
+        let period = PERIOD.max(PERIOD_PER_HOST * n_local as u32);
+        let last_local =
+            peers.iter().filter(is_local).map(|it| it.last_heard).max().unwrap_or_default();
         // Once no word comes at all, those heard last stay in line until others are found.
-        let is_fresh =
-            |it: &&Listener| !it.heard.is_zero() && newest <= it.heard + period * SPEAKER_PERIODS;
-        let mut line: Vec<u64> =
-            others.iter().filter(near).filter(is_fresh).map(|it| it.host).collect();
-        line.push(place.host);
-        line.sort_unstable();
-        let (first, second) = (line.first().copied(), line.get(1).copied());
-        Self { now, place, is_large, period, first, second, newest }
+        let is_fresh = |it: &&RemoteHost| {
+            !it.last_heard.is_zero() && last_local <= it.last_heard + period * LEADER_PERIODS
+        };
+        let mut by_hash: Vec<u64> =
+            peers.iter().filter(is_local).filter(is_fresh).map(|it| it.host).collect();
+        by_hash.push(config.host);
+        by_hash.sort_unstable();
+        let (leader, standby) = (by_hash.first().copied(), by_hash.get(1).copied());
+        Self { now, config, is_hierarchical, period, leader, standby, last_local }
     }
 
     /// Returns whether there are so many hosts that data centres have speakers.
-    pub fn is_large(&self) -> bool {
-        self.is_large
+    pub fn is_hierarchical(&self) -> bool {
+        self.is_hierarchical
     }
 
     /// Returns how much this host's digest of that number tells of what changes seldom.
     ///
     /// In a large data centre everybody hears its speaker, and only that one tells all of it.
-    pub fn telling(&self, sequence: u64) -> Telling {
-        let tells_all = !self.is_large() || self.speaks();
-        if tells_all && sequence.is_multiple_of(WHOLE_EVERY) {
-            return Telling::Whole;
+    pub fn detail(&self, sequence: u64) -> DigestScope {
+        let tells_all = !self.is_hierarchical() || self.is_leader();
+        if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
+            return DigestScope::Full;
         }
-        Telling::News
+        DigestScope::Changes
     }
 
     /// Returns the time between two digests.
@@ -151,22 +153,22 @@
     }
 
     /// Returns whether a host gets this host's digest with that number.
-    pub fn is_told(&self, it: &Listener, sequence: u64) -> bool {
-        let now_and_then = sequence.is_multiple_of(SILENT_EVERY);
-        if !self.is_large {
-            return self.now <= it.heard + SILENT || now_and_then;
+    pub fn is_recipient(&self, it: &RemoteHost, sequence: u64) -> bool {
+        let is_occasional = sequence.is_multiple_of(SILENT_EVERY);
+        if !self.is_hierarchical {
+            return self.now <= it.last_heard + SILENT_AFTER || is_occasional;
         }
         let Some(data_centre) = it.data_centre else {
-            return now_and_then || self.is_search(sequence);
+            return is_occasional || self.is_discovery(sequence);
         };
-        if data_centre != self.place.data_centre {
+        if data_centre != self.config.data_centre {
             return false;
         }
-        if self.speaks() && !it.is_silent(self.now) {
+        if self.is_leader() && !it.is_silent(self.now) {
             return true;
         }
-        let is_in_line = Some(it.host) == self.first || Some(it.host) == self.second;
-        is_in_line || self.is_search(sequence) || (self.speaks() && now_and_then)
+        let is_leading = Some(it.host) == self.leader || Some(it.host) == self.standby;
+        is_leading || self.is_discovery(sequence) || (self.is_leader() && is_occasional)
     }
 
     /// Returns whether what a digest tells counts: of few hosts, and of those of this data centre,
@@ -174,36 +176,37 @@
     ///
     /// **NOTE:** The sum of this data centre never counts beside its hosts' own words: with one that
     /// came astray a workspace was believed to have had three times what it had.
-    pub fn counts(&self, digest: &wire::Digest) -> bool {
-        let is_far = digest.data_centre != self.place.data_centre;
+    pub fn accepts(&self, digest: &wire::Digest) -> bool {
+        let is_remote = digest.data_centre != self.config.data_centre;
         if 0 < digest.n_summed {
-            return self.is_large && is_far;
+            return self.is_hierarchical && is_remote;
         }
-        !self.is_large || !is_far
+        !self.is_hierarchical || !is_remote
     }
 
     /// Returns whether this host speaks for its data centre: tells its hosts what they all did, and
     /// the other data centres the sum.
-    pub fn speaks(&self) -> bool {
-        let is_alone = self.newest + self.period * ALONE_PERIODS <= self.now;
-        self.is_large && (self.first == Some(self.place.host) || is_alone)
+    pub fn is_leader(&self) -> bool {
+        let is_alone = self.last_local + self.period * ALONE_PERIODS <= self.now;
+        self.is_hierarchical && (self.leader == Some(self.config.host) || is_alone)
     }
 
     /// Returns the hash of the host that speaks for this data centre, `None` where this one does or
     /// each tells all.
-    pub fn speaker(&self) -> Option<u64> {
-        self.first.filter(|_| self.is_large && !self.speaks())
+    pub fn leader(&self) -> Option<u64> {
+        self.leader.filter(|_| self.is_hierarchical && !self.is_leader())
     }
 
     /// Returns whether a host that stands in another data centre may be sent this one's sum.
-    pub fn is_far(&self, it: &Listener) -> bool {
-        it.data_centre.is_some_and(|it| it != self.place.data_centre)
+    pub fn is_remote(&self, it: &RemoteHost) -> bool {
+        it.data_centre.is_some_and(|it| it != self.config.data_centre)
     }
 
     /// Returns whether the digest with that number goes to all hosts that may be near: none of this
     /// data centre is heard.
-    fn is_search(&self, sequence: u64) -> bool {
-        let is_lost = self.newest + self.period * LOST_PERIODS <= self.now || self.newest.is_zero();
-        is_lost && sequence.is_multiple_of(SEARCH_EVERY)
+    fn is_discovery(&self, sequence: u64) -> bool {
+        let is_isolated = self.last_local + self.period * ISOLATED_PERIODS <= self.now
+            || self.last_local.is_zero();
+        is_isolated && sequence.is_multiple_of(DISCOVERY_EVERY)
     }
 }
