--- a/crates/portfield-host/tests/fleet/mod.rs
+++ b/crates/portfield-host/tests/fleet/mod.rs
@@ -128,16 +128,17 @@
     pub fn new(n_plain: usize, n_engines: usize) -> Self {
         let rt = Runtime::default();
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let task = rt.clone();
-        thread::spawn(move || task.block_on(1, stopped.recv()));
+        let runner = rt.clone();
+        thread::spawn(move || runner.block_on(1, stopped.recv()));
         let start = |name: &str, n: usize| -> Vec<FakeUpstream> {
             let ids = (0..n).map(|it| format!("{name}-{it}"));
             ids.map(|id| block_on(FakeUpstream::start(&rt, &id, UPSTREAM_LATENCY))).collect()
         };
         let (plain_upstreams, engines) = (start("plain", n_plain), start("engine", n_engines));
         let store = block_on(FakeStore::start(&rt));
-        let number = N_FLEETS.fetch_add(1, Ordering::Relaxed);
-        let dir = std::env::temp_dir().join(format!("pf-host-{}-{number}", std::process::id()));
+        let fleet_index = N_FLEETS.fetch_add(1, Ordering::Relaxed);
+        let dir =
+            std::env::temp_dir().join(format!("pf-host-{}-{fleet_index}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         let res = Self {
             rt,
--- a/crates/portfield-host/tests/quarantine.rs
+++ b/crates/portfield-host/tests/quarantine.rs
@@ -79,10 +79,10 @@
     }
 
     /// Returns the number of poison requests executed.
-    fn n_poison_runs(&self) -> usize {
+    fn n_poison_executed(&self) -> usize {
         let all = self.all.lock().unwrap();
-        let seen = all.iter().flat_map(FakeUpstream::requests);
-        seen.filter(|it| it.is_executed && it.body == POISON_BODY.as_bytes()).count()
+        let received = all.iter().flat_map(FakeUpstream::requests);
+        received.filter(|it| it.is_executed && it.body == POISON_BODY.as_bytes()).count()
     }
 
     /// Returns the number of other requests interrupted by crashes.
@@ -148,10 +148,10 @@
     let hosts = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
     let responses = resend_poison(&hosts, "draft", 24);
-    let (n_poison_runs, n_crashed) = (engines.n_poison_runs(), engines.n_crashed());
+    let (n_poison_executed, n_crashed) = (engines.n_poison_executed(), engines.n_crashed());
     assert!(
-        n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT,
-        "executed {n_poison_runs} times, {n_crashed} engines crashed"
+        n_poison_executed <= CRASH_THRESHOLD + MAX_IN_FLIGHT,
+        "executed {n_poison_executed} times, {n_crashed} engines crashed"
     );
     let last = responses.last().unwrap();
     assert_eq!(last.status, 503);
@@ -174,8 +174,11 @@
     let hosts = start_hosts(&mut fleet, 3);
     let engines = Engines::new(&fleet);
     resend_poison(&hosts, "digest", 12);
-    let n_poison_runs = engines.n_poison_runs();
-    assert!(n_poison_runs <= CRASH_THRESHOLD + MAX_IN_FLIGHT, "executed {n_poison_runs} times");
+    let n_poison_executed = engines.n_poison_executed();
+    assert!(
+        n_poison_executed <= CRASH_THRESHOLD + MAX_IN_FLIGHT,
+        "executed {n_poison_executed} times"
+    );
 }
 
 #[test]
@@ -186,9 +189,9 @@
     resend_poison(&first, "draft", 12);
     drop(first);
     let hosts = start_hosts(&mut fleet, 3);
-    let before = engines.n_poison_runs();
+    let before = engines.n_poison_executed();
     let responses = resend_poison(&hosts, "draft", 9);
-    assert_eq!(engines.n_poison_runs(), before, "executed again");
+    assert_eq!(engines.n_poison_executed(), before, "executed again");
     assert!(responses.iter().all(|it| it.status == 503));
 }
 
@@ -245,9 +248,9 @@
     });
     let has_quarantined = |it: &Host| 1.0 <= it.metric("portfield_quarantine_refused");
     wait_until("all hosts have quarantined the request", || hosts.iter().all(has_quarantined));
-    let n_poison_runs = engines.n_poison_runs();
+    let n_poison_executed = engines.n_poison_executed();
     // Three callers at a time, each with requests in flight before the first three crashes.
-    assert!(n_poison_runs <= CRASH_THRESHOLD * 3, "executed {n_poison_runs} times");
+    assert!(n_poison_executed <= CRASH_THRESHOLD * 3, "executed {n_poison_executed} times");
     fleet.store.set_fault(StoreFault::None);
     for n in 0..4 {
         // Three of four hosts run at any time and share the quarantine with the new one.
@@ -255,8 +258,8 @@
         hosts.push(fleet.start_host());
         resend_poison(&hosts, "draft", 4);
         assert_eq!(
-            engines.n_poison_runs(),
-            n_poison_runs,
+            engines.n_poison_executed(),
+            n_poison_executed,
             "executed again after {n} hosts were killed"
         );
     }
@@ -271,16 +274,19 @@
     wait_until("both hosts refuse the request", || {
         hosts.iter().all(|it| !quarantined_requests(it).is_empty())
     });
-    let before = engines.n_poison_runs();
-    let page = quarantined_requests(&hosts[0]);
-    assert_eq!((page[0]["workspace"].as_str(), page[0]["n_ends"].as_u64()), (Some("a"), Some(3)));
-    let path = format!("/quarantine/{}", page[0]["fingerprint"].as_str().unwrap());
+    let before = engines.n_poison_executed();
+    let entries = quarantined_requests(&hosts[0]);
+    assert_eq!(
+        (entries[0]["workspace"].as_str(), entries[0]["n_ends"].as_u64()),
+        (Some("a"), Some(3))
+    );
+    let path = format!("/quarantine/{}", entries[0]["fingerprint"].as_str().unwrap());
     assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/soon").status, 400);
     assert_eq!(admin_request(&hosts[0], "DELETE", "/quarantine/12").status, 404);
     assert_eq!(admin_request(&hosts[0], "DELETE", &path).status, 200);
     wait_until("the other host knows of the lift", || quarantined_requests(&hosts[1]).is_empty());
     hosts[1].send(&poison_request("draft", "again"));
-    assert_eq!(engines.n_poison_runs(), before + 1);
+    assert_eq!(engines.n_poison_executed(), before + 1);
 }
 
 /// Returns the entries of a host's quarantine page.
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -111,8 +111,8 @@
         host.send(&request("order", &format!("r{n}")))
     };
     let n_to_former = || {
-        let seen = fleet.plain_upstreams[0].requests();
-        seen.iter().filter(|it| it.header("expect-replica") == Some("former")).count()
+        let received = fleet.plain_upstreams[0].requests();
+        received.iter().filter(|it| it.header("expect-replica") == Some("former")).count()
     };
     wait_until("the other upstream has answered at the address", || {
         assert_eq!(send().status, 200);
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -365,23 +365,24 @@
     let mut violations = Vec::new();
     let mut runs: HashMap<String, u32> = HashMap::new();
     let by_id: HashMap<&str, &Outcome> = outcomes.iter().map(|it| (it.id.as_str(), it)).collect();
-    for seen in fleet.plain_upstreams.iter().chain(&fleet.engines).flat_map(|it| it.requests()) {
-        let id = seen.header("attempt-id").unwrap_or_default().to_owned();
+    for received in fleet.plain_upstreams.iter().chain(&fleet.engines).flat_map(|it| it.requests())
+    {
+        let id = received.header("attempt-id").unwrap_or_default().to_owned();
         let Some(outcome) = by_id.get(id.as_str()) else {
             violations.push(format!("{id} reached an upstream, but no caller sent it"));
             continue;
         };
-        if !seen.request_line.contains(&format!("/{}/one?q=1", outcome.route))
-            || seen.body != b"body"
+        if !received.request_line.contains(&format!("/{}/one?q=1", outcome.route))
+            || received.body != b"body"
         {
-            violations.push(format!("{id} was altered in transit: {}", seen.request_line));
+            violations.push(format!("{id} was altered in transit: {}", received.request_line));
         }
-        if seen.header("tenant") != Some("a") || seen.header("authorization").is_some() {
+        if received.header("tenant") != Some("a") || received.header("authorization").is_some() {
             violations.push(format!(
                 "{id} reached an upstream with another workspace or with its API key"
             ));
         }
-        *runs.entry(id).or_default() += u32::from(seen.is_executed);
+        *runs.entry(id).or_default() += u32::from(received.is_executed);
     }
     for it in outcomes {
         let n = runs.get(&it.id).copied().unwrap_or(0);
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -108,11 +108,11 @@
 fn host_started_while_the_store_is_down_gets_state_from_peers() {
     let mut fleet = Fleet::new(1, 0);
     let first = fleet.start_host();
-    let seeds = fleet.store.keys("portfield_hosts");
+    let keys = fleet.store.keys("portfield_hosts");
     wait_until("the first host has written its address", || {
         !fleet.store.keys("portfield_hosts").is_empty()
     });
-    drop(seeds);
+    drop(keys);
     let seed = fleet.store.keys("portfield_hosts")[0].clone();
     fleet.store.set_fault(StoreFault::Unavailable);
     let second = fleet.spawn_host(&format!("seeds = ['{seed}']"));
@@ -234,13 +234,13 @@
 
 /// Requests a host's list of upstreams, as a peer does.
 fn fetch_list(fleet: &Fleet, host: &Host) -> Vec<ListedUpstream> {
-    let ask = async {
+    let fetch = async {
         let stream = TcpStream::connect(host.peers).await.unwrap();
         let channel = rpc::Channel::open(&fleet.rt, stream).await.unwrap();
         let reply = channel.peers().knowledge(KnowledgeRequest::default()).await;
         reply.unwrap().into_inner().list
     };
-    futures_lite::future::block_on(ask)
+    futures_lite::future::block_on(fetch)
 }
 
 /// Guards against stale entries under a newer version: hosts that had just started sent their peers an upstream's
