--- a/crates/portfield-host/tests/evacuation.rs
+++ b/crates/portfield-host/tests/evacuation.rs
@@ -50,7 +50,7 @@
     assert_eq!(
         serving_upstreams(&host, 4),
         ["from plain-0"],
-        "the upstream of the host's own data centre"
+        "not served in the host's own data centre"
     );
     // The existence of the row is the order; its value is ignored.
     fleet.store.put("op", "evacuate/north", &json!("not { an object"));
@@ -190,7 +190,7 @@
     assert_eq!(
         host.send(&request("order", "r7")).status,
         503,
-        "route and workspace have no region in common"
+        "served although route and workspace have no region in common"
     );
     assert_eq!(host.send(&request("check", "r8")).text(), "from plain-0");
 }
--- a/crates/portfield-host/tests/fleet/mod.rs
+++ b/crates/portfield-host/tests/fleet/mod.rs
@@ -27,6 +27,7 @@
 /// Time that an upstream takes for a plain response, or between two events of a stream.
 const UPSTREAM_LATENCY: Duration = Duration::from_millis(10);
 
+/// Number of fleets created by this process, for unique directory names.
 static N_FLEETS: AtomicU32 = AtomicU32::new(0);
 
 /// Waits until a condition holds, and panics with its description after [`WAIT_TIMEOUT`].
--- a/crates/portfield-host/tests/operations_docs.rs
+++ b/crates/portfield-host/tests/operations_docs.rs
@@ -80,6 +80,6 @@
         let Some(name) = name else { continue };
         let end = name.find(['"', '{', '\\']).unwrap();
         let metric = format!("portfield_{}", &name[..end]);
-        assert!(page.contains(&metric), "{metric} is not on the page");
+        assert!(page.contains(&metric), "{metric} is not documented");
     }
 }
--- a/crates/portfield-host/tests/quarantine.rs
+++ b/crates/portfield-host/tests/quarantine.rs
@@ -163,7 +163,7 @@
         assert_eq!(
             (response.status, response.is_complete),
             (200, true),
-            "other requests are served"
+            "another request was not served"
         );
     }
 }
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -119,7 +119,7 @@
         0 < n_to_former()
     });
     (0..40).for_each(|_| assert_eq!(send().status, 200));
-    assert_eq!(n_to_former(), 1, "the former upstream gets no more requests");
+    assert_eq!(n_to_former(), 1, "the former upstream got another request");
     assert_eq!(host.log_entries("upstream replaced").len(), 1);
     assert!(host.log_entries("upstream drains").is_empty());
     fleet.plain_upstreams[0].set_draining(true);
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -68,7 +68,9 @@
     timeline: Timeline,
     /// Start of the link faults in effect, by the index of the upstream.
     active_faults: HashMap<usize, Duration>,
+    /// Version of the last configuration written.
     config_version: u64,
+    /// Injected actions with their times, for the artifacts of a failure.
     actions: Vec<String>,
     /// Log lines of replaced hosts.
     past_logs: Vec<Vec<Value>>,
@@ -83,6 +85,7 @@
 }
 
 impl Soak {
+    /// Starts a fleet whose upstreams are behind proxies, and hosts that are ready.
     fn start(seed: u64) -> Self {
         let fleet = Fleet::new(2, 3);
         let (mut proxies, mut entries) = (Vec::new(), Vec::new());
@@ -124,6 +127,7 @@
         res
     }
 
+    /// Starts the host of an index in its data centre.
     fn start_host(&mut self, idx: usize, extra_settings: &str) -> Host {
         let data_centre = self.data_centres[idx % self.data_centres.len()];
         let aggregate_setting = if 1 < self.data_centres.len() { "direct_hosts = 1" } else { "" };
