--- /dev/null
+++ b/crates/portfield-host/tests/process_pause.rs
@@ -0,0 +1,107 @@
+//! Behaviour of a host whose process was paused for seconds while the rest of the fleet ran.
+//!
+//! Requests and messages of other hosts wait in its sockets, and its state is as old as the pause. It must not
+//! accept an API key that was revoked, or use an upstream that was removed, during the pause.
+
+mod fleet;
+
+use std::{
+    net::TcpStream,
+    thread,
+    time::{Duration, Instant},
+};
+
+use fleet::{Fleet, Host, Response, config, connect, read_response, request, wait_until};
+use portfield_platform_standins::StoreFault;
+use std::io::Write;
+
+/// Duration of the pause, longer than the time for which a host may use its state without an update.
+const PAUSE: Duration = Duration::from_millis(2500);
+
+/// Sends a request without reading the response.
+fn send_unanswered(host: &Host, text: &str) -> TcpStream {
+    let mut stream = connect(host.listen).unwrap();
+    stream.write_all(text.as_bytes()).unwrap();
+    stream
+}
+
+/// Pauses a host, runs `meanwhile`, sends requests, and returns their responses after the host resumes.
+fn pause_host(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
+    host.signal("-STOP");
+    meanwhile();
+    let mut streams: Vec<_> = requests.iter().map(|it| send_unanswered(host, it)).collect();
+    thread::sleep(PAUSE);
+    host.signal("-CONT");
+    streams.iter_mut().map(|it| read_response(it).unwrap()).collect()
+}
+
+/// Returns a configuration without workspace `b`, and so without its API key.
+fn config_without_key_b(version: u64) -> serde_json::Value {
+    let mut res = config(version);
+    res["tenants"].as_array_mut().unwrap().remove(1);
+    res
+}
+
+#[test]
+fn key_revoked_during_a_pause_is_not_accepted() {
+    let mut fleet = Fleet::new(2, 0);
+    let (host, _other) = (fleet.start_host(), fleet.start_host());
+    let text = |n: u32| request("order", &format!("r{n}")).replace("key-a", "key-b");
+    assert_eq!(host.send(&text(0)).status, 200);
+    let n_executed = fleet.n_executed();
+    let requests: Vec<String> = (1..6).map(text).collect();
+    let store = fleet.store.clone();
+    let responses =
+        pause_host(&host, &requests, || store.put("op", "config", &config_without_key_b(5)));
+    for it in responses {
+        assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
+    }
+    assert_eq!(fleet.n_executed(), n_executed);
+    wait_until("the host serves requests again", || {
+        host.send(&request("order", "again")).status == 200
+    });
+}
+
+#[test]
+fn upstream_removed_during_a_pause_gets_no_requests() {
+    let mut fleet = Fleet::new(2, 0);
+    fleet.store.remove("servers", "plain-1");
+    let (host, _other) = (fleet.start_host(), fleet.start_host());
+    assert_eq!(host.send(&request("order", "r0")).status, 200);
+    let n_executed = fleet.plain_upstreams[0].n_executed();
+    let requests: Vec<String> = (1..6).map(|n| request("order", &format!("r{n}"))).collect();
+    let (store, entry) = (fleet.store.clone(), fleet.plain_upstreams[1].entry("desk", "ready"));
+    let responses = pause_host(&host, &requests, || {
+        store.remove("servers", "plain-0");
+        store.put("servers", "plain-1", &entry);
+    });
+    assert_eq!(
+        fleet.plain_upstreams[0].n_executed(),
+        n_executed,
+        "a request was sent to a removed upstream"
+    );
+    assert!(responses.iter().all(|it| [200, 503].contains(&it.status)));
+    wait_until("the host serves requests again", || {
+        host.send(&request("order", "again")).status == 200
+    });
+}
+
+/// A host that is cut off from the store and has no peers after a pause serves by its last known state, as any
+/// isolated host does.
+#[test]
+fn isolated_host_serves_again_seconds_after_a_pause() {
+    let mut fleet = Fleet::new(1, 0);
+    let host = fleet.start_host();
+    let store = fleet.store.clone();
+    let requests = [request("order", "r1")];
+    let responses = pause_host(&host, &requests, || store.set_fault(StoreFault::Hang));
+    assert_eq!(responses[0].status, 503);
+    let retry_after: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after < 1.0, "Retry-After is {retry_after} s");
+    assert!(!host.is_ready());
+    let resumed_at = Instant::now();
+    wait_until("the host is ready", || host.is_ready());
+    assert!(resumed_at.elapsed() < Duration::from_secs(4));
+    assert_eq!(host.send(&request("order", "r2")).status, 200);
+    assert_eq!(host.log_entries("host stood still").len(), 1);
+}
