--- a/crates/portfield/src/balance/fast_map.rs
+++ b/crates/portfield/src/balance/fast_map.rs
@@ -1,10 +1,12 @@
-//! The maps of this part of the code.
+//! Hash map with a fast hash function.
 
 use std::collections::HashMap;
 
-/// A map whose keys are numbers that nobody outside chooses: upstreams, hosts, workspaces, parts of prompts.
+/// A map whose keys no caller can choose: numbers of upstreams, and hashes of hosts, workspaces and
+/// prompt prefixes.
 ///
-/// What other hosts say goes through some hundred thousand entries a second at 295 hosts, and the standard
-/// hash is made to withstand chosen keys. Without it, and without a list of choices for each request,
-/// 295 hosts took 255 s of processor time for 55 s of heavy load in place of 289 (one play each).
+/// At 295 hosts some hundred thousand entries of digests are merged per second, and the standard
+/// hash is slower because it resists chosen keys. This hash, and not allocating a list of choices
+/// per request, reduced the processor time of 295 hosts from 289 s to 255 s for 55 s of heavy load
+/// (one run each).
 pub(crate) type FastMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
--- a/crates/portfield/src/balance/peer_table.rs
+++ b/crates/portfield/src/balance/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other hosts, as far as this one knows and hears them, and what it passes on between them.
+//! The other hosts that this one knows, and the digests that it forwards between them.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -10,47 +10,49 @@
 };
 use crate::wire::{Digest, KnownHost};
 
-/// Each so many digests a data centre's sum also goes to a host there drawn by lot: its speaker may
-/// have changed, or the way to it may be cut.
+/// One summary in this many also goes to a random host of each other data centre, in case its
+/// leader has changed or cannot be reached.
 const RANDOM_HOST_EVERY: u64 = 10;
-/// Silence of another data centre's speaker after which its sums are sent to a host drawn by lot: some
-/// four of the periods at 60 hosts a data centre.
+/// Time without a summary from another data centre's leader after which this host's summaries go to
+/// a random host there: about four periods at 60 hosts per data centre.
 const LEADER_SILENT_AFTER: Duration = Duration::from_millis(500);
-/// The same, after which the hosts that it spoke for no longer count: the time that a host's own word
-/// counts for.
+/// Time without a summary after which the hosts that a leader stands for no longer count; the same
+/// as for a single host.
 const LEADER_DEAD_AFTER: Duration = Duration::from_secs(10);
 
-/// Silence of all hosts of a data centre after which it counts as cut off: several digests in a row are not lost by
-/// chance, and what either side learns is to reach the other within three seconds.
+/// Time without a digest from any host of a data centre after which it counts as unreachable: too
+/// long for random loss, and short enough for both sides to learn of each other's changes within
+/// three seconds.
 const CENTRE_SILENT_AFTER: Duration = Duration::from_millis(800);
-/// The same, after which it counts as ended: nobody is there who would learn anything.
+/// Time without a digest after which a data centre counts as shut down: no host is left there to
+/// inform.
 const CENTRE_DEAD_AFTER: Duration = Duration::from_secs(60);
 
-/// How a digest came.
+/// How a digest arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// From whoever says it, or from a host that it was sent to by lot.
+    /// From the host that wrote it, or from a host that was sent it as a random recipient.
     Direct,
-    /// From the speaker of this data centre.
+    /// From the leader of this data centre.
     Relayed,
 }
 
-/// The host that speaks for another data centre.
+/// The leader of another data centre.
 #[derive(Debug, Clone, Copy)]
 struct Leader {
     address: SocketAddr,
-    /// Hosts that it speaks for.
+    /// Number of hosts that its summary covers.
     n_hosts: usize,
     heard: Duration,
 }
 
-/// The other hosts.
+/// The table of other hosts and the topology that follows from it.
 ///
 /// # Examples
 ///
 /// ```
 /// use portfield::{
-///     balance::{PeerTable, GossipConfig},
+///     balance::{GossipConfig, PeerTable},
 ///     wire::Digest,
 /// };
 /// use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
@@ -67,19 +69,19 @@
 #[derive(Debug)]
 pub struct PeerTable {
     config: GossipConfig,
-    /// In order, so that who is told first is the same in each life of a process.
+    /// Sorted, so that recipients have the same order in every run of a process.
     hosts: BTreeMap<SocketAddr, RemoteHost>,
     topology: GossipTopology,
-    /// What others said that the next digest passes on, by host or data centre.
+    /// Digests that go out with the next one, by the hash of their host or data centre.
     forwards: BTreeMap<u64, Digest>,
-    /// Who speaks for the other data centres.
+    /// Leaders of the other data centres.
     leaders: FastMap<u32, Leader>,
-    /// Hosts that were heard for the first time, or again after a silence.
+    /// Hosts heard for the first time, or again after a silence.
     n_appeared: u64,
 }
 
 impl PeerTable {
-    /// Builds the state of a host that has heard nobody.
+    /// Builds the table of a host that knows only the seed addresses.
     pub fn new(config: GossipConfig, seeds: impl Iterator<Item = SocketAddr>) -> Self {
         let hosts: BTreeMap<_, _> = seeds.map(|it| (it, unheard_host(it))).collect();
         let topology = GossipTopology::new(Duration::ZERO, config, &[], 0);
@@ -93,23 +95,23 @@
         }
     }
 
-    /// Looks anew at whom to tell.
+    /// Recomputes the topology from the table and returns it.
     pub fn refresh_topology(&mut self, now: Duration) -> GossipTopology {
         let hosts: Vec<RemoteHost> = self.hosts.values().copied().collect();
-        // Sums count whether or not they are used: a host that has lost sight of some others for a
-        // moment would else ignore the sums that tell it that they are there.
+        // Summaries count whether or not they are merged: otherwise a host that loses some peers
+        // for a moment would ignore the summaries which show that these are alive.
         let leaders = self.leaders.values().filter(|it| now < it.heard + LEADER_DEAD_AFTER);
         let n_remote = leaders.map(|it| it.n_hosts).sum();
         self.topology = GossipTopology::new(now, self.config, &hosts, n_remote);
         self.topology
     }
 
-    /// Returns whom to tell, as of the last look.
+    /// Returns the topology, as of the last refresh.
     pub fn topology(&self) -> GossipTopology {
         self.topology
     }
 
-    /// Returns how many hosts are known, whether they are there or not.
+    /// Returns the number of known hosts, alive or not.
     pub fn n_known(&self) -> usize {
         self.hosts.len()
     }
@@ -119,8 +121,8 @@
         self.hosts.values().any(|it| it.data_centre == Some(self.config.data_centre))
     }
 
-    /// Returns whether all hosts of some data centre that was heard within the last minute are silent: it is cut off, or
-    /// ended.
+    /// Returns whether some data centre that was heard within the last minute is silent: it is
+    /// unreachable or shut down.
     pub fn has_unreachable_centre(&self, now: Duration) -> bool {
         let mut heard: FastMap<u32, Duration> = FastMap::default();
         let hosts = self.hosts.values().filter_map(|it| Some((it.data_centre?, it.last_heard)));
@@ -135,23 +137,24 @@
         heard.values().any(is_unreachable)
     }
 
-    /// Returns whether this host is one of the first `n` of its data centre by hash, of those that are known, there
-    /// or not.
+    /// Returns whether this host is among the first `n` of its data centre by hash, counting all
+    /// known hosts, alive or not.
     pub fn is_among_first(&self, n: usize) -> bool {
         let is_local = |it: &&RemoteHost| it.data_centre == Some(self.config.data_centre);
         let local_hosts = self.hosts.values().filter(is_local);
         local_hosts.filter(|it| it.host < self.config.host).count() < n
     }
 
-    /// Returns the hosts of a data centre that are known, there or not, this one included if it stands there; by hash
-    /// of their addresses.
+    /// Returns the address hashes of the known hosts of a data centre, alive or not, including this
+    /// host if it is there.
     pub fn hosts_in(&self, data_centre: u32) -> Vec<u64> {
         let is_in = |it: &&RemoteHost| it.data_centre == Some(data_centre);
         let own = (self.config.data_centre == data_centre).then_some(self.config.host);
         self.hosts.values().filter(is_in).map(|it| it.host).chain(own).collect()
     }
 
-    /// Learns that there is a host, and where it stands if that is told.
+    /// Adds a host, and its data centre if given; an address already in the table keeps its data
+    /// centre.
     pub fn add_host(&mut self, address: SocketAddr, data_centre: Option<u32>) {
         let it = self.hosts.entry(address).or_insert_with(|| unheard_host(address));
         if it.host == self.config.host {
@@ -161,8 +164,8 @@
         it.data_centre = it.data_centre.or(data_centre);
     }
 
-    /// Notes who said a digest: a host, or the speaker of another data centre. `from` is where it came
-    /// from, `now` the time.
+    /// Records the sender of a digest: a host, or the leader of another data centre. `from` is the
+    /// sender's address, `now` the time of arrival.
     pub fn record_digest(&mut self, now: Duration, from: SocketAddr, digest: &Digest) {
         if digest.host == self.config.host {
             return;
@@ -188,17 +191,16 @@
         }
     }
 
-    /// Returns how many hosts were heard for the first time, or again after a silence, since the
-    /// last call.
+    /// Returns how many hosts appeared, or reappeared after a silence, since the last call.
     pub fn take_n_appeared(&mut self) -> u64 {
         std::mem::take(&mut self.n_appeared)
     }
 
-    /// Keeps a digest for the hosts of this data centre, where this host speaks for it and the digest
-    /// counts there; else returns the host that another data centre's sum is to be handed to.
+    /// Queues a digest for this data centre's hosts if this host leads it and the digest is to be
+    /// merged. Otherwise returns the address of the leader to which a summary that reached the
+    /// wrong host is to be sent.
     ///
-    /// What comes from another speaker has been passed on already: two that speak at once would else
-    /// send it back and forth.
+    /// A relayed digest is not forwarded again: two leaders at a time would send it back and forth.
     pub fn forward(&mut self, digest: Digest, delivery: Delivery) -> Option<(SocketAddr, Digest)> {
         let is_own = digest.host == self.config.host;
         if delivery == Delivery::Relayed || is_own || !self.topology.accepts(&digest) {
@@ -207,7 +209,7 @@
         let was_forwarded = digest.passed_on;
         let digest = Digest { passed_on: false, ..digest };
         if self.topology.is_leader() {
-            // A host's last word counts.
+            // Only a host's latest digest is kept.
             self.forwards.insert(digest.host, digest);
             return None;
         }
@@ -215,31 +217,33 @@
         Some((leader, digest))
     }
 
-    /// Drops what is to be passed on: while this host stood still it has become old.
+    /// Drops the queued digests: after a pause of this process they are outdated.
     pub fn clear_forwards(&mut self) {
         self.forwards.clear();
     }
 
-    /// Takes what is to be passed on.
+    /// Takes the queued digests.
     pub fn take_forwards(&mut self) -> Vec<Digest> {
         std::mem::take(&mut self.forwards).into_values().collect()
     }
 
-    /// Returns who gets this host's digest with that number.
+    /// Returns the addresses to which this host's digest with this sequence number is sent.
     pub fn recipients(&self, sequence: u64) -> Vec<SocketAddr> {
         let is_recipient =
             |it: &(&SocketAddr, &RemoteHost)| self.topology.is_recipient(it.1, sequence);
         self.hosts.iter().filter(is_recipient).map(|it| *it.0).collect()
     }
 
-    /// Returns where the host listens that speaks for this data centre, `None` where this one does.
+    /// Returns the address of this data centre's leader; `None` if that is this host or is not
+    /// known.
     fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.topology.leader()?;
         self.hosts.iter().find(|it| it.1.host == leader).map(|it| *it.0)
     }
 
-    /// Returns who gets this data centre's sum with that number: the speaker of each other one, and
-    /// now and then, or while that is silent, a host drawn by lot, who hands it to its speaker.
+    /// Returns the addresses to which this data centre's summary with this sequence number is sent:
+    /// the leader of each other data centre and, occasionally or while that leader is silent, a
+    /// random host there, which forwards it.
     pub fn summary_recipients(&self, now: Duration, sequence: u64) -> Vec<SocketAddr> {
         let mut by_centre: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
         for (address, it) in self.hosts.iter().filter(|it| self.topology.is_remote(it.1)) {
@@ -261,7 +265,7 @@
         res
     }
 
-    /// Returns the hosts whose place is known, for one that knows none of its data centre.
+    /// Returns the hosts whose data centre is known, for a host that knows none of its own.
     pub fn known_hosts(&self) -> Vec<KnownHost> {
         let known = |(address, it): (&SocketAddr, &RemoteHost)| {
             let data_centre = it.data_centre?;
@@ -271,12 +275,12 @@
     }
 }
 
-/// Returns a host that was not heard yet.
+/// Returns the entry of a host that has not been heard.
 fn unheard_host(address: SocketAddr) -> RemoteHost {
     RemoteHost { host: host_hash(address), data_centre: None, last_heard: Duration::ZERO }
 }
 
-/// Returns the hash that names a host among the others.
+/// Returns the hash of a host's address, which identifies it in digests.
 ///
 /// # Examples
 ///
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -1,71 +1,75 @@
-//! Whom a host tells what it did, so that nobody's traffic grows with the number of hosts.
+//! Which hosts a digest is sent to, so that traffic per host does not grow with the fleet.
 //!
-//! Few hosts tell each other everything. Where there are more, each data centre has a speaker: the
-//! hosts tell it and the next in line what they did, it tells all of them at once, and it tells the
-//! speakers of the other data centres the sum. Nothing is agreed on: the speaker is the host of least
-//! hash among those heard of late, two at a time do no harm, and the next in line takes over once it
-//! no longer hears the first.
+//! A small fleet is a full mesh: every host sends its digest to every other host. In a larger fleet
+//! each data centre has a leader. Its hosts send their digests to the leader and to its standby;
+//! the leader sends all of them back to its data centre, and a summary to the leaders of the other
+//! data centres. There is no election: the leader is the host with the lowest hash among those
+//! heard recently, the standby is the next one and takes over when it no longer hears the leader,
+//! and two leaders at a time are harmless.
 //!
-//! The load that this answers: data centres of dozens of hosts with an eighth of a core each, which spend more on
-//! knowing than on requests when each tells its whole data centre.
+//! The hierarchy is there for data centres of dozens of hosts with an eighth of a core each, which
+//! in a full mesh spend more processor time on digests than on requests.
 
 use std::time::Duration;
 
 use super::balancer::FULL_DIGEST_EVERY;
 use crate::{telling::Telling, wire};
 
-/// Time between two digests with few hosts; fresher ones gained callers
-/// nothing.
+/// Time between two digests in a small fleet; a shorter period did not improve what callers get.
 const PERIOD: Duration = Duration::from_millis(50);
-/// Time that each host of a data centre adds where one speaks for it: that one takes and sends some 500
-/// datagrams a second each way, a sixth of the smallest host's processor.
+/// Added to the period for each host of a data centre that has a leader. The leader then receives
+/// and sends about 500 datagrams a second, a sixth of the smallest host's processor time.
 const PERIOD_PER_HOST: Duration = Duration::from_millis(2);
-/// Silence after which a host is told only now and then.
+/// Time without a digest after which a host is sent only an occasional one.
 const SILENT_AFTER: Duration = Duration::from_secs(5);
-/// How many digests a silent host is left out of, for each that it is sent.
+/// A silent host gets one digest in this many.
 const SILENT_EVERY: u64 = 20;
-/// Silence after which a host no longer counts: above [`SILENT_EVERY`] of the longest periods.
+/// Time without a digest after which a host no longer counts; longer than [`SILENT_EVERY`] of the
+/// longest periods.
 const DEAD_AFTER: Duration = Duration::from_secs(10);
-/// Time from a host's start in which it goes by how many others it knows of, some of them gone.
+/// Time from this host's start in which the hierarchy depends on the hosts it knows of, dead ones
+/// included.
 const STARTUP_TIME: Duration = Duration::from_secs(2);
-/// Periods of silence after which the next host speaks for the data centre: three lost in a row.
+/// Periods without a digest after which the next host becomes leader; three digests in a row may be
+/// lost.
 const LEADER_PERIODS: u32 = 4;
-/// Periods in which no host of the data centre is heard, after which this one looks for them all: the
-/// next in line has had time to take over.
+/// Periods without a digest from this data centre after which this host searches for its hosts: the
+/// standby has had time to take over.
 const ISOLATED_PERIODS: u32 = 8;
-/// The same, after which it is alone and speaks for itself.
+/// Periods without a digest from this data centre after which this host is alone and is its own
+/// leader.
 const ALONE_PERIODS: u32 = 16;
-/// How many digests a host that looks for the others leaves them out of, for each that it sends.
+/// A host that searches for its data centre sends a discovery digest once in this many.
 const DISCOVERY_EVERY: u64 = 4;
 
-/// This host among the others.
+/// This host's place in the gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GossipConfig {
-    /// Hash of its address.
+    /// Hash of this host's address.
     pub host: u64,
-    /// Hash of its data centre's name.
+    /// Hash of the name of this host's data centre.
     pub data_centre: u32,
-    /// Up to so many other hosts tell each other everything.
+    /// Largest number of other hosts in a full mesh.
     pub direct_limit: usize,
 }
 
-/// Another host, as far as this one hears it.
+/// Another host, as known to this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RemoteHost {
-    /// Hash of its address.
+    /// Hash of the host's address.
     pub host: u64,
-    /// Hash of its data centre's name, where that is known.
+    /// Hash of the name of its data centre, `None` while unknown.
     pub data_centre: Option<u32>,
-    /// When it was last heard, itself or through the speaker; zero for never.
+    /// Time of its last digest, direct or relayed by the leader; zero if there was none.
     pub last_heard: Duration,
 }
 
-/// The other hosts at one moment.
+/// Who sends digests to whom, as seen by this host at one moment.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::{GossipTopology, RemoteHost, GossipConfig};
+/// use portfield::balance::{GossipConfig, GossipTopology, RemoteHost};
 /// use std::time::Duration;
 ///
 /// let now = Duration::from_secs(30);
@@ -88,38 +92,40 @@
     config: GossipConfig,
     is_hierarchical: bool,
     period: Duration,
-    /// The speaker of this data centre and the next in line, as far as they are known.
+    /// Hashes of this data centre's leader and of its standby.
     leader: Option<u64>,
     standby: Option<u64>,
-    /// When a host of this data centre was last heard; zero for never.
+    /// Time of the last digest from this data centre; zero if there was none.
     last_local: Duration,
 }
 
 impl RemoteHost {
-    /// Returns whether it has not been heard for so long that its next word is news.
+    /// Returns whether the host has been silent so long that its next digest counts as a new
+    /// appearance.
     pub fn is_silent(&self, now: Duration) -> bool {
         self.last_heard.is_zero() || self.last_heard + SILENT_AFTER < now
     }
 
-    /// Returns whether it was heard, and so late that it counts.
+    /// Returns whether the host was heard recently enough to count.
     pub fn is_alive(&self, now: Duration) -> bool {
         !self.last_heard.is_zero() && now < self.last_heard + DEAD_AFTER
     }
 }
 
 impl GossipTopology {
-    /// Looks at the other hosts; `n_far` is how many hosts the sums of other data centres speak for.
+    /// Builds the topology from the other known hosts; `n_remote` is the number of hosts that the
+    /// summaries of other data centres cover.
     pub fn new(now: Duration, config: GossipConfig, peers: &[RemoteHost], n_remote: usize) -> Self {
         let is_local = |it: &&RemoteHost| it.data_centre == Some(config.data_centre);
         let n_alive = peers.iter().filter(|it| it.is_alive(now)).count();
         let n_local = peers.iter().filter(is_local).filter(|it| it.is_alive(now)).count();
-        // A host that has just started has heard nobody: it goes by those that it knows of.
+        // A host that has just started has heard nobody yet, so it counts the hosts it knows of.
         let is_starting = now < STARTUP_TIME && config.direct_limit < peers.len();
         let is_hierarchical = config.direct_limit < n_alive.max(n_local + n_remote) || is_starting;
         let period = PERIOD.max(PERIOD_PER_HOST * n_local as u32);
         let last_local =
             peers.iter().filter(is_local).map(|it| it.last_heard).max().unwrap_or_default();
-        // Once no word comes at all, those heard last stay in line until others are found.
+        // If digests stop altogether, the hosts heard last stay candidates until others are found.
         let is_fresh = |it: &&RemoteHost| {
             !it.last_heard.is_zero() && last_local <= it.last_heard + period * LEADER_PERIODS
         };
@@ -131,14 +137,14 @@
         Self { now, config, is_hierarchical, period, leader, standby, last_local }
     }
 
-    /// Returns whether there are so many hosts that data centres have speakers.
+    /// Returns whether the fleet is so large that data centres have leaders.
     pub fn is_hierarchical(&self) -> bool {
         self.is_hierarchical
     }
 
-    /// Returns how much this host's digest of that number tells of what changes seldom.
+    /// Returns how much detail the digest with this sequence number has on slowly changing state.
     ///
-    /// In a large data centre everybody hears its speaker, and only that one tells all of it.
+    /// In a hierarchy every host hears its leader, so only the leader sends all of it.
     pub fn detail(&self, sequence: u64) -> Telling {
         let tells_all = !self.is_hierarchical() || self.is_leader();
         if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
@@ -152,7 +158,7 @@
         self.period
     }
 
-    /// Returns whether a host gets this host's digest with that number.
+    /// Returns whether a host is sent this host's digest with this sequence number.
     pub fn is_recipient(&self, it: &RemoteHost, sequence: u64) -> bool {
         let is_occasional = sequence.is_multiple_of(SILENT_EVERY);
         if !self.is_hierarchical {
@@ -171,11 +177,11 @@
         is_leading || self.is_discovery(sequence) || (self.is_leader() && is_occasional)
     }
 
-    /// Returns whether what a digest tells counts: of few hosts, and of those of this data centre,
-    /// their own words; of others their data centre's sum.
+    /// Returns whether a digest is to be merged: digests of single hosts in a small fleet or from
+    /// this data centre, summaries from other data centres in a hierarchy.
     ///
-    /// **NOTE:** The sum of this data centre never counts beside its hosts' own words: with one that
-    /// came astray a workspace was believed to have had three times what it had.
+    /// **NOTE:** A summary of this host's own data centre must not be merged as well as its hosts'
+    /// digests: one that was misdelivered tripled the usage attributed to a workspace.
     pub fn accepts(&self, digest: &wire::Digest) -> bool {
         let is_remote = digest.data_centre != self.config.data_centre;
         if 0 < digest.n_summed {
@@ -184,26 +190,26 @@
         !self.is_hierarchical || !is_remote
     }
 
-    /// Returns whether this host speaks for its data centre: tells its hosts what they all did, and
-    /// the other data centres the sum.
+    /// Returns whether this host leads its data centre: it relays its hosts' digests to all of
+    /// them, and sends their summary to the other data centres.
     pub fn is_leader(&self) -> bool {
         let is_alone = self.last_local + self.period * ALONE_PERIODS <= self.now;
         self.is_hierarchical && (self.leader == Some(self.config.host) || is_alone)
     }
 
-    /// Returns the hash of the host that speaks for this data centre, `None` where this one does or
-    /// each tells all.
+    /// Returns the hash of this data centre's leader; `None` if that is this host or the fleet is a
+    /// full mesh.
     pub fn leader(&self) -> Option<u64> {
         self.leader.filter(|_| self.is_hierarchical && !self.is_leader())
     }
 
-    /// Returns whether a host that stands in another data centre may be sent this one's sum.
+    /// Returns whether a host is known to be in another data centre.
     pub fn is_remote(&self, it: &RemoteHost) -> bool {
         it.data_centre.is_some_and(|it| it != self.config.data_centre)
     }
 
-    /// Returns whether the digest with that number goes to all hosts that may be near: none of this
-    /// data centre is heard.
+    /// Returns whether the digest with this sequence number also goes to every host that may be in
+    /// this data centre, because none of it is heard.
     fn is_discovery(&self, sequence: u64) -> bool {
         let is_isolated = self.last_local + self.period * ISOLATED_PERIODS <= self.now
             || self.last_local.is_zero();
