--- a/crates/portfield/src/balance/backoff.rs
+++ b/crates/portfield/src/balance/backoff.rs
@@ -11,9 +11,9 @@
 use super::balancer::RunId;
 
 /// Longest time granted: a value that nobody can mean takes no upstream away for ever.
-const LONGEST: Duration = Duration::from_secs(600);
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
 /// Time after its end for which one is remembered that no request has tried.
-const MEMORY: Duration = Duration::from_secs(60);
+const UNTRIED_EXPIRY: Duration = Duration::from_secs(60);
 
 /// What one upstream asked for.
 #[derive(Debug, Clone, Default)]
@@ -21,20 +21,20 @@
     /// When the time is over; `None` where there is none, or a request was taken since.
     until: Option<Duration>,
     /// The one request that was sent since the time was over, while it is not known to be taken.
-    trial: Option<RunId>,
+    probe: Option<RunId>,
     /// That the time is over was told.
-    is_told: bool,
+    is_reported: bool,
 }
 
 impl Backoff {
     /// Notes that the upstream asks for so much time; what it asked for before is not shortened.
     pub(crate) fn begin(&mut self, now: Duration, time: Duration) {
-        let end = now + time.min(LONGEST);
+        let end = now + time.min(MAX_BACKOFF);
         if time.is_zero() || self.until.is_some_and(|it| end <= it) {
             return;
         }
         self.until = Some(end);
-        self.is_told = false;
+        self.is_reported = false;
     }
 
     /// Returns when the time is over that runs at this moment.
@@ -44,49 +44,49 @@
 
     /// Returns whether nothing is to be placed there now.
     pub(crate) fn is_closed(&self, now: Duration) -> bool {
-        self.until(now).is_some() || self.trial.is_some()
+        self.until(now).is_some() || self.probe.is_some()
     }
 
     /// Returns when something may be placed there, as far as that is known.
-    pub(crate) fn opens(&self, now: Duration) -> Duration {
+    pub(crate) fn opens_at(&self, now: Duration) -> Duration {
         self.until(now).unwrap_or(Duration::ZERO)
     }
 
     /// Notes that a request is sent.
-    pub(crate) fn sent(&mut self, now: Duration, run: RunId) {
+    pub(crate) fn record_sent(&mut self, now: Duration, run: RunId) {
         if self.until.is_some_and(|it| it <= now) {
-            self.trial.get_or_insert(run);
+            self.probe.get_or_insert(run);
         }
     }
 
     /// Notes that the upstream took a request.
-    pub(crate) fn taken(&mut self, run: RunId) {
-        if self.trial == Some(run) {
+    pub(crate) fn record_accepted(&mut self, run: RunId) {
+        if self.probe == Some(run) {
             *self = Self::default();
         }
     }
 
     /// Notes that a request ended, whatever became of it.
-    pub(crate) fn ended(&mut self, run: RunId) {
-        if self.trial == Some(run) {
-            self.trial = None;
+    pub(crate) fn record_ended(&mut self, run: RunId) {
+        if self.probe == Some(run) {
+            self.probe = None;
         }
     }
 
     /// Returns whether something is known of the upstream.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn is_recorded(&self) -> bool {
         self.until.is_some()
     }
 
     /// Returns whether its time is over since the last call.
-    pub(crate) fn take_over(&mut self, now: Duration) -> bool {
-        let is_over = self.until.is_some_and(|it| it <= now);
-        is_over && !std::mem::replace(&mut self.is_told, true)
+    pub(crate) fn take_expired(&mut self, now: Duration) -> bool {
+        let is_expired = self.until.is_some_and(|it| it <= now);
+        is_expired && !std::mem::replace(&mut self.is_reported, true)
     }
 
     /// Forgets what no request has tried for long.
     pub(crate) fn expire(&mut self, now: Duration) {
-        if self.trial.is_none() && self.until.is_some_and(|it| it + MEMORY <= now) {
+        if self.probe.is_none() && self.until.is_some_and(|it| it + UNTRIED_EXPIRY <= now) {
             *self = Self::default();
         }
     }
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -5,15 +5,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    admission::{in_time, longest_wait},
+    admission::{max_wait_ms, time_left_ms},
     bias::Bias,
-    choice::{Choice, Order, Scales, home, least, millis},
     fast_map::FastMap,
-    job::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal},
-    load::Loads,
+    latency_model::LatencyModel,
+    placement::{Assignment, Candidate, Completion, Placement, PlacementRequest, Refusal},
     prompt::Prompt,
+    scoring::{CostModel, ScoredUpstream, TieBreak, from_millis, min_by_key, preferred_upstream},
     shares::{ShareSnapshot, ShareStatus, Shares, Usage},
-    speed::Speed,
+    upstream_table::UpstreamTable,
 };
 use crate::wire;
 
@@ -21,21 +21,21 @@
 pub type RunId = u64;
 
 /// Longest and shortest time that a caller is told to stay away.
-const AWAY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 /// Time after twice its estimate at which a first event is overdue: beyond what estimates are wrong by on a sound
 /// engine, below the time after which a connection to a silent one breaks.
-const OVERDUE: Duration = Duration::from_millis(400);
+const OVERDUE_SLACK: Duration = Duration::from_millis(400);
 /// Part of the engines that are idle, above which a request that would be refused is sent to one of them,
 /// though its shared parts are read there once more.
 ///
 /// Where most are idle, what refuses is the queue at the one that keeps a part that many ask for. Where most are busy,
 /// parts read again take from all, and the rule is not applied.
-const SPARE_PART: f64 = 0.5;
+const SPARE_IDLE_RATIO: f64 = 0.5;
 /// How many digests tell only the usage that is new, for each that tells all of it: a host that has just
 /// begun to listen knows all within a second.
 pub(crate) const FULL_DIGEST_EVERY: u64 = 8;
 /// Weight of one more observation in an average.
-const SMOOTH: f64 = 0.05;
+const SMOOTHING: f64 = 0.05;
 
 #[derive(Debug)]
 struct Run {
@@ -43,7 +43,7 @@
     /// Tokens to read while no event has come.
     pending: f64,
     /// Tokens ahead and its own, for learning.
-    behind: f64,
+    tokens_to_first: f64,
     started: Duration,
     /// Time to its first event by what the hosts know.
     expected: Duration,
@@ -58,39 +58,39 @@
 /// Places requests.
 #[derive(Debug)]
 pub struct Balancer {
-    pub(super) loads: Loads,
+    pub(super) upstreams: UpstreamTable,
     shares: Shares,
-    speeds: FastMap<u32, Speed>,
+    latency_models: FastMap<u32, LatencyModel>,
     /// What estimates fell short of, by service.
     biases: FastMap<u32, Bias>,
     /// Average time of a request, in milliseconds, by service.
-    times: FastMap<u32, f64>,
+    mean_times: FastMap<u32, f64>,
     runs: FastMap<RunId, Run>,
     n_runs: RunId,
-    memories: FastMap<u32, u64>,
+    engine_memory: FastMap<u32, u64>,
     /// The last number drawn.
-    draws: u64,
+    rng_state: u64,
 }
 
 impl Balancer {
     /// Builds a balancer; `window` is the time over which shares are kept.
     pub fn new(window: Duration) -> Self {
         Self {
-            loads: Loads::default(),
+            upstreams: UpstreamTable::default(),
             shares: Shares::new(window),
-            speeds: FastMap::default(),
+            latency_models: FastMap::default(),
             biases: FastMap::default(),
-            times: FastMap::default(),
+            mean_times: FastMap::default(),
             runs: FastMap::default(),
             n_runs: 0,
-            memories: FastMap::default(),
-            draws: 0,
+            engine_memory: FastMap::default(),
+            rng_state: 0,
         }
     }
 
     /// Sets where the numbers drawn begin: two hosts that begin alike order upstreams alike.
     pub fn set_seed(&mut self, seed: u64) {
-        self.draws = seed;
+        self.rng_state = seed;
     }
 
     /// Sets what all engines handle together, in tokens a second; zero is unknown.
@@ -100,79 +100,86 @@
 
     /// Forgets upstreams that are gone.
     pub fn retain_upstreams(&mut self, is_known: impl Fn(u32) -> bool) {
-        self.loads.retain(&is_known);
-        self.memories.retain(|id, _| is_known(*id));
+        self.upstreams.retain(&is_known);
+        self.engine_memory.retain(|id, _| is_known(*id));
     }
 
     /// Picks an upstream for a request, or refuses it.
     pub fn place(
         &mut self,
         now: Duration,
-        job: &PlacementRequest,
+        request: &PlacementRequest,
         candidates: &[Candidate],
     ) -> Placement {
-        let standing = match job.engine {
-            Some(_) => self.shares.standing(now, job.workspace),
+        let status = match request.engine {
+            Some(_) => self.shares.standing(now, request.workspace),
             None => ShareStatus::Uncontended,
         };
-        let chain = job.prompt.as_ref().map(Prompt::chain).unwrap_or_default();
-        let order = Order::of(&chain, self.draw());
-        let first = Speed::default();
-        let is_open = |id: &u32| !self.loads.get(*id).is_some_and(|it| it.is_away(now));
-        let scales = Scales {
+        let prefixes = request.prompt.as_ref().map(Prompt::prefixes).unwrap_or_default();
+        let tie_break = TieBreak::new(&prefixes, self.next_random());
+        let default_model = LatencyModel::default();
+        let is_open = |id: &u32| !self.upstreams.get(*id).is_some_and(|it| it.is_unavailable(now));
+        let costs = CostModel {
             now,
-            loads: &self.loads,
-            speed: self.speeds.get(&job.service).unwrap_or(&first),
-            mean_time: self.times.get(&job.service).copied(),
-            bias: self.biases.get(&job.service).map_or(0.0, |it| it.shortfall(now)),
-            home: home(order, candidates.iter().map(|it| it.upstream).filter(is_open)),
-            order,
-            shared: chain.iter().rev().skip(1).map(|it| it.tokens).sum(),
+            upstreams: &self.upstreams,
+            latency: self.latency_models.get(&request.service).unwrap_or(&default_model),
+            mean_time: self.mean_times.get(&request.service).copied(),
+            bias: self.biases.get(&request.service).map_or(0.0, |it| it.shortfall(now)),
+            preferred: preferred_upstream(
+                tie_break,
+                candidates.iter().map(|it| it.upstream).filter(is_open),
+            ),
+            tie_break,
+            shared_tokens: prefixes.iter().rev().skip(1).map(|it| it.tokens).sum(),
         };
-        let options = || candidates.iter().map(|it| scales.weigh(job, &chain, it));
-        let open = |it: &Choice| !it.blocked;
-        let Some(best) = least(options().filter(open), |it| it.cost) else {
-            let refused = all_blocked(now, options());
-            if matches!(refused, Placement::Refuse { reason: Refusal::Backoff, .. }) {
-                self.record_refusal(now, job.workspace, job.token_cost());
+        let scored = || candidates.iter().map(|it| costs.score(request, &prefixes, it));
+        let is_sendable = |it: &ScoredUpstream| !it.is_blocked;
+        let Some(best) = min_by_key(scored().filter(is_sendable), |it| it.cost) else {
+            let refusal = refuse_blocked(now, scored());
+            if matches!(refusal, Placement::Refuse { reason: Refusal::Backoff, .. }) {
+                self.record_refusal(now, request.workspace, request.token_cost());
             }
-            return refused;
+            return refusal;
         };
-        let limit = longest_wait(job, standing, &best);
-        if best.times.wait <= limit {
-            return Placement::Send(best.placed(standing));
+        let max_wait = max_wait_ms(request, status, &best);
+        if best.times.wait <= max_wait {
+            return Placement::Send(best.assignment(status));
         }
         // Reading shared parts again takes from all: only for who has had far less than another.
-        if matches!(standing, ShareStatus::Starved(_))
-            && let Some(quick) = least(options().filter(open), |it| it.times.wait + it.times.own)
-            && quick.times.wait <= longest_wait(job, standing, &quick)
+        if matches!(status, ShareStatus::Starved(_))
+            && let Some(fastest) =
+                min_by_key(scored().filter(is_sendable), |it| it.times.wait + it.times.processing)
+            && fastest.times.wait <= max_wait_ms(request, status, &fastest)
         {
-            return Placement::Send(quick.placed(standing));
+            return Placement::Send(fastest.assignment(status));
         }
-        if let Some(spare) = spare(candidates.len(), || options().filter(open), in_time(job)) {
-            return Placement::Send(spare.placed(standing));
+        if let Some(spare) =
+            spare_engine(candidates.len(), || scored().filter(is_sendable), time_left_ms(request))
+        {
+            return Placement::Send(spare.assignment(status));
         }
-        let reason = if matches!(standing, ShareStatus::Served(it) if 1.0 < it) {
+        let reason = if matches!(status, ShareStatus::Served(it) if 1.0 < it) {
             Refusal::Share
         } else {
             Refusal::Busy
         };
-        let retry = millis(best.times.wait - limit).clamp(AWAY.0, AWAY.1);
-        self.record_refusal(now, job.workspace, job.token_cost());
+        let retry_after =
+            from_millis(best.times.wait - max_wait).clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1);
+        self.record_refusal(now, request.workspace, request.token_cost());
         Placement::Refuse {
             reason,
-            retry_after: retry,
+            retry_after,
             estimate: best.estimate(),
-            share_ratio: standing.share_ratio(),
+            share_ratio: status.share_ratio(),
         }
     }
 
     /// Returns the upstream at which least runs, of those that are not left alone: if it ends, the fewest requests end
     /// with it.
     pub fn least_busy(&self, now: Duration, candidates: &[Candidate]) -> Option<Candidate> {
-        let node = |it: &Candidate| self.loads.get(it.upstream);
-        let is_open = |it: &&Candidate| !node(it).is_some_and(|it| it.is_closed(now));
-        let running = |it: &Candidate| node(it).map_or(0.0, |it| it.total().running);
+        let state = |it: &Candidate| self.upstreams.get(it.upstream);
+        let is_open = |it: &&Candidate| !state(it).is_some_and(|it| it.is_closed(now));
+        let running = |it: &Candidate| state(it).map_or(0.0, |it| it.total().running);
         let open = candidates.iter().filter(is_open);
         open.min_by(|a, b| running(a).total_cmp(&running(b))).copied()
     }
@@ -223,37 +230,37 @@
     pub fn record_start(
         &mut self,
         now: Duration,
-        job: &PlacementRequest,
-        placed: &Assignment,
+        request: &PlacementRequest,
+        assignment: &Assignment,
     ) -> RunId {
         self.n_runs += 1;
-        let pending = f64::from(placed.uncached_tokens);
+        let pending = f64::from(assignment.uncached_tokens);
         let run = Run {
-            upstream: placed.upstream,
+            upstream: assignment.upstream,
             pending,
-            behind: f64::from(placed.queued_tokens) + pending,
+            tokens_to_first: f64::from(assignment.queued_tokens) + pending,
             started: now,
-            expected: placed.estimate.saturating_sub(placed.bias),
-            due: now + placed.estimate * 2 + OVERDUE,
+            expected: assignment.estimate.saturating_sub(assignment.bias),
+            due: now + assignment.estimate * 2 + OVERDUE_SLACK,
             has_begun: false,
-            is_engine: job.engine.is_some(),
-            service: job.service,
+            is_engine: request.engine.is_some(),
+            service: request.service,
         };
-        let node = self.loads.node(placed.upstream);
-        node.warmup.note(now);
-        node.backoff.sent(now, self.n_runs);
-        node.own.running += 1.0;
-        node.own.pending += pending;
-        if let (Some(prompt), Some(engine)) = (&job.prompt, job.engine) {
-            let chain = prompt.chain();
-            node.note_read(pending + f64::from(prompt.max_output_tokens));
-            node.cache.touch(chain.iter().map(|it| it.hash), engine.memory);
-            self.memories.insert(placed.upstream, engine.memory);
-            let shared = chain.len().saturating_sub(1);
-            let parts = chain.iter().take(shared).map(|it| it.hash).collect();
-            self.loads.tell(placed.upstream, parts);
-            let taken = job.token_cost();
-            self.shares.note(now, job.workspace, Usage { asked: taken, taken });
+        let state = self.upstreams.entry(assignment.upstream);
+        state.warmup.record_sent(now);
+        state.backoff.record_sent(now, self.n_runs);
+        state.local.running += 1.0;
+        state.local.pending += pending;
+        if let (Some(prompt), Some(engine)) = (&request.prompt, request.engine) {
+            let prefixes = prompt.prefixes();
+            state.record_read(pending + f64::from(prompt.max_output_tokens));
+            state.cache.touch(prefixes.iter().map(|it| it.hash), engine.memory);
+            self.engine_memory.insert(assignment.upstream, engine.memory);
+            let shared = prefixes.len().saturating_sub(1);
+            let parts = prefixes.iter().take(shared).map(|it| it.hash).collect();
+            self.upstreams.announce(assignment.upstream, parts);
+            let taken = request.token_cost();
+            self.shares.note(now, request.workspace, Usage { asked: taken, taken });
         }
         self.runs.insert(self.n_runs, run);
         self.n_runs
@@ -264,36 +271,38 @@
         let Some(run) = self.runs.get_mut(&id).filter(|it| !it.has_begun) else { return };
         run.has_begun = true;
         let pending = std::mem::take(&mut run.pending);
-        let node = self.loads.node(run.upstream);
-        node.own.pending -= pending;
-        node.backoff.taken(id);
+        let state = self.upstreams.entry(run.upstream);
+        state.local.pending -= pending;
+        state.backoff.record_accepted(id);
         if run.is_engine {
             let time = now.saturating_sub(run.started);
-            self.speeds.entry(run.service).or_default().observe(run.behind, time);
+            self.latency_models.entry(run.service).or_default().observe(run.tokens_to_first, time);
             let error = (time.as_secs_f64() - run.expected.as_secs_f64()) * 1000.0;
             self.biases.entry(run.service).or_default().observe(now, error);
         }
     }
 
     /// Notes the end of a request at its upstream.
-    pub fn record_end(&mut self, now: Duration, id: RunId, ending: Completion) {
+    pub fn record_end(&mut self, now: Duration, id: RunId, completion: Completion) {
         let Some(run) = self.runs.remove(&id) else { return };
-        let node = self.loads.node(run.upstream);
-        node.own.running -= 1.0;
-        node.own.pending -= run.pending;
-        if matches!(ending, Completion::Done | Completion::Error) {
-            node.backoff.taken(id);
+        let state = self.upstreams.entry(run.upstream);
+        state.local.running -= 1.0;
+        state.local.pending -= run.pending;
+        if matches!(completion, Completion::Done | Completion::Error) {
+            state.backoff.record_accepted(id);
         }
-        node.backoff.ended(id);
-        match ending {
+        state.backoff.record_ended(id);
+        match completion {
             Completion::Done => {
-                node.health.succeed(now);
+                state.health.record_success(now);
                 let time = now.saturating_sub(run.started).as_secs_f64() * 1000.0;
-                let mean = self.times.entry(run.service).or_insert(time);
-                *mean += SMOOTH * (time - *mean);
+                let mean = self.mean_times.entry(run.service).or_insert(time);
+                *mean += SMOOTHING * (time - *mean);
+            }
+            Completion::Error | Completion::Rejected | Completion::Broken => {
+                state.health.record_failure(now);
             }
-            Completion::Error | Completion::Rejected | Completion::Broken => node.health.fail(now),
-            Completion::Unreachable => node.health.unreachable(now),
+            Completion::Unreachable => state.health.record_unreachable(now),
             // What it asked for is granted; it has not failed.
             Completion::BackoffRequested | Completion::Cancelled => {}
         }
@@ -301,26 +310,26 @@
 
     /// Writes what this host did into a digest for the others.
     pub fn fill_digest(&mut self, now: Duration, digest: &mut wire::Digest) {
-        self.loads.expire(now);
+        self.upstreams.expire(now);
         self.count_overdue(now);
-        (digest.loads, digest.prefixes) = self.loads.report();
+        (digest.loads, digest.prefixes) = self.upstreams.report();
         let usage = |(workspace, it): (u32, Usage)| wire::WorkspaceUsage {
             workspace,
             asked: it.asked as u64,
             taken: it.taken as u64,
         };
-        let is_whole = digest.sequence.is_multiple_of(FULL_DIGEST_EVERY);
-        let told = self.shares.take_told().into_iter();
-        digest.usage = if is_whole {
+        let is_full = digest.sequence.is_multiple_of(FULL_DIGEST_EVERY);
+        let changed = self.shares.take_told().into_iter();
+        digest.usage = if is_full {
             self.shares.totals().map(usage).collect()
         } else {
-            told.map(usage).collect()
+            changed.map(usage).collect()
         };
     }
 
     /// Writes what the hosts of this data centre did into a digest for the other data centres.
     pub fn fill_summary(&mut self, now: Duration, digest: &mut wire::Digest) {
-        let mut sum = self.loads.summary(now, digest.data_centre);
+        let mut sum = self.upstreams.summary(now, digest.data_centre);
         for (workspace, it) in self.shares.totals() {
             let new = wire::WorkspaceUsage { workspace, ..Default::default() };
             let usage = sum.usage.entry(workspace).or_insert(new);
@@ -335,9 +344,9 @@
 
     /// Takes another host's digest, or the sum of a data centre's.
     pub fn merge_digest(&mut self, now: Duration, digest: &wire::Digest) {
-        let memories = &self.memories;
-        let memory = |id| memories.get(&id).copied().unwrap_or(u64::MAX);
-        for it in self.loads.merge(now, digest, memory) {
+        let engine_memory = &self.engine_memory;
+        let memory = |id| engine_memory.get(&id).copied().unwrap_or(u64::MAX);
+        for it in self.upstreams.merge_digest(now, digest, memory) {
             let usage = Usage { asked: it.asked as f64, taken: it.taken as f64 };
             self.shares.learn(now, it.workspace, usage);
         }
@@ -353,52 +362,52 @@
 
     /// Returns how many hosts there are, as far as this one hears.
     pub fn n_hosts(&self, now: Duration) -> usize {
-        1 + self.loads.n_peers(now)
+        1 + self.upstreams.n_peers(now)
     }
 
     /// Returns another number with each call, and at each host.
-    fn draw(&mut self) -> u64 {
-        self.draws = xxh3_64(&self.draws.to_le_bytes());
-        self.draws
+    fn next_random(&mut self) -> u64 {
+        self.rng_state = xxh3_64(&self.rng_state.to_le_bytes());
+        self.rng_state
     }
 
     fn count_overdue(&mut self, now: Duration) {
-        self.loads.nodes_mut().for_each(|it| it.n_overdue = 0);
+        self.upstreams.iter_mut().for_each(|it| it.n_overdue = 0);
         for run in self.runs.values().filter(|it| !it.has_begun && it.due < now) {
-            self.loads.node(run.upstream).n_overdue += 1;
+            self.upstreams.entry(run.upstream).n_overdue += 1;
         }
     }
 }
 
 /// Returns the least costly idle engine, where so many are idle that reading a shared part at one of them
 /// takes from nobody.
-fn spare<I: Iterator<Item = Choice>>(
+fn spare_engine<I: Iterator<Item = ScoredUpstream>>(
     n_engines: usize,
-    open: impl Fn() -> I,
-    in_time: f64,
-) -> Option<Choice> {
-    let is_idle = |it: &Choice| it.is_idle;
-    let n_idle = open().filter(is_idle).count();
-    if (n_idle as f64) < n_engines as f64 * SPARE_PART {
+    sendable: impl Fn() -> I,
+    time_left_ms: f64,
+) -> Option<ScoredUpstream> {
+    let is_idle = |it: &ScoredUpstream| it.is_idle;
+    let n_idle = sendable().filter(is_idle).count();
+    if (n_idle as f64) < n_engines as f64 * SPARE_IDLE_RATIO {
         return None;
     }
-    let is_quick = |it: &Choice| it.times.wait + it.times.own <= in_time;
-    least(open().filter(is_idle).filter(is_quick), |it| it.cost)
+    let is_quick = |it: &ScoredUpstream| it.times.wait + it.times.processing <= time_left_ms;
+    min_by_key(sendable().filter(is_idle).filter(is_quick), |it| it.cost)
 }
 
-fn all_blocked(now: Duration, options: impl Iterator<Item = Choice>) -> Placement {
-    let (mut soonest, mut reason) = (None, Refusal::NoUpstream);
-    for it in options {
-        soonest = Some(soonest.map_or(it.opens, |opens: Duration| opens.min(it.opens)));
-        if it.backs_off {
+fn refuse_blocked(now: Duration, upstreams: impl Iterator<Item = ScoredUpstream>) -> Placement {
+    let (mut earliest, mut reason) = (None, Refusal::NoUpstream);
+    for it in upstreams {
+        earliest = Some(earliest.map_or(it.opens_at, |at: Duration| at.min(it.opens_at)));
+        if it.is_backing_off {
             reason = Refusal::Backoff;
         }
     }
-    let opens = soonest.map_or(AWAY.1, |it| it.saturating_sub(now)).max(AWAY.0);
-    let retry = match reason {
+    let wait = earliest.map_or(RETRY_BOUNDS.1, |it| it.saturating_sub(now)).max(RETRY_BOUNDS.0);
+    let retry_after = match reason {
         // When it ends is known, however late: to come before is in vain.
-        Refusal::Backoff => opens,
-        _ => opens.min(AWAY.1),
+        Refusal::Backoff => wait,
+        _ => wait.min(RETRY_BOUNDS.1),
     };
-    Placement::Refuse { reason, retry_after: retry, estimate: retry, share_ratio: 0.0 }
+    Placement::Refuse { reason, retry_after, estimate: retry_after, share_ratio: 0.0 }
 }
--- a/crates/portfield/src/balance/bias.rs
+++ b/crates/portfield/src/balance/bias.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Weight of one more observation.
-const SMOOTH: f64 = 0.1;
+const SMOOTHING: f64 = 0.1;
 /// Largest error taken in, in milliseconds, either way: beyond that an engine is ill.
-const MOST: f64 = 2000.0;
+const MAX_ERROR: f64 = 2000.0;
 /// Time without an observation in which the error comes to count half: refusing everybody
 /// must end by itself.
 const HALF_LIFE: Duration = Duration::from_secs(1);
@@ -17,24 +17,24 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Bias {
     mean: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl Bias {
     /// Takes one first event into account; `error` is in milliseconds.
     pub(crate) fn observe(&mut self, now: Duration, error: f64) {
-        let mean = self.faded(now);
-        self.mean = mean + SMOOTH * (error.clamp(-MOST, MOST) - mean);
-        self.at = now;
+        let mean = self.decayed(now);
+        self.mean = mean + SMOOTHING * (error.clamp(-MAX_ERROR, MAX_ERROR) - mean);
+        self.updated = now;
     }
 
     /// Returns by how much estimates fall short, in milliseconds; zero where they do not.
     pub(crate) fn shortfall(&self, now: Duration) -> f64 {
-        self.faded(now).max(0.0)
+        self.decayed(now).max(0.0)
     }
 
-    fn faded(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at);
+    fn decayed(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated);
         self.mean * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/portfield/src/balance/governor.rs
+++ b/crates/portfield/src/balance/governor.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use super::{flow::Flow, shares::max_min};
+use super::{decaying_sum::DecayingSum, shares::max_min};
 
 /// Weight of one more observation; with one each 25 ms it remembers about a tenth of a second.
 const SMOOTH: f64 = 0.25;
@@ -55,9 +55,9 @@
     /// Since when callers are better served elsewhere, if they are.
     busy_since: Option<Duration>,
     /// Work that was admitted of late, in messages.
-    admitted: Flow,
+    admitted: DecayingSum,
     /// Work that was refused of late, in messages.
-    refused: Flow,
+    refused: DecayingSum,
     /// The most that was admitted while this host is busy with a flood, in messages; zero where there is none.
     most_admitted: f64,
     /// Questions in a row of the platform that were answered with no.
@@ -65,7 +65,7 @@
     /// When it was last late.
     last_late: Duration,
     /// Work that each workspace offered to this host of late.
-    offered: HashMap<u32, Flow>,
+    offered: HashMap<u32, DecayingSum>,
 }
 
 /// What a refusal of the governor comes from.
@@ -102,9 +102,10 @@
             self.busy_since = None;
             self.most_admitted = 0.0;
         }
-        let admitted = self.admitted.sum(now);
+        let admitted = self.admitted.value(now);
         // Who was late for a moment refuses less than it admits, and has room at its usual load.
-        if self.is_overloaded() && (0.0 < self.most_admitted || admitted < self.refused.sum(now)) {
+        if self.is_overloaded() && (0.0 < self.most_admitted || admitted < self.refused.value(now))
+        {
             self.most_admitted = self.most_admitted.max(admitted);
         }
     }
@@ -115,7 +116,9 @@
     /// once, and the platform needs two questions to send them elsewhere again.
     fn has_room(&self, now: Duration) -> bool {
         let is_long = self.busy_since.is_none_or(|it| it + LONGEST_BUSY < now);
-        is_long || self.admitted.sum(now) <= self.most_admitted * ROOM || self.most_admitted == 0.0
+        is_long
+            || self.admitted.value(now) <= self.most_admitted * ROOM
+            || self.most_admitted == 0.0
     }
 
     /// Returns whether callers are better served elsewhere.
@@ -168,7 +171,7 @@
     ) -> Option<Overload> {
         let own = self.offered.entry(workspace).or_default();
         own.add(now, work);
-        let own = own.sum(now);
+        let own = own.value(now);
         let refused = self.share_out(now, own, draw);
         let flow = if refused.is_some() { &mut self.refused } else { &mut self.admitted };
         flow.add(now, work);
@@ -181,7 +184,7 @@
         if part <= 0.0 {
             return None;
         }
-        let offered: Vec<f64> = self.offered.values().map(|it| it.sum(now)).collect();
+        let offered: Vec<f64> = self.offered.values().map(|it| it.value(now)).collect();
         let left = offered.iter().sum::<f64>() * (1.0 - part.min(MOST));
         let level = max_min(offered, left)?;
         (draw < 1.0 - level / own).then_some(Overload {
--- a/crates/portfield/src/balance/prompt.rs
+++ b/crates/portfield/src/balance/prompt.rs
@@ -39,11 +39,11 @@
     }
 
     /// Returns for each part the hash of the prompt up to its end, and its tokens.
-    pub(crate) fn chain(&self) -> Vec<Link> {
+    pub(crate) fn prefixes(&self) -> Vec<PromptPrefix> {
         let mut hash = 0;
         let link = |it: &PromptPart| {
             hash = xxh3_64_with_seed(&it.id.to_le_bytes(), hash);
-            Link { hash: hash as u32, tokens: it.tokens }
+            PromptPrefix { hash: hash as u32, tokens: it.tokens }
         };
         self.parts.iter().map(link).collect()
     }
@@ -51,7 +51,7 @@
 
 /// A prompt up to the end of one of its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Link {
+pub(crate) struct PromptPrefix {
     /// Hash of the prompt so far.
     pub hash: u32,
     /// Tokens of the last part.
--- a/crates/portfield/src/balance/told.rs
+++ b/crates/portfield/src/balance/upstream_signals.rs
@@ -7,7 +7,7 @@
 impl Balancer {
     /// Notes that a connection to an upstream could be opened.
     pub fn record_reachable(&mut self, upstream: u32) {
-        self.loads.node(upstream).health.reachable();
+        self.upstreams.entry(upstream).health.record_reachable();
     }
 
     /// Notes that an upstream asks this host to send it nothing for a time; one that it asked for before is not shortened.
@@ -39,26 +39,26 @@
     /// assert!(matches!(balancer.place(second * 4, &request, &[candidate]), Placement::Send(_)));
     /// ```
     pub fn start_backoff(&mut self, now: Duration, upstream: u32, time: Duration) {
-        self.loads.node(upstream).backoff.begin(now, time);
+        self.upstreams.entry(upstream).backoff.begin(now, time);
     }
 
     /// Returns when the time is over for which an upstream asked to be left alone; `None` where none runs.
     pub fn backoff_until(&self, now: Duration, upstream: u32) -> Option<Duration> {
-        self.loads.get(upstream)?.backoff.until(now)
+        self.upstreams.get(upstream)?.backoff.until(now)
     }
 
     /// Returns the upstreams whose time is over since the last call.
     pub fn take_expired_backoffs(&mut self, now: Duration) -> Vec<u32> {
-        let over = self
-            .loads
-            .numbered_mut()
-            .filter_map(|(number, it)| it.backoff.take_over(now).then_some(number));
-        over.collect()
+        let expired = self
+            .upstreams
+            .iter_numbered_mut()
+            .filter_map(|(number, it)| it.backoff.take_expired(now).then_some(number));
+        expired.collect()
     }
 
     /// Returns how many upstreams are left alone because they asked for it.
     pub fn n_backing_off(&self, now: Duration) -> usize {
-        self.loads.nodes().filter(|it| it.backoff.until(now).is_some()).count()
+        self.upstreams.iter().filter(|it| it.backoff.until(now).is_some()).count()
     }
 
     /// Notes that an upstream is cold until a time: this host may send it `quota` requests a second.
@@ -87,11 +87,11 @@
     /// assert!(placed(&mut balancer, second * 3));
     /// ```
     pub fn mark_cold(&mut self, upstream: u32, until: Duration, quota: u32) {
-        self.loads.node(upstream).warmup.begin(until, quota);
+        self.upstreams.entry(upstream).warmup.begin(until, quota);
     }
 
     /// Notes that an upstream is not cold.
     pub fn mark_warm(&mut self, upstream: u32) {
-        self.loads.node(upstream).warmup.end();
+        self.upstreams.entry(upstream).warmup.end();
     }
 }
--- a/crates/portfield/src/balance/warmup.rs
+++ b/crates/portfield/src/balance/warmup.rs
@@ -15,7 +15,7 @@
 
 /// Hosts that may send to one cold upstream: with one or two its part is lost when they die, with more each part is
 /// less than a request a second.
-const SENDERS: usize = 3;
+const MAX_SENDERS: usize = 3;
 /// Time over which a host counts what it sent: a second, and what requests differ by on the way.
 const WINDOW: Duration = Duration::from_millis(1250);
 
@@ -33,14 +33,14 @@
 /// assert!(hosts.iter().map(|it| quota(*it)).sum::<u32>() <= 14);
 /// assert_eq!(quota(99), 0, "it stands in another data centre");
 /// ```
-pub fn cold_quota(most: f64, hosts: &[u64], host: u64, upstream: u32) -> u32 {
+pub fn cold_quota(max_rate: f64, hosts: &[u64], host: u64, upstream: u32) -> u32 {
     let rank = |it: u64| xxh3_64_with_seed(&it.to_le_bytes(), u64::from(upstream));
     let own = rank(host);
     let n_before = hosts.iter().filter(|it| own < rank(**it)).count();
-    if !hosts.contains(&host) || SENDERS <= n_before {
+    if !hosts.contains(&host) || MAX_SENDERS <= n_before {
         return 0;
     }
-    (most / (SENDERS.min(hosts.len()) + 1) as f64) as u32
+    (max_rate / (MAX_SENDERS.min(hosts.len()) + 1) as f64) as u32
 }
 
 /// What this host may send to one upstream while that is cold.
@@ -73,11 +73,11 @@
 
     /// Returns whether nothing may be sent now.
     pub(crate) fn is_closed(&self, now: Duration) -> bool {
-        now < self.opens(now)
+        now < self.opens_at(now)
     }
 
     /// Returns when something may be sent again.
-    pub(crate) fn opens(&self, now: Duration) -> Duration {
+    pub(crate) fn opens_at(&self, now: Duration) -> Duration {
         if self.until <= now {
             return Duration::ZERO;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Notes that a request is sent.
-    pub(crate) fn note(&mut self, now: Duration) {
+    pub(crate) fn record_sent(&mut self, now: Duration) {
         if self.until <= now {
             self.sent.clear();
             return;
