--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -112,7 +112,7 @@
         candidates: &[Candidate],
     ) -> Placement {
         let status = match request.engine {
-            Some(_) => self.shares.standing(now, request.workspace),
+            Some(_) => self.shares.status(now, request.workspace),
             None => ShareStatus::Uncontended,
         };
         let prefixes = request.prompt.as_ref().map(Prompt::prefixes).unwrap_or_default();
@@ -190,7 +190,7 @@
     /// short of processor time would else seem to ask for little.
     pub fn record_refusal(&mut self, now: Duration, workspace: u32, tokens: f64) {
         if 0.0 < tokens {
-            self.shares.note(now, workspace, Usage { asked: tokens, taken: 0.0 });
+            self.shares.record_local(now, workspace, Usage { asked: tokens, taken: 0.0 });
         }
     }
 
@@ -207,7 +207,7 @@
     /// assert_eq!((snapshot.asked, snapshot.taken), (0.0, 0.0));
     /// ```
     pub fn share_snapshot(&self, now: Duration, workspace: u32) -> ShareSnapshot {
-        self.shares.account(now, workspace)
+        self.shares.snapshot(now, workspace)
     }
 
     /// Returns the least fairness ratio of the last seconds, as far as this host knows: the least part that a workspace
@@ -223,7 +223,7 @@
     /// assert_eq!(balancer.min_fairness(Duration::from_secs(1)), 1.0);
     /// ```
     pub fn min_fairness(&mut self, now: Duration) -> f64 {
-        self.shares.least_part(now)
+        self.shares.min_fairness(now)
     }
 
     /// Notes that a request is sent to an upstream.
@@ -260,7 +260,7 @@
             let parts = prefixes.iter().take(shared).map(|it| it.hash).collect();
             self.upstreams.announce(assignment.upstream, parts);
             let taken = request.token_cost();
-            self.shares.note(now, request.workspace, Usage { asked: taken, taken });
+            self.shares.record_local(now, request.workspace, Usage { asked: taken, taken });
         }
         self.runs.insert(self.n_runs, run);
         self.n_runs
@@ -319,7 +319,7 @@
             taken: it.taken as u64,
         };
         let is_full = digest.sequence.is_multiple_of(FULL_DIGEST_EVERY);
-        let changed = self.shares.take_told().into_iter();
+        let changed = self.shares.take_changed_totals().into_iter();
         digest.usage = if is_full {
             self.shares.totals().map(usage).collect()
         } else {
@@ -348,7 +348,7 @@
         let memory = |id| engine_memory.get(&id).copied().unwrap_or(u64::MAX);
         for it in self.upstreams.merge_digest(now, digest, memory) {
             let usage = Usage { asked: it.asked as f64, taken: it.taken as f64 };
-            self.shares.learn(now, it.workspace, usage);
+            self.shares.add_to_window(now, it.workspace, usage);
         }
     }
 
--- a/crates/portfield/src/balance/budget.rs
+++ b/crates/portfield/src/balance/retry_budget.rs
@@ -4,7 +4,7 @@
 
 /// Part of the fleet's allowance that hosts use together: what is sent and lost on the way, and
 /// hosts that restart with an empty memory, take from the rest.
-const USED: f64 = 0.6;
+const SAFETY_FACTOR: f64 = 0.6;
 
 /// A sliding window over one service's requests and repeats at one host.
 ///
@@ -29,36 +29,36 @@
     extra: f64,
     window: Duration,
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
 impl RetryBudget {
     /// Builds a budget.
     pub fn new(ratio: f64, extra: f64, window: Duration) -> Self {
-        Self { ratio, extra, window, requests: VecDeque::new(), repeats: VecDeque::new() }
+        Self { ratio, extra, window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Counts a request.
     pub fn deposit(&mut self, now: Duration) {
         self.requests.push_back(now);
-        self.forget(now);
+        self.expire(now);
     }
 
     /// Pays for one repeat, if it can; `n_hosts` share the extra.
     pub fn withdraw(&mut self, now: Duration, n_hosts: usize) -> bool {
-        self.forget(now);
+        self.expire(now);
         let extra = self.extra / n_hosts.max(1) as f64;
-        let most = USED * (self.ratio * self.requests.len() as f64 + extra);
-        let res = (self.repeats.len() as f64) + 1.0 <= most.max(1.0);
+        let limit = SAFETY_FACTOR * (self.ratio * self.requests.len() as f64 + extra);
+        let res = (self.retries.len() as f64) + 1.0 <= limit.max(1.0);
         if res {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         res
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         let window = self.window;
-        for list in [&mut self.requests, &mut self.repeats] {
+        for list in [&mut self.requests, &mut self.retries] {
             while list.front().is_some_and(|it| *it + window < now) {
                 list.pop_front();
             }
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -9,17 +9,17 @@
 const N_BUCKETS: usize = 8;
 /// Excess of what was asked over what was taken above which the fleet counts as short; a refused
 /// request that comes again is asked again.
-const SHORT: f64 = 1.08;
+const SHORTAGE_RATIO: f64 = 1.08;
 
 /// Part of what the best served workspace has had, or of what it asked itself if that is less, below
 /// which a workspace is behind: the users call it unfair at a half.
 ///
 /// Beyond the shares everybody is alike, and who asks most often gets most, until somebody is behind.
 /// So this is where the part of the others settles, with less over single spans of some seconds: well above the half.
-const BEHIND: f64 = 0.85;
+const UNDERSERVED_BELOW: f64 = 0.85;
 /// The same, below which it is served like one within its share, and shared parts are read again for
 /// it: that takes from all, so a few refusals must not be enough.
-const FAR_BEHIND: f64 = 0.6;
+const STARVED_BELOW: f64 = 0.6;
 
 /// How a workspace stands against its share.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -68,32 +68,32 @@
 
 /// What a window has for each, in tokens.
 #[derive(Debug, Clone, Copy)]
-struct Level {
+struct Allocation {
     /// The most that a workspace is owed.
-    level: f64,
+    fair_share: f64,
     /// The most that one has had.
-    best: f64,
+    largest_usage: f64,
 }
 
 #[derive(Debug, Default, Clone)]
 struct Window {
     buckets: [Usage; N_BUCKETS],
     /// Number of the newest bucket since the start.
-    newest: u64,
+    newest_bucket: u64,
 }
 
 impl Window {
-    fn roll(&mut self, bucket: u64) {
-        let n_new = bucket.saturating_sub(self.newest).min(N_BUCKETS as u64);
+    fn advance(&mut self, bucket: u64) {
+        let n_new = bucket.saturating_sub(self.newest_bucket).min(N_BUCKETS as u64);
         for i in 0..n_new {
             self.buckets[((bucket - i) % N_BUCKETS as u64) as usize] = Usage::default();
         }
-        self.newest = self.newest.max(bucket);
+        self.newest_bucket = self.newest_bucket.max(bucket);
     }
 
     fn add(&mut self, bucket: u64, usage: Usage) {
-        self.roll(bucket);
-        let it = &mut self.buckets[(self.newest % N_BUCKETS as u64) as usize];
+        self.advance(bucket);
+        let it = &mut self.buckets[(self.newest_bucket % N_BUCKETS as u64) as usize];
         it.asked += usage.asked;
         it.taken += usage.taken;
     }
@@ -114,15 +114,15 @@
     /// What this host's own requests came to since its start.
     totals: FastMap<u32, Usage>,
     /// In how many digests each total is still to be told.
-    n_untold: FastMap<u32, u32>,
+    n_reports_left: FastMap<u32, u32>,
     /// What there is by the configuration, in tokens a second; zero is unknown.
     capacity: f64,
-    level: Option<Level>,
-    levelled: Duration,
+    allocation: Option<Allocation>,
+    computed_at: Duration,
 }
 
 /// Time between two computations of the level.
-const LEVEL_PERIOD: Duration = Duration::from_millis(100);
+const REFRESH_PERIOD: Duration = Duration::from_millis(100);
 
 impl Shares {
     /// Builds the shares; `window` is the time over which they are kept.
@@ -131,10 +131,10 @@
             window,
             windows: FastMap::default(),
             totals: FastMap::default(),
-            n_untold: FastMap::default(),
+            n_reports_left: FastMap::default(),
             capacity: 0.0,
-            level: None,
-            levelled: Duration::ZERO,
+            allocation: None,
+            computed_at: Duration::ZERO,
         }
     }
 
@@ -144,16 +144,16 @@
     }
 
     /// Notes what one of this host's requests asked for or took.
-    pub(crate) fn note(&mut self, now: Duration, workspace: u32, usage: Usage) {
+    pub(crate) fn record_local(&mut self, now: Duration, workspace: u32, usage: Usage) {
         let total = self.totals.entry(workspace).or_default();
         total.asked += usage.asked;
         total.taken += usage.taken;
-        self.n_untold.insert(workspace, REPEATS);
-        self.learn(now, workspace, usage);
+        self.n_reports_left.insert(workspace, REPEATS);
+        self.add_to_window(now, workspace, usage);
     }
 
     /// Notes what another host's requests asked for or took.
-    pub(crate) fn learn(&mut self, now: Duration, workspace: u32, usage: Usage) {
+    pub(crate) fn add_to_window(&mut self, now: Duration, workspace: u32, usage: Usage) {
         let bucket = self.bucket(now);
         self.windows.entry(workspace).or_default().add(bucket, usage);
     }
@@ -166,79 +166,74 @@
     /// Takes the totals that are to be told now; each change is told [`REPEATS`] times.
     ///
     /// All of them in each digest would be most of its bytes.
-    pub(crate) fn take_told(&mut self) -> Vec<(u32, Usage)> {
+    pub(crate) fn take_changed_totals(&mut self) -> Vec<(u32, Usage)> {
         let total = |id: &u32| (*id, self.totals.get(id).copied().unwrap_or_default());
-        let res = self.n_untold.keys().map(total).collect();
-        self.n_untold.values_mut().for_each(|it| *it -= 1);
-        self.n_untold.retain(|_, it| 0 < *it);
+        let res = self.n_reports_left.keys().map(total).collect();
+        self.n_reports_left.values_mut().for_each(|it| *it -= 1);
+        self.n_reports_left.retain(|_, it| 0 < *it);
         res
     }
 
     /// Returns how a workspace stands.
-    pub(crate) fn standing(&mut self, now: Duration, workspace: u32) -> ShareStatus {
-        if self.levelled + LEVEL_PERIOD <= now || self.levelled == Duration::ZERO {
-            self.levelled = now;
-            self.level = self.compute(now);
+    pub(crate) fn status(&mut self, now: Duration, workspace: u32) -> ShareStatus {
+        if self.computed_at + REFRESH_PERIOD <= now || self.computed_at == Duration::ZERO {
+            self.computed_at = now;
+            self.allocation = self.compute_allocation(now);
         }
-        let Some(level) = self.level else { return ShareStatus::Uncontended };
+        let Some(allocation) = self.allocation else { return ShareStatus::Uncontended };
         let usage = self.windows.get(&workspace).map(Window::sum).unwrap_or_default();
-        let share = usage.taken / level.level.max(1.0);
-        let owed = usage.asked.min(level.best);
-        if usage.taken < owed * FAR_BEHIND {
-            return ShareStatus::Starved(share);
+        let ratio = usage.taken / allocation.fair_share.max(1.0);
+        let entitled = usage.asked.min(allocation.largest_usage);
+        if usage.taken < entitled * STARVED_BELOW {
+            return ShareStatus::Starved(ratio);
         }
-        if usage.taken < owed * BEHIND {
-            return ShareStatus::Underserved(share);
+        if usage.taken < entitled * UNDERSERVED_BELOW {
+            return ShareStatus::Underserved(ratio);
         }
-        ShareStatus::Served(share)
+        ShareStatus::Served(ratio)
     }
 
     /// Returns what a workspace's standing comes from, as of the last one computed.
-    pub(crate) fn account(&self, now: Duration, workspace: u32) -> ShareSnapshot {
+    pub(crate) fn snapshot(&self, now: Duration, workspace: u32) -> ShareSnapshot {
         let usage = self.windows.get(&workspace).map(Window::sum).unwrap_or_default();
-        let (level, best) = self.level.map_or((0.0, 0.0), |it| (it.level, it.best));
-        let age = now.saturating_sub(self.levelled);
-        ShareSnapshot {
-            asked: usage.asked,
-            taken: usage.taken,
-            fair_share: level,
-            largest_usage: best,
-            age,
-        }
+        let (fair_share, largest_usage) =
+            self.allocation.map_or((0.0, 0.0), |it| (it.fair_share, it.largest_usage));
+        let age = now.saturating_sub(self.computed_at);
+        ShareSnapshot { asked: usage.asked, taken: usage.taken, fair_share, largest_usage, age }
     }
 
     /// Returns the least part that a workspace has had of what it asked, or of what the best served one has had if that
     /// is less, over the window; one where nobody was refused.
-    pub(crate) fn least_part(&mut self, now: Duration) -> f64 {
+    pub(crate) fn min_fairness(&mut self, now: Duration) -> f64 {
         let bucket = self.bucket(now);
-        self.windows.values_mut().for_each(|it| it.roll(bucket));
+        self.windows.values_mut().for_each(|it| it.advance(bucket));
         let sums = || self.windows.values().map(Window::sum);
-        let best = sums().map(|it| it.taken).fold(0.0, f64::max);
-        let refused = sums().filter(|it| it.taken < it.asked && 0.0 < best);
-        refused.map(|it| it.taken / it.asked.min(best)).fold(1.0, f64::min)
+        let largest = sums().map(|it| it.taken).fold(0.0, f64::max);
+        let refused = sums().filter(|it| it.taken < it.asked && 0.0 < largest);
+        refused.map(|it| it.taken / it.asked.min(largest)).fold(1.0, f64::min)
     }
 
     /// Returns the most that a workspace gets in a window, `None` where all get what they ask.
     ///
     /// What all took together is what there is; the level shares it out by max-min.
-    fn compute(&mut self, now: Duration) -> Option<Level> {
+    fn compute_allocation(&mut self, now: Duration) -> Option<Allocation> {
         let bucket = self.bucket(now);
         let mut asked: Vec<f64> = Vec::new();
-        let (mut left, mut best) = (0.0, 0.0_f64);
+        let (mut available, mut largest_usage) = (0.0, 0.0_f64);
         for it in self.windows.values_mut() {
-            it.roll(bucket);
+            it.advance(bucket);
             let sum = it.sum();
             asked.push(sum.asked.max(sum.taken));
-            left += sum.taken;
-            best = best.max(sum.taken);
+            available += sum.taken;
+            largest_usage = largest_usage.max(sum.taken);
         }
-        if asked.iter().sum::<f64>() <= left * SHORT {
+        if asked.iter().sum::<f64>() <= available * SHORTAGE_RATIO {
             return None;
         }
         if 0.0 < self.capacity {
-            left = left.min(self.capacity * self.window.as_secs_f64());
+            available = available.min(self.capacity * self.window.as_secs_f64());
         }
-        max_min(asked, left).map(|level| Level { level, best })
+        max_min_share(asked, available).map(|fair_share| Allocation { fair_share, largest_usage })
     }
 
     fn bucket(&self, now: Duration) -> u64 {
@@ -248,15 +243,15 @@
 
 /// Returns the most that each gets where what there is, is shared out by max-min; `None` where there
 /// is enough for all.
-pub(super) fn max_min(mut asked: Vec<f64>, mut left: f64) -> Option<f64> {
-    asked.sort_by(f64::total_cmp);
-    let mut n_left = asked.len() as f64;
-    for it in asked {
-        if left / n_left <= it {
-            return Some(left / n_left);
+pub(super) fn max_min_share(mut demands: Vec<f64>, mut available: f64) -> Option<f64> {
+    demands.sort_by(f64::total_cmp);
+    let mut n_remaining = demands.len() as f64;
+    for it in demands {
+        if available / n_remaining <= it {
+            return Some(available / n_remaining);
         }
-        left -= it;
-        n_left -= 1.0;
+        available -= it;
+        n_remaining -= 1.0;
     }
     None
 }
--- a/crates/portfield/src/balance/witness.rs
+++ b/crates/portfield/src/balance/store_availability.rs
@@ -24,32 +24,32 @@
 #[derive(Debug, Clone)]
 pub struct StoreAvailability {
     /// Longest time between two words of the store that is no outage.
-    gap: Duration,
+    max_gap: Duration,
     /// Since when it was heard without such a time.
     since: Duration,
     /// When it was last heard.
-    last: Duration,
+    last_heard: Duration,
 }
 
 impl StoreAvailability {
     /// Builds what a host knows that has heard of nobody; `gap` is the longest time without a word that is no outage.
-    pub fn new(gap: Duration) -> Self {
-        Self { gap, since: Duration::MAX, last: Duration::ZERO }
+    pub fn new(max_gap: Duration) -> Self {
+        Self { max_gap, since: Duration::MAX, last_heard: Duration::ZERO }
     }
 
     /// Notes that some host heard the store at a time; an earlier one than the last is no news.
     pub fn record(&mut self, at: Duration) {
-        if at <= self.last {
+        if at <= self.last_heard {
             return;
         }
-        if self.since == Duration::MAX || self.last + self.gap < at {
+        if self.since == Duration::MAX || self.last_heard + self.max_gap < at {
             self.since = at;
         }
-        self.last = at;
+        self.last_heard = at;
     }
 
     /// Returns whether there was no outage between a time at which this host heard the store and now.
     pub fn is_continuous(&self, from: Duration, now: Duration) -> bool {
-        self.since <= from + self.gap && now <= self.last + self.gap
+        self.since <= from + self.max_gap && now <= self.last_heard + self.max_gap
     }
 }
--- a/crates/portfield/src/balance/readers.rs
+++ b/crates/portfield/src/balance/store_watchers.rs
@@ -6,20 +6,20 @@
 
 /// Up to so many hosts all of them follow the store: what they would save is under a hundredth of
 /// what they earn, and each learns of a change by itself.
-const ALL: usize = 12;
+const ALL_WATCH_BELOW: usize = 12;
 /// Hosts of a data centre that follow the store where there are more.
-const PER_DATA_CENTRE: usize = 2;
+const WATCHERS_PER_CENTRE: usize = 2;
 /// Time in which the store answers a call beyond that for which it holds it.
 pub const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time that a host needs to take what a call told, and to tell the others.
-const TAKING: Duration = Duration::from_millis(800);
+const PROPAGATION: Duration = Duration::from_millis(800);
 /// Shortest and longest time for which the store is asked to hold a call. The longest tells an outage of the store in
 /// which upstreams' entries lapse, three heartbeats of 1.2 s, from a call that is held.
-const HOLDS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(2200));
+const HOLD_BOUNDS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(2200));
 /// Time above that for which a call is held, above which a host counts as cut off from the store.
-const FRESH_SLACK: Duration = Duration::from_millis(500);
+const STALE_SLACK: Duration = Duration::from_millis(500);
 /// The same, above which the list of upstreams is taken from other hosts.
-const SILENT_SLACK: Duration = Duration::from_millis(800);
+const FALLBACK_SLACK: Duration = Duration::from_millis(800);
 
 /// How a host follows the store, by how soon the users count on what it says.
 ///
@@ -49,8 +49,10 @@
     /// With 4 s calls are held for 2.2 s in place of 1.2 s: hosts that follow a store in which nothing changes make
     /// half as many.
     pub fn new(contact: Duration) -> Self {
-        let hold = contact.saturating_sub(STORE_CALL_TIMEOUT + TAKING).clamp(HOLDS.0, HOLDS.1);
-        Self { hold, stale_after: hold + FRESH_SLACK, fallback_after: hold + SILENT_SLACK }
+        let hold = contact
+            .saturating_sub(STORE_CALL_TIMEOUT + PROPAGATION)
+            .clamp(HOLD_BOUNDS.0, HOLD_BOUNDS.1);
+        Self { hold, stale_after: hold + STALE_SLACK, fallback_after: hold + FALLBACK_SLACK }
     }
 }
 
@@ -99,36 +101,36 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreWatchers {
-    others: FastMap<u64, WatcherStatus>,
-    pace: StoreTimeouts,
+    hosts: FastMap<u64, WatcherStatus>,
+    timeouts: StoreTimeouts,
 }
 
 impl StoreWatchers {
     /// Builds the state of a host that has heard nobody.
-    pub fn new(pace: StoreTimeouts) -> Self {
-        Self { others: FastMap::default(), pace }
+    pub fn new(timeouts: StoreTimeouts) -> Self {
+        Self { hosts: FastMap::default(), timeouts }
     }
 
     /// Notes what another host said.
     pub fn record(&mut self, it: WatcherStatus) {
-        self.others.insert(it.host, it);
+        self.hosts.insert(it.host, it);
     }
 
     /// Returns whether a host is to follow the store itself: all do where there are few; else the
-    /// first ones of each data centre by hash, of those that the store answers. `n_others` is how many
+    /// first ones of each data centre by hash, of those that the store answers. `n_peers` is how many
     /// other hosts are heard, each by itself or in a sum.
-    pub fn is_watcher(&self, now: Duration, host: u64, data_centre: u32, n_others: usize) -> bool {
-        if n_others < ALL {
+    pub fn is_watcher(&self, now: Duration, host: u64, data_centre: u32, n_peers: usize) -> bool {
+        if n_peers < ALL_WATCH_BELOW {
             return true;
         }
-        let is_near = |it: &&WatcherStatus| it.data_centre == data_centre && is_alive(it, now);
+        let is_local = |it: &&WatcherStatus| it.data_centre == data_centre && is_alive(it, now);
         let age = |it: &WatcherStatus| it.store_age + now.saturating_sub(it.last_heard);
-        let before = || self.others.values().filter(is_near).filter(|it| it.host < host);
-        let n_fresh = before().filter(|it| age(it) < self.pace.stale_after).count();
+        let before = || self.hosts.values().filter(is_local).filter(|it| it.host < host);
+        let n_fresh = before().filter(|it| age(it) < self.timeouts.stale_after).count();
         let n_stale = before().count() - n_fresh;
-        let newest = self.others.values().filter(is_near).map(age).min().unwrap_or_default();
-        n_fresh < PER_DATA_CENTRE
-            && n_stale < PER_DATA_CENTRE + n_tries(newest, self.pace.stale_after)
+        let newest = self.hosts.values().filter(is_local).map(age).min().unwrap_or_default();
+        n_fresh < WATCHERS_PER_CENTRE
+            && n_stale < WATCHERS_PER_CENTRE + n_tries(newest, self.timeouts.stale_after)
     }
 }
 
@@ -137,7 +139,7 @@
 }
 
 /// Returns how many more hosts try the store where the last word from it has that age.
-fn n_tries(age: Duration, fresh: Duration) -> usize {
-    let doublings = (age.as_secs_f64() / fresh.as_secs_f64()).log2();
+fn n_tries(age: Duration, stale_after: Duration) -> usize {
+    let doublings = (age.as_secs_f64() / stale_after.as_secs_f64()).log2();
     if doublings < 0.0 { 0 } else { 1 + (doublings * TRIES_PER_DOUBLING) as usize }
 }
