--- a/crates/portfield/src/balance/admission.rs
+++ b/crates/portfield/src/balance/admission.rs
@@ -1,14 +1,13 @@
 //! How long a request may wait at an upstream before it is refused instead.
 //!
-//! The load that this answers: callers ask for two to five times what the engines can do, most of it
-//! from two or three workspaces, each of whose callers asks again once it is refused. Engines take
-//! requests in order of arrival and know no priority, so whatever is sent to one delays all that come
-//! after it. Hence three rules, which differ in what they give away:
+//! The case to handle: callers ask for two to five times the capacity, mostly for two or three
+//! workspaces, and retry once refused. Engines serve requests in order of arrival without
+//! priorities, so every request sent delays all that come after it. Hence three rules:
 //!
-//! - Who is within its share is sent as long as it can be in time.
-//! - Who has had its share, but less than another, is sent where it waits for some of that time.
-//! - Who else has had its share is sent where hardly anything waits. Capacity beyond the shares is
-//!   used, but what uses it delays nobody who is owed service.
+//! - A workspace within its share is served as long as its requests can be in time.
+//! - A workspace beyond its share that has had less than another may wait for part of that time.
+//! - Any other workspace beyond its share may hardly wait at all: it uses spare capacity without
+//!   delaying workspaces that are within their share.
 
 use super::{
     placement::{PlacementRequest, Stage},
@@ -16,29 +15,29 @@
     shares::ShareStatus,
 };
 
-/// Part of the objective that a request may wait behind others even if it can only be late.
+/// Part of the objective that a request may wait even if it can only be late.
 ///
-/// A prompt whose own reading takes longer than its objective would else never be served. Who waits much longer delays
-/// all that come after.
+/// Otherwise a prompt that takes longer to read than its objective would never be served. A longer
+/// wait would delay all later requests.
 const LATE_WAIT_RATIO: f64 = 0.25;
-/// Part of the time left that a workspace may wait that has just had its share; it falls to nothing
-/// for one that has had [`OVER_RANGE`] shares more.
+/// Part of the remaining time that a workspace may wait when it has just used its share; it falls
+/// to zero at [`EXCESS_RANGE`] shares more.
 ///
-/// What is sent beyond the shares makes the rest late; where nothing is, engines idle.
+/// With a larger part, requests beyond the shares make the others late; with none, engines idle.
 const EXCESS_WAIT_RATIO: f64 = 0.1;
-/// Shares beyond its own at which a workspace gets only idle upstreams.
+/// Excess over its share, as a multiple of it, at which a workspace gets idle upstreams only.
 const EXCESS_RANGE: f64 = 0.5;
-/// Part of the time left that a workspace may wait that has had its share and is behind another one;
-/// far behind it waits for all of it.
+/// Part of the remaining time that an underserved workspace beyond its share may wait; a starved
+/// one may wait for all of it.
 ///
-/// It goes before those that have had more, not before those within their share.
+/// It goes before workspaces that have had more, but not before those within their share.
 const UNDERSERVED_WAIT_RATIO: f64 = 0.5;
-/// Requests that wait at a plain upstream for each that runs, before it counts as full.
+/// Requests that may wait at a plain upstream for each running one.
 const PLAIN_QUEUE_RATIO: f64 = 3.0;
 
 /// Returns the longest wait, in milliseconds, with which a request is still sent.
 ///
-/// A stream that has begun is sent however long it waits: its caller has part of the answer.
+/// A stream that has begun is always sent: its caller already has part of the response.
 pub(super) fn max_wait_ms(
     request: &PlacementRequest,
     status: ShareStatus,
@@ -53,7 +52,7 @@
     let objective = request.objective.as_secs_f64() * 1000.0;
     let slack = time_left_ms(request) - upstream.times.processing;
     match status {
-        // An engine that is idle as far as any host knows is not refused for what nobody knows.
+        // Unexplained wait alone is no reason to refuse an engine that looks idle to all hosts.
         ShareStatus::Served(it) if 1.0 < it => {
             (slack * excess_wait_ratio(it)).max(0.0) + upstream.times.bias
         }
@@ -64,14 +63,14 @@
     }
 }
 
-/// Returns the time left, in milliseconds, until a request's objective has gone by.
+/// Returns the time left until the request's objective has passed, in milliseconds.
 pub(super) fn time_left_ms(request: &PlacementRequest) -> f64 {
     let left = request.objective.as_secs_f64() - request.waited.as_secs_f64();
     left * 1000.0
 }
 
-/// Returns the part of the time left that a workspace may wait which has had `share` times its share,
-/// more than one.
+/// Returns the part of the remaining time that a workspace may wait which has used `share_ratio`
+/// times its share, which is more than one.
 fn excess_wait_ratio(share_ratio: f64) -> f64 {
     let excess = ((share_ratio - 1.0) / EXCESS_RANGE).min(1.0);
     EXCESS_WAIT_RATIO * (1.0 - excess)
--- a/crates/portfield/src/balance/backoff.rs
+++ b/crates/portfield/src/balance/backoff.rs
@@ -1,33 +1,33 @@
-//! Upstreams that asked this host to send them nothing for a while.
+//! Backoff that an upstream asked of this host.
 //!
-//! The load that this answers: an upstream that is full turns requests away faster than it runs them, so that it looks idle
-//! and draws more. What it asks for is asked of this host alone: others may go on sending.
+//! A full upstream rejects requests faster than it runs them, so it looks idle and attracts more.
+//! The backoff it asks for applies to this host alone; others may go on sending.
 //!
-//! When the time is over the upstream may still be full, and all that was held back would come at once. So one request goes
-//! there, and more only once that one was taken.
+//! When the backoff ends the upstream may still be full, and all held back requests would arrive at
+//! once. So a single request is sent as a probe, and more only once that was accepted.
 
 use std::time::Duration;
 
 use super::balancer::RunId;
 
-/// Longest time granted: a value that nobody can mean takes no upstream away for ever.
+/// Longest backoff: an absurd value must not exclude an upstream for ever.
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
-/// Time after its end for which one is remembered that no request has tried.
+/// Time after its end for which a backoff is kept if no probe was sent.
 const UNTRIED_EXPIRY: Duration = Duration::from_secs(60);
 
-/// What one upstream asked for.
+/// One upstream's backoff.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Backoff {
-    /// When the time is over; `None` where there is none, or a request was taken since.
+    /// End of the backoff; `None` if there is none, or a request was accepted after it.
     until: Option<Duration>,
-    /// The one request that was sent since the time was over, while it is not known to be taken.
+    /// The request sent as a probe after the end, until its outcome is known.
     probe: Option<RunId>,
-    /// That the time is over was told.
+    /// The end was reported.
     is_reported: bool,
 }
 
 impl Backoff {
-    /// Notes that the upstream asks for so much time; what it asked for before is not shortened.
+    /// Starts a backoff; an earlier one is not shortened.
     pub(crate) fn begin(&mut self, now: Duration, time: Duration) {
         let end = now + time.min(MAX_BACKOFF);
         if time.is_zero() || self.until.is_some_and(|it| end <= it) {
@@ -37,54 +37,54 @@
         self.is_reported = false;
     }
 
-    /// Returns when the time is over that runs at this moment.
+    /// Returns the end of the backoff in effect.
     pub(crate) fn until(&self, now: Duration) -> Option<Duration> {
         self.until.filter(|it| now < *it)
     }
 
-    /// Returns whether nothing is to be placed there now.
+    /// Returns whether no request may be placed there now.
     pub(crate) fn is_closed(&self, now: Duration) -> bool {
         self.until(now).is_some() || self.probe.is_some()
     }
 
-    /// Returns when something may be placed there, as far as that is known.
+    /// Returns when requests may be placed there again, as far as that is known.
     pub(crate) fn opens_at(&self, now: Duration) -> Duration {
         self.until(now).unwrap_or(Duration::ZERO)
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent; the first one after the end is the probe.
     pub(crate) fn record_sent(&mut self, now: Duration, run: RunId) {
         if self.until.is_some_and(|it| it <= now) {
             self.probe.get_or_insert(run);
         }
     }
 
-    /// Notes that the upstream took a request.
+    /// Records that the upstream accepted a request.
     pub(crate) fn record_accepted(&mut self, run: RunId) {
         if self.probe == Some(run) {
             *self = Self::default();
         }
     }
 
-    /// Notes that a request ended, whatever became of it.
+    /// Records that a request ended, with any outcome.
     pub(crate) fn record_ended(&mut self, run: RunId) {
         if self.probe == Some(run) {
             self.probe = None;
         }
     }
 
-    /// Returns whether something is known of the upstream.
+    /// Returns whether a backoff is recorded, in effect or ended.
     pub(crate) fn is_recorded(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Returns whether its time is over since the last call.
+    /// Returns whether the backoff ended since the last call.
     pub(crate) fn take_expired(&mut self, now: Duration) -> bool {
         let is_expired = self.until.is_some_and(|it| it <= now);
         is_expired && !std::mem::replace(&mut self.is_reported, true)
     }
 
-    /// Forgets what no request has tried for long.
+    /// Drops a backoff that ended long ago without a probe.
     pub(crate) fn expire(&mut self, now: Duration) {
         if self.probe.is_none() && self.until.is_some_and(|it| it + UNTRIED_EXPIRY <= now) {
             *self = Self::default();
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -1,4 +1,4 @@
-//! The decision itself.
+//! The balancer: chooses an upstream for each request, or refuses it.
 
 use std::time::Duration;
 
@@ -17,63 +17,64 @@
 };
 use crate::wire;
 
-/// A request at one upstream, numbered by this host.
+/// Number of a request sent to an upstream, unique on this host.
 pub type RunId = u64;
 
-/// Longest and shortest time that a caller is told to stay away.
+/// Shortest and longest time after which a refused caller is told to retry.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// Time after twice its estimate at which a first event is overdue: beyond what estimates are wrong by on a sound
-/// engine, below the time after which a connection to a silent one breaks.
+/// Added to twice the estimate for the time at which a first event is overdue: more than the error
+/// of estimates for a sound engine, less than the time after which a connection to a silent one
+/// breaks.
 const OVERDUE_SLACK: Duration = Duration::from_millis(400);
-/// Part of the engines that are idle, above which a request that would be refused is sent to one of them,
-/// though its shared parts are read there once more.
+/// Fraction of idle engines from which on a request that would be refused is sent to one of them,
+/// where its shared parts are read once more.
 ///
-/// Where most are idle, what refuses is the queue at the one that keeps a part that many ask for. Where most are busy,
-/// parts read again take from all, and the rule is not applied.
+/// With most engines idle, the bottleneck is the queue at the engine that caches a popular part.
+/// With most engines busy, reading parts again costs all workspaces capacity.
 const SPARE_IDLE_RATIO: f64 = 0.5;
-/// How many digests tell only the usage that is new, for each that tells all of it: a host that has just
-/// begun to listen knows all within a second.
+/// One digest in this many has all usage totals, the others only those that changed: a host that
+/// has just started knows all of them within a second.
 pub(crate) const FULL_DIGEST_EVERY: u64 = 8;
-/// Weight of one more observation in an average.
+/// Weight of a new observation in a moving average.
 const SMOOTHING: f64 = 0.05;
 
 #[derive(Debug)]
 struct Run {
     upstream: u32,
-    /// Tokens to read while no event has come.
+    /// Tokens to read before the first event; zero once it has arrived.
     pending: f64,
-    /// Tokens ahead and its own, for learning.
+    /// Tokens read before the first event, including those queued ahead, for the latency model.
     tokens_to_first: f64,
     started: Duration,
-    /// Time to its first event by what the hosts know.
+    /// Estimated time to the first event, without the bias.
     expected: Duration,
-    /// When its first event, or its answer, is overdue.
+    /// When the first event, or the response of a plain service, is overdue.
     due: Duration,
-    /// Its first event, or its answer, has come.
+    /// The first event, or the response, has arrived.
     has_begun: bool,
     is_engine: bool,
     service: u32,
 }
 
-/// Places requests.
+/// Places requests on upstreams.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) upstreams: UpstreamTable,
     shares: Shares,
     latency_models: FastMap<u32, LatencyModel>,
-    /// What estimates fell short of, by service.
+    /// Recent underestimates by service.
     biases: FastMap<u32, Bias>,
-    /// Average time of a request, in milliseconds, by service.
+    /// Mean time of a request in milliseconds, by service.
     mean_times: FastMap<u32, f64>,
     runs: FastMap<RunId, Run>,
     n_runs: RunId,
     engine_memory: FastMap<u32, u64>,
-    /// The last number drawn.
+    /// State of the pseudo-random sequence.
     rng_state: u64,
 }
 
 impl Balancer {
-    /// Builds a balancer; `window` is the time over which shares are kept.
+    /// Builds a balancer; `window` is the time over which shares are computed.
     pub fn new(window: Duration) -> Self {
         Self {
             upstreams: UpstreamTable::default(),
@@ -88,23 +89,23 @@
         }
     }
 
-    /// Sets where the numbers drawn begin: two hosts that begin alike order upstreams alike.
+    /// Seeds the pseudo-random sequence; hosts with the same seed break ties the same way.
     pub fn set_seed(&mut self, seed: u64) {
         self.rng_state = seed;
     }
 
-    /// Sets what all engines handle together, in tokens a second; zero is unknown.
+    /// Sets the capacity of all engines together in tokens per second; zero if unknown.
     pub fn set_capacity(&mut self, tokens_rate: f64) {
         self.shares.set_capacity(tokens_rate);
     }
 
-    /// Forgets upstreams that are gone.
+    /// Removes upstreams that are no longer known.
     pub fn retain_upstreams(&mut self, is_known: impl Fn(u32) -> bool) {
         self.upstreams.retain(&is_known);
         self.engine_memory.retain(|id, _| is_known(*id));
     }
 
-    /// Picks an upstream for a request, or refuses it.
+    /// Chooses an upstream for a request, or refuses it.
     pub fn place(
         &mut self,
         now: Duration,
@@ -145,7 +146,8 @@
         if best.times.wait <= max_wait {
             return Placement::Send(best.assignment(status));
         }
-        // Reading shared parts again takes from all: only for who has had far less than another.
+        // Reading shared parts again costs all workspaces capacity, so this is only for starved
+        // ones.
         if matches!(status, ShareStatus::Starved(_))
             && let Some(fastest) =
                 min_by_key(scored().filter(is_sendable), |it| it.times.wait + it.times.processing)
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Returns the upstream at which least runs, of those that are not left alone: if it ends, the fewest requests end
-    /// with it.
+    /// Returns the usable upstream with the fewest running requests: if it crashes, it takes the
+    /// fewest requests with it.
     pub fn least_busy(&self, now: Duration, candidates: &[Candidate]) -> Option<Candidate> {
         let state = |it: &Candidate| self.upstreams.get(it.upstream);
         let is_open = |it: &&Candidate| !state(it).is_some_and(|it| it.is_closed(now));
@@ -184,17 +186,17 @@
         open.min_by(|a, b| running(a).total_cmp(&running(b))).copied()
     }
 
-    /// Notes that a request of so many tokens was refused: its workspace asked for them and had none.
+    /// Records a refused request and its cost in tokens: its workspace asked for them and got none.
     ///
-    /// **NOTE:** Also what a host refuses before it looks for an upstream: a workspace whose callers all come to hosts
-    /// short of processor time would else seem to ask for little.
+    /// **NOTE:** This includes requests that a host refuses before it chooses an upstream.
+    /// Otherwise a workspace whose callers all use overloaded hosts would seem to ask for little.
     pub fn record_refusal(&mut self, now: Duration, workspace: u32, tokens: f64) {
         if 0.0 < tokens {
             self.shares.record_local(now, workspace, Usage { asked: tokens, taken: 0.0 });
         }
     }
 
-    /// Returns what a workspace's standing comes from, for logs.
+    /// Returns what a workspace's share status is based on, for logs.
     ///
     /// # Examples
     ///
@@ -210,8 +212,9 @@
         self.shares.snapshot(now, workspace)
     }
 
-    /// Returns the least fairness ratio of the last seconds, as far as this host knows: the least part that a workspace
-    /// which was refused has had of what it asked, or of what the best served one has had if that is less.
+    /// Returns the lowest fairness ratio within the window, as far as this host knows: over all
+    /// workspaces with refused requests, the tokens granted divided by the tokens asked for, or by
+    /// the usage of the best served workspace if that is less.
     ///
     /// # Examples
     ///
@@ -226,7 +229,7 @@
         self.shares.min_fairness(now)
     }
 
-    /// Notes that a request is sent to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn record_start(
         &mut self,
         now: Duration,
@@ -266,7 +269,7 @@
         self.n_runs
     }
 
-    /// Notes the first event, or the answer, of a request; later ones change nothing.
+    /// Records the first event of a request, or its response; later ones are ignored.
     pub fn record_first_event(&mut self, now: Duration, id: RunId) {
         let Some(run) = self.runs.get_mut(&id).filter(|it| !it.has_begun) else { return };
         run.has_begun = true;
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Notes the end of a request at its upstream.
+    /// Records the end of a request at its upstream.
     pub fn record_end(&mut self, now: Duration, id: RunId, completion: Completion) {
         let Some(run) = self.runs.remove(&id) else { return };
         let state = self.upstreams.entry(run.upstream);
@@ -303,12 +306,12 @@
                 state.health.record_failure(now);
             }
             Completion::Unreachable => state.health.record_unreachable(now),
-            // What it asked for is granted; it has not failed.
+            // A backoff is honoured separately and is no failure.
             Completion::BackoffRequested | Completion::Cancelled => {}
         }
     }
 
-    /// Writes what this host did into a digest for the others.
+    /// Writes what this host did into a digest for other hosts.
     pub fn fill_digest(&mut self, now: Duration, digest: &mut wire::Digest) {
         self.upstreams.expire(now);
         self.count_overdue(now);
@@ -327,7 +330,7 @@
         };
     }
 
-    /// Writes what the hosts of this data centre did into a digest for the other data centres.
+    /// Writes the summary of this data centre's hosts into a digest for other data centres.
     pub fn fill_summary(&mut self, now: Duration, digest: &mut wire::Digest) {
         let mut sum = self.upstreams.summary(now, digest.data_centre);
         for (workspace, it) in self.shares.totals() {
@@ -342,7 +345,7 @@
         digest.usage = sum.usage.into_values().collect();
     }
 
-    /// Takes another host's digest, or the sum of a data centre's.
+    /// Merges the digest of another host, or the summary of a data centre.
     pub fn merge_digest(&mut self, now: Duration, digest: &wire::Digest) {
         let engine_memory = &self.engine_memory;
         let memory = |id| engine_memory.get(&id).copied().unwrap_or(u64::MAX);
@@ -352,7 +355,7 @@
         }
     }
 
-    /// Notes that this host stood still for a time: nothing that runs is overdue for it, and no engine was slow.
+    /// Records that this process was paused: the pause makes no request overdue and no engine slow.
     pub fn record_pause(&mut self, time: Duration) {
         for run in self.runs.values_mut().filter(|it| !it.has_begun) {
             run.started += time;
@@ -360,12 +363,12 @@
         }
     }
 
-    /// Returns how many hosts there are, as far as this one hears.
+    /// Returns the number of hosts heard recently, including this one.
     pub fn n_hosts(&self, now: Duration) -> usize {
         1 + self.upstreams.n_peers(now)
     }
 
-    /// Returns another number with each call, and at each host.
+    /// Returns the next number of the pseudo-random sequence, which differs between hosts.
     fn next_random(&mut self) -> u64 {
         self.rng_state = xxh3_64(&self.rng_state.to_le_bytes());
         self.rng_state
@@ -379,8 +382,8 @@
     }
 }
 
-/// Returns the least costly idle engine, where so many are idle that reading a shared part at one of them
-/// takes from nobody.
+/// Returns the cheapest idle engine if so many are idle that reading a shared part again costs no
+/// other workspace capacity.
 fn spare_engine<I: Iterator<Item = ScoredUpstream>>(
     n_engines: usize,
     sendable: impl Fn() -> I,
@@ -405,7 +408,7 @@
     }
     let wait = earliest.map_or(RETRY_BOUNDS.1, |it| it.saturating_sub(now)).max(RETRY_BOUNDS.0);
     let retry_after = match reason {
-        // When it ends is known, however late: to come before is in vain.
+        // The end of a backoff is known, however late: a retry before it is in vain.
         Refusal::Backoff => wait,
         _ => wait.min(RETRY_BOUNDS.1),
     };
--- a/crates/portfield/src/balance/bias.rs
+++ b/crates/portfield/src/balance/bias.rs
@@ -1,19 +1,21 @@
-//! What estimates fell short of lately: the queues that this host does not see.
+//! Recent underestimate of the time to the first event, caused by queues that this host does not
+//! see.
 
 use std::time::Duration;
 
-/// Weight of one more observation.
+/// Weight of a new observation.
 const SMOOTHING: f64 = 0.1;
-/// Largest error taken in, in milliseconds, either way: beyond that an engine is ill.
+/// Largest error taken into account, in milliseconds, in either direction: beyond that the engine
+/// is failing.
 const MAX_ERROR: f64 = 2000.0;
-/// Time without an observation in which the error comes to count half: refusing everybody
-/// must end by itself.
+/// Time without an observation after which the error counts half. It decays so that a state in
+/// which every request is refused, and none is observed, ends by itself.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// An average of (time to the first event less its estimate) that fades.
+/// Exponentially decaying average of (observed - estimated) time to the first event.
 ///
-/// Digests are as old as their period, some are lost, and a host that is cut off hears none: then
-/// engines are busier than it believes, all about alike.
+/// Digests are as old as their period, some are lost, and a host that is cut off gets none. Engines
+/// are then busier than it believes, all of them to about the same degree.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Bias {
     mean: f64,
@@ -21,14 +23,14 @@
 }
 
 impl Bias {
-    /// Takes one first event into account; `error` is in milliseconds.
+    /// Records one first event; `error` is in milliseconds.
     pub(crate) fn observe(&mut self, now: Duration, error: f64) {
         let mean = self.decayed(now);
         self.mean = mean + SMOOTHING * (error.clamp(-MAX_ERROR, MAX_ERROR) - mean);
         self.updated = now;
     }
 
-    /// Returns by how much estimates fall short, in milliseconds; zero where they do not.
+    /// Returns the current underestimate in milliseconds; zero if estimates are too high.
     pub(crate) fn shortfall(&self, now: Duration) -> f64 {
         self.decayed(now).max(0.0)
     }
--- a/crates/portfield/src/balance/decaying_sum.rs
+++ b/crates/portfield/src/balance/decaying_sum.rs
@@ -1,12 +1,12 @@
-//! A sum of what came of late.
+//! Exponentially decaying sum of recent work.
 
 use std::time::Duration;
 
-/// Time in which what came comes to count a third: long enough that one request is no flood, short
-/// enough that a flood counts before its callers have given up.
+/// Time after which work counts a third (1/e): long enough that one request is not taken for a
+/// flood, short enough that a flood counts before its callers give up.
 const TIME_CONSTANT: Duration = Duration::from_millis(1000);
 
-/// A sum that fades.
+/// A sum that decays exponentially with [`TIME_CONSTANT`].
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -20,7 +20,7 @@
         self.updated = now;
     }
 
-    /// Returns what is left of the sum; of a steady flow, what comes in [`FLOW_TIME`].
+    /// Returns the decayed sum; at a steady rate this is the work added in [`TIME_CONSTANT`].
     pub(crate) fn value(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated);
         self.sum * (-age.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
--- a/crates/portfield/src/balance/latency_model.rs
+++ b/crates/portfield/src/balance/latency_model.rs
@@ -1,24 +1,26 @@
-//! How long an engine takes to a first event, learned from those seen.
+//! Time to an engine's first event, learned from observed requests.
 
 use std::time::Duration;
 
-/// Reading speed before anything was seen, in tokens a millisecond.
+/// Initial reading speed, in tokens per millisecond.
 ///
-/// Of the order of one large accelerator; after some tens of first events it no longer counts.
+/// About that of one large accelerator; after some tens of first events it no longer matters.
 const INITIAL_RATE: f64 = 40.0;
-/// Time to a first event with nothing to read, before anything was seen, in milliseconds.
+/// Initial time to a first event with nothing to read, in milliseconds.
 const INITIAL_BASE: f64 = 60.0;
-/// Weight of the figures above, in observations: after a start the first requests count, else fast engines are
-/// believed slow for seconds, and callers are refused at idle ones.
+/// Weight of the initial values, in observations. It is small so that the first requests after a
+/// start count; otherwise fast engines are taken for slow ones for seconds, and requests are
+/// refused while engines are idle.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// What an observation still counts after the next one; 0.995 remembers some 200.
+/// Factor applied to past observations with each new one; 0.995 remembers about 200.
 const DECAY: f64 = 0.995;
-/// Slowest and fastest reading speed believed, in tokens a millisecond.
+/// Lower and upper bound of the reading speed, in tokens per millisecond.
 const RATE_BOUNDS: (f64, f64) = (5.0, 500.0);
-/// Shortest and longest time believed for a first event with nothing to read, in milliseconds.
+/// Lower and upper bound of the time to a first event with nothing to read, in milliseconds.
 const BASE_BOUNDS: (f64, f64) = (1.0, 400.0);
 
-/// A line through (tokens before the first event, time to it), by least squares with forgetting.
+/// Linear regression of the time to the first event on the tokens read before it, by least squares
+/// with exponential forgetting.
 #[derive(Debug, Clone)]
 pub(crate) struct LatencyModel {
     n: f64,
@@ -32,7 +34,7 @@
 
 impl Default for LatencyModel {
     fn default() -> Self {
-        // Two clouds of made-up points on the first line: at no tokens and at 16,000.
+        // Two groups of synthetic points on the initial line, at 0 and at 16,000 tokens.
         let far = 16_000.0;
         let y = |x: f64| INITIAL_BASE + x / INITIAL_RATE;
         let half = PRIOR_WEIGHT / 2.0;
@@ -51,20 +53,21 @@
 }
 
 impl LatencyModel {
-    /// Returns the time to a first event behind so many tokens, its own included.
+    /// Returns the predicted time to a first event, in milliseconds, with `tokens` to read before
+    /// it, the request's own included.
     pub(crate) fn predict(&self, tokens: f64) -> f64 {
         self.base + tokens / self.tokens_per_ms
     }
 
-    /// Returns the reading speed in tokens a millisecond.
+    /// Returns the reading speed in tokens per millisecond.
     pub(crate) fn tokens_per_ms(&self) -> f64 {
         self.tokens_per_ms
     }
 
-    /// Takes one first event into account.
+    /// Records the time to a first event with `tokens` to read before it.
     pub(crate) fn observe(&mut self, tokens: f64, time: Duration) {
         let y = time.as_secs_f64() * 1000.0;
-        // What took far longer than expected says that the engine is ill, not how fast it reads.
+        // A time far above the prediction is a sign of a failing engine, not of its reading speed.
         if 3.0 * self.predict(tokens) + 200.0 < y {
             return;
         }
--- a/crates/portfield/src/balance/load_shedder.rs
+++ b/crates/portfield/src/balance/load_shedder.rs
@@ -1,36 +1,38 @@
-//! Whether this host itself keeps up, by how late its own timers fire.
+//! Overload detection and load shedding of this host, from how late its timers fire.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::{decaying_sum::DecayingSum, shares::max_min_share};
 
-/// Weight of one more observation; with one each 25 ms it remembers about a tenth of a second.
+/// Weight of a new observation; at one per 25 ms it averages over about a tenth of a second.
 const SMOOTHING: f64 = 0.25;
-/// Lateness above which callers are sent elsewhere: far above that of a sound host, below what callers of a stream
-/// notice.
+/// Lateness in milliseconds above which the host is overloaded: far above that of a sound host,
+/// below what callers of a stream notice.
 const OVERLOAD_LATENESS: f64 = 15.0;
-/// Lateness below which it takes callers again.
+/// Lateness in milliseconds below which the host is calm.
 const CALM_LATENESS: f64 = 5.0;
-/// Time for which it has to be that calm: callers that left need some seconds to come back.
+/// Time for which it has to be calm before overload ends: callers that left need some seconds to
+/// come back.
 const RECOVERY_TIME: Duration = Duration::from_millis(1500);
-/// Part of the most that it bore while it was behind, below which a calm host has room for callers again.
+/// Fraction of the peak load under overload below which a calm host has headroom for callers again.
 const RECOVERY_LOAD: f64 = 0.5;
-/// Time after which a calm host takes callers again whatever it bears: its usual load may be more than that part.
+/// Time after which overload ends at any load: the usual load may be above that fraction of the
+/// peak.
 const MAX_OVERLOAD: Duration = Duration::from_secs(10);
-/// Lateness above which requests are refused, and the one at which nearly all are: a request that is refused at once
-/// is served elsewhere.
+/// Lateness in milliseconds at which requests begin to be refused, and at which nearly all are: a
+/// request refused at once is served by another host.
 const SHED_RANGE: (f64, f64) = (5.0, 30.0);
-/// Largest part of the requests that is refused.
+/// Largest fraction of requests refused.
 const MAX_SHED: f64 = 0.95;
-/// Time between two questions of the platform whether callers may be sent here.
+/// Period of the platform's readiness probe.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// Questions in a row that are answered with no, after which it opens new connections elsewhere.
+/// Failed probes in a row after which the platform opens new connections elsewhere.
 const MAX_FAILED_PROBES: u32 = 2;
-/// Shortest and longest time after which a caller comes back that is refused, where another host, or this one soon, has
-/// time for it. They are spread, for those of one flood are refused together.
+/// Shortest and longest time after which a refused caller retries, when another host, or this one
+/// soon, has capacity. Retries are spread because a flood is refused all at once.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
-/// The host's own load.
+/// Detects overload of this host and decides which requests to shed.
 ///
 /// # Examples
 ///
@@ -50,46 +52,46 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LoadShedder {
-    /// Average lateness, in milliseconds.
+    /// Moving average of the timers' lateness, in milliseconds.
     lateness: f64,
-    /// Since when callers are better served elsewhere, if they are.
+    /// When overload began; `None` without overload.
     overloaded_since: Option<Duration>,
-    /// Work that was admitted of late, in messages.
+    /// Work admitted recently, in messages.
     admitted: DecayingSum,
-    /// Work that was refused of late, in messages.
+    /// Work refused recently, in messages.
     refused: DecayingSum,
-    /// The most that was admitted while this host is busy with a flood, in messages; zero where there is none.
+    /// Most work admitted during overload by a flood, in messages; zero if there is none.
     peak_admitted: f64,
-    /// Questions in a row of the platform that were answered with no.
+    /// Failed readiness probes in a row.
     n_failed_probes: u32,
-    /// When it was last late.
+    /// When the host was last not calm.
     last_late: Duration,
-    /// Work that each workspace offered to this host of late.
+    /// Work that each workspace offered to this host recently, in messages.
     offered: HashMap<u32, DecayingSum>,
 }
 
-/// What a refusal of the governor comes from.
+/// Why a request was shed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Overload {
-    /// Work that the workspace offered to this host of late, in messages.
+    /// Work that its workspace offered to this host recently, in messages.
     pub offered: f64,
-    /// The most that a workspace gets of what this host can do, in messages.
+    /// The most that a workspace gets of this host's capacity, in messages.
     pub limit: f64,
     /// Average lateness, in milliseconds.
     pub lateness: f64,
 }
 
-/// How a request was answered.
+/// How a request was answered, as far as it concerns load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// In whatever way, but for the host's own load.
+    /// Answered in any other way.
     Served,
-    /// This host has no processor time for it.
+    /// Refused because this host is overloaded.
     Refused,
 }
 
 impl LoadShedder {
-    /// Notes by how much a timer fired late.
+    /// Records how late a timer fired.
     pub fn observe(&mut self, now: Duration, lateness: Duration) {
         let lateness = lateness.as_secs_f64() * 1000.0;
         self.lateness += SMOOTHING * (lateness - self.lateness);
@@ -103,17 +105,17 @@
             self.peak_admitted = 0.0;
         }
         let admitted = self.admitted.value(now);
-        // Who was late for a moment refuses less than it admits, and has room at its usual load.
+        // A host that was late only for a moment refuses less than it admits, and is not flooded.
         if self.is_overloaded() && (0.0 < self.peak_admitted || admitted < self.refused.value(now))
         {
             self.peak_admitted = self.peak_admitted.max(admitted);
         }
     }
 
-    /// Returns whether little is left of the flood under which this host fell behind.
+    /// Returns whether little is left of the flood that caused the overload.
     ///
-    /// A calm host may be one that its open connections just fill: with callers sent there again it falls behind at
-    /// once, and the platform needs two questions to send them elsewhere again.
+    /// A calm host may be one that its open connections just fill. New callers would overload it
+    /// again at once, and the platform needs two probes to send them elsewhere.
     fn has_headroom(&self, now: Duration) -> bool {
         let is_too_long = self.overloaded_since.is_none_or(|it| it + MAX_OVERLOAD < now);
         is_too_long
@@ -121,29 +123,30 @@
             || self.peak_admitted == 0.0
     }
 
-    /// Returns whether callers are better served elsewhere.
+    /// Returns whether this host is overloaded, so that callers are better served elsewhere.
     pub fn is_overloaded(&self) -> bool {
         self.overloaded_since.is_some()
     }
 
-    /// Notes that the platform asked whether callers may be sent here, and what it was told.
+    /// Records the result of a readiness probe by the platform.
     pub fn record_probe(&mut self, is_ready: bool) {
         self.n_failed_probes = if is_ready { 0 } else { self.n_failed_probes + 1 };
     }
 
-    /// Returns whether the connection is closed after an answer, for this host's load.
+    /// Returns whether the connection is to be closed after an answer to shed load.
     ///
-    /// What was served says that this host can bear its connection; with those closed too, it loses its callers while it
-    /// is out of rotation. A connection on which it refuses only brings the flood back: nothing is answered sooner than
-    /// a refusal, and callers use the connection first that was answered last.
+    /// A served request shows that this host can bear its connection; closing those too would cost
+    /// it its callers while it is out of rotation. A connection on which requests are refused only
+    /// brings the flood back: refusals are the fastest answers, and callers reuse the most recent
+    /// connection first.
     pub fn closes_connection(&self, answer: AnswerKind) -> bool {
         answer == AnswerKind::Refused
     }
 
-    /// Returns when a caller that is refused for want of processor time is to come back; `draw` is uniform from zero
-    /// to one.
+    /// Returns the time after which a caller refused by overload is to retry; `random` is uniform
+    /// in 0..1.
     ///
-    /// It comes on a new connection. Where many are refused, that is when the platform opens them elsewhere.
+    /// It retries on a new connection, which during a flood the platform then opens elsewhere.
     pub fn retry_after(&self, random: f64) -> Duration {
         let spread = RETRY_BOUNDS.0 + (RETRY_BOUNDS.1 - RETRY_BOUNDS.0).mul_f64(random);
         if !self.is_overloaded() {
@@ -157,11 +160,12 @@
         self.lateness
     }
 
-    /// Notes a new request and returns why it is refused, `None` if it is not: what this host can
-    /// do is shared out by max-min, so that one workspace's flood takes from no other.
+    /// Records a new request; returns why it is to be refused, or `None` to admit it. This host's
+    /// capacity is divided by max-min fairness, so that a flood of one workspace costs no other
+    /// capacity.
     ///
-    /// `work` is what the request costs this host, in messages to pass on; `draw` is uniform
-    /// from zero to one.
+    /// `work` is the request's cost to this host, in messages to forward; `random` is uniform in
+    /// 0..1.
     pub fn shed(
         &mut self,
         now: Duration,
@@ -178,7 +182,8 @@
         overload
     }
 
-    /// Returns why a request is refused whose workspace offered `own` of late.
+    /// Returns why a request is refused whose workspace recently offered that much work, in
+    /// messages.
     fn check_share(&self, now: Duration, offered: f64, random: f64) -> Option<Overload> {
         let shed_ratio = (self.lateness - SHED_RANGE.0) / (SHED_RANGE.1 - SHED_RANGE.0);
         if shed_ratio <= 0.0 {
--- a/crates/portfield/src/balance/mod.rs
+++ b/crates/portfield/src/balance/mod.rs
@@ -1,26 +1,28 @@
-//! Which upstream takes a request, and which request is refused: each host decides by itself
-//! from what it did and what the other hosts say they did.
+//! Load balancing: which upstream serves a request, and which request is refused. Each host decides
+//! on its own, from its own requests and the digests of the other hosts.
 //!
-//! - [`prompt`](Prompt): what a request costs
-//! - `cache`: which parts of prompts an upstream keeps
-//! - `speed`: how fast engines read, learned from first events
-//! - `bias`: what estimates fell short of lately
-//! - `load`: what is on its way to each upstream, from all hosts
-//! - `peer`: what another host says that it did, and how much of it is new
-//! - `choice`: what each upstream would cost a request
+//! - [`Balancer`]: the decision
+//! - `placement`: its input and output
+//! - [`prompt`](Prompt): cost of a prompt
+//! - `scoring`: estimated cost of a request at each upstream
 //! - `admission`: how long a request may wait there
+//! - `shares`: max-min fair shares of the workspaces
+//! - `upstream_table`: load of each upstream, from all hosts
+//! - `upstream_signals`: what upstreams report of themselves
+//! - `prefix_cache`: prompt prefixes cached by engines
+//! - `latency_model`: time to the first event, learned from observations
+//! - `bias`: recent error of that estimate
 //! - `health`: upstreams that fail
-//! - `backoff`: upstreams that asked to be left alone
-//! - `warmup`: upstreams that are cold
-//! - `shares`: max-min shares of the workspaces
-//! - [`LoadShedder`]: whether this host itself keeps up
-//! - [`GossipTopology`]: whom a host tells what it did
-//! - [`PeerTable`]: the other hosts, and what is passed on between them
-//! - [`StoreWatchers`]: which hosts follow the store
-//! - [`StoreAvailability`]: whether others heard the store while this host could not
-//! - `budget`: how many requests may be sent a second time
-//! - `told`: what upstreams say of themselves
-//! - [`Balancer`]: the decision
+//! - `backoff`: upstreams that asked for a backoff
+//! - `warmup`: cold upstreams
+//! - [`LoadShedder`]: overload of this host
+//! - [`RetryBudget`]: limit of retries
+//! - [`GossipTopology`]: which hosts a digest is sent to
+//! - [`PeerTable`]: the other hosts, and digests to forward
+//! - `peer_state`: totals reported by one peer
+//! - [`StoreWatchers`]: which hosts watch the store
+//! - [`StoreAvailability`]: whether others reached the store while this host could not
+//! - `decaying_sum`, `fast_map`: data structures
 
 mod admission;
 mod backoff;
--- a/crates/portfield/src/balance/placement.rs
+++ b/crates/portfield/src/balance/placement.rs
@@ -1,51 +1,51 @@
-//! What is asked of the balancer, and what it answers.
+//! Input and output of a placement decision.
 
 use std::time::Duration;
 
 use super::prompt::Prompt;
 use crate::catalog::EngineSpec;
 
-/// An upstream that may take a request.
+/// An upstream that a request may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its number.
+    /// Number of the upstream.
     pub upstream: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It stands in this host's data centre.
+    /// Whether it is in this host's data centre.
     pub is_local: bool,
 }
 
-/// How far a request has come when it is placed.
+/// Progress of a request when it is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Its caller has nothing of the answer yet.
+    /// The caller has received nothing yet.
     New,
-    /// Its caller has the beginning of a stream: it goes on however long it waits.
+    /// The caller has received part of a stream, which is continued however long it has to wait.
     Streaming,
 }
 
 /// A request to be placed.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    /// Who asks: hash of the workspace's name.
+    /// Hash of the workspace's name.
     pub workspace: u32,
-    /// Service that it goes to: hash of its name.
+    /// Hash of the service's name.
     pub service: u32,
-    /// The prompt, for engines.
+    /// The prompt, for services that run on engines.
     pub prompt: Option<Prompt>,
-    /// Time to the first event, or the answer, that the caller is content with.
+    /// Latency objective: time to the first event, or to the response of a plain service.
     pub objective: Duration,
-    /// How long it has waited.
+    /// Time that the request has waited so far.
     pub waited: Duration,
-    /// How far it has come.
+    /// Progress of the request.
     pub stage: Stage,
-    /// Figures of the engines, for those.
+    /// Specification of the engines, for services that run on them.
     pub engine: Option<EngineSpec>,
 }
 
 impl PlacementRequest {
-    /// Returns what the request counts in its workspace's share, in tokens; nothing without a prompt.
+    /// Returns the cost charged to the workspace's share, in tokens; zero without a prompt.
     ///
     /// # Examples
     ///
@@ -69,69 +69,71 @@
     }
 }
 
-/// Where a request goes.
+/// The upstream chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Assignment {
-    /// The upstream.
+    /// Number of the upstream.
     pub upstream: u32,
-    /// Estimated time to the first event, or the answer.
+    /// Estimated time to the first event, or to the response of a plain service.
     pub estimate: Duration,
-    /// The part of it that no host's requests explain: what estimates fell short of lately.
+    /// The part of the estimate that known requests do not explain: the recent underestimate.
     pub bias: Duration,
-    /// Tokens that the upstream has to read.
+    /// Tokens of the prompt that the upstream has to read.
     pub uncached_tokens: u32,
-    /// Tokens ahead of them.
+    /// Tokens that it reads before them.
     pub queued_tokens: u32,
-    /// What its workspace has had, as a multiple of its share; zero where there is plenty.
+    /// What the workspace has used, as a multiple of its fair share; zero if there is no
+    /// contention.
     pub share_ratio: f64,
 }
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// No upstream of the service is known or left.
+    /// The service has no upstream that can be used.
     NoUpstream,
-    /// All upstreams would take too long.
+    /// At every upstream the request would take too long.
     Busy,
-    /// The workspace has had its share, and there is no capacity to spare.
+    /// The workspace has used its share, and there is no spare capacity.
     Share,
-    /// Those that are left asked this host to be left alone.
+    /// The remaining upstreams asked this host to back off.
     Backoff,
 }
 
-/// What became of placing a request.
+/// Result of a placement decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Placement {
-    /// It goes there.
+    /// Send the request to this upstream.
     Send(Assignment),
-    /// It is refused; worth asking again after the time given.
+    /// Refuse the request.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: Refusal,
-        /// When to come back.
+        /// Time after which a retry is worthwhile.
         retry_after: Duration,
-        /// The estimate that decided.
+        /// Estimated time to the first event, on which the refusal is based.
         estimate: Duration,
-        /// What its workspace has had, as a multiple of its share; zero where there is plenty.
+        /// What the workspace has used, as a multiple of its fair share; zero if there is no
+        /// contention.
         share_ratio: f64,
     },
 }
 
-/// How a request ended at an upstream.
+/// How a request at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
     /// Answered.
     Done,
-    /// Answered with an error of the upstream's own.
+    /// Answered with an error of the upstream.
     Error,
-    /// Not run: the upstream was full or another one.
+    /// Not run: the upstream was full, or has been replaced by another one.
     Rejected,
-    /// Not run: the upstream asked to be left alone for a while.
+    /// Not run: the upstream asked this host to back off.
     BackoffRequested,
-    /// Nothing could be sent.
+    /// Not sent: no connection could be opened.
     Unreachable,
-    /// The connection broke, the answer was not one, or nothing came.
+    /// The connection broke, the response was malformed, or nothing arrived.
     Broken,
-    /// The caller left or the time was up.
+    /// The caller disconnected, or the time limit was reached.
     Cancelled,
 }
--- a/crates/portfield/src/balance/prefix_cache.rs
+++ b/crates/portfield/src/balance/prefix_cache.rs
@@ -1,19 +1,19 @@
-//! Which parts of prompts an engine keeps, as far as the hosts know.
+//! Prompt prefixes that an engine has cached, as far as this host knows.
 
 use super::{fast_map::FastMap, prompt::PromptPrefix};
 
-/// Part of an engine's memory that parts survive in; the rest is what runs.
+/// Fraction of an engine's memory that caches prefixes; running requests use the rest.
 ///
-/// With 20 to 30 requests of 4,000 tokens running, a fifth to a quarter is theirs.
+/// With 20 to 30 running requests of 4,000 tokens, they use a fifth to a quarter.
 const CACHE_FRACTION: f64 = 0.7;
-/// Entries at which those that are surely gone are dropped.
+/// Number of entries above which those certainly evicted are removed.
 const PRUNE_THRESHOLD: usize = 4096;
 
-/// The parts that one engine keeps.
+/// The prefixes cached by one engine.
 ///
-/// The least recently used part yields. Instead of the engine's list this keeps an odometer of
-/// the tokens that went into its memory: a part is gone once a memory's worth has gone in since
-/// its last use.
+/// Engines evict the least recently used prefix. Rather than mirror the engine's list, this counts
+/// the tokens read into its memory: a prefix counts as evicted once as many tokens as the memory
+/// holds have been read since its last use.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     total_read: f64,
@@ -21,7 +21,7 @@
 }
 
 impl PrefixCache {
-    /// Returns how many tokens at the start of a prompt are kept.
+    /// Returns how many tokens at the start of a prompt are cached.
     pub(crate) fn cached_tokens(&self, prefixes: &[PromptPrefix], memory: u64) -> u32 {
         let oldest = self.total_read - memory as f64 * CACHE_FRACTION;
         let is_cached =
@@ -29,7 +29,7 @@
         prefixes.iter().take_while(is_cached).map(|it| it.tokens).sum()
     }
 
-    /// Notes that parts were used.
+    /// Records a use of prefixes.
     pub(crate) fn touch(&mut self, hashes: impl IntoIterator<Item = u32>, memory: u64) {
         self.last_used.extend(hashes.into_iter().map(|it| (it, self.total_read)));
         if PRUNE_THRESHOLD < self.last_used.len() {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes tokens that went into the memory.
+    /// Records tokens read into the engine's memory.
     pub(crate) fn record_read(&mut self, tokens: f64) {
         self.total_read += tokens;
     }
--- a/crates/portfield/src/balance/prompt.rs
+++ b/crates/portfield/src/balance/prompt.rs
@@ -1,13 +1,13 @@
-//! Prompts and what they cost.
+//! Prompts and their cost.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One part of a prompt; parts are shared between requests.
+/// One part of a prompt; requests may share parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What it holds.
+    /// Identifies the content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
@@ -16,15 +16,15 @@
 pub struct Prompt {
     /// Tokens to read.
     pub input_tokens: u32,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_output_tokens: u32,
-    /// Its parts in order; the last belongs to the request or its session.
+    /// The parts in order; the last one belongs to this request or its session alone.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Returns what a request counts in its workspace's share, in tokens: one of the prompt once,
-    /// kept or not, since which part is kept is the fleet's doing; one generated twice.
+    /// Returns the cost charged to the workspace's share, in tokens. A prompt token counts once,
+    /// cached or not, since the fleet decides what is cached; a generated token counts twice.
     ///
     /// # Examples
     ///
@@ -38,7 +38,7 @@
         f64::from(self.input_tokens) + 2.0 * f64::from(self.max_output_tokens)
     }
 
-    /// Returns for each part the hash of the prompt up to its end, and its tokens.
+    /// Returns the prefix that ends with each part.
     pub(crate) fn prefixes(&self) -> Vec<PromptPrefix> {
         let mut hash = 0;
         let link = |it: &PromptPart| {
@@ -49,11 +49,11 @@
     }
 }
 
-/// A prompt up to the end of one of its parts.
+/// The beginning of a prompt, up to the end of one of its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PromptPrefix {
-    /// Hash of the prompt so far.
+    /// Hash of the prefix.
     pub hash: u32,
-    /// Tokens of the last part.
+    /// Tokens of its last part.
     pub tokens: u32,
 }
--- a/crates/portfield/src/balance/retry_budget.rs
+++ b/crates/portfield/src/balance/retry_budget.rs
@@ -1,16 +1,16 @@
-//! How many requests this host may send a second time.
+//! Retry budget of this host.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Part of the fleet's allowance that hosts use together: what is sent and lost on the way, and
-/// hosts that restart with an empty memory, take from the rest.
+/// Part of the fleet's allowance that hosts use; the rest covers retries that are lost on the way,
+/// and hosts that restart without a record of theirs.
 const SAFETY_FACTOR: f64 = 0.6;
 
-/// A sliding window over one service's requests and repeats at one host.
+/// A sliding window over the requests and retries of one service at one host.
 ///
-/// The fleet may repeat `ratio` of its requests and `extra` more in each window. Each host keeps
-/// to `ratio` of its own requests and an even part of `extra`, so that the sum holds without
-/// a word between them.
+/// The fleet may retry `ratio` of its requests, and `extra` more, per window. Each host keeps to
+/// `ratio` of its own requests and an equal part of `extra`, so the total holds without
+/// coordination.
 ///
 /// # Examples
 ///
@@ -33,18 +33,18 @@
 }
 
 impl RetryBudget {
-    /// Builds a budget.
+    /// Builds a budget; `ratio`, `extra` and `window` apply to the fleet.
     pub fn new(ratio: f64, extra: f64, window: Duration) -> Self {
         Self { ratio, extra, window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// Counts a request.
+    /// Records a request, which adds to the budget.
     pub fn deposit(&mut self, now: Duration) {
         self.requests.push_back(now);
         self.expire(now);
     }
 
-    /// Pays for one repeat, if it can; `n_hosts` share the extra.
+    /// Takes one retry from the budget; returns whether there was one. `n_hosts` share `extra`.
     pub fn withdraw(&mut self, now: Duration, n_hosts: usize) -> bool {
         self.expire(now);
         let extra = self.extra / n_hosts.max(1) as f64;
--- a/crates/portfield/src/balance/scoring.rs
+++ b/crates/portfield/src/balance/scoring.rs
@@ -1,4 +1,4 @@
-//! What each upstream would cost a request.
+//! Estimated cost of a request at each upstream.
 
 use std::time::Duration;
 
@@ -13,54 +13,55 @@
 };
 use crate::catalog::EngineSpec;
 
-/// What reading a shared part again costs beside its own time, in milliseconds a token.
+/// Cost of reading a shared part again, in milliseconds per token, in addition to the reading time.
 ///
-/// A part that is read at a second engine is read there in place of others' prompts.
+/// A part cached at a second engine displaces other prompts there.
 const REREAD_COST: f64 = 0.1;
-/// The same at the upstream that hosts agree on for the part: it is read there rather than
-/// elsewhere, and mostly is there already where this host does not know.
+/// The same at the part's preferred upstream: if the part has to be read again, better there, and
+/// it is often cached there without this host knowing.
 const REREAD_COST_PREFERRED: f64 = 0.05;
-/// What an upstream that fails all requests costs, as a multiple of the objective.
+/// Cost of an upstream that fails all requests, as a multiple of the objective.
 const FAILURE_COST: f64 = 3.0;
-/// What each overdue request adds to its upstream's cost, as a multiple of the objective.
+/// Cost of each overdue request at an upstream, as a multiple of the objective.
 const OVERDUE_COST: f64 = 2.0;
-/// Time that a plain service takes before any was seen.
+/// Time of a request at a plain service before any was observed, in milliseconds.
 const INITIAL_PLAIN_TIME: f64 = 30.0;
-/// What another data centre costs, in milliseconds: the bytes between them are paid for.
+/// Cost of another data centre, in milliseconds: traffic between data centres is paid for.
 const REMOTE_COST: f64 = 3.0;
 
-/// What is known of a service's upstreams at one moment.
+/// What a service's upstreams are scored with at one moment.
 #[derive(Debug)]
 pub(super) struct CostModel<'a> {
     pub now: Duration,
     pub upstreams: &'a UpstreamTable,
     pub latency: &'a LatencyModel,
-    /// Average time of a request, in milliseconds, if any was seen.
+    /// Mean time of a request, in milliseconds, if any was observed.
     pub mean_time: Option<f64>,
-    /// What estimates fell short of lately, in milliseconds.
+    /// Recent underestimate of the time to the first event, in milliseconds.
     pub bias: f64,
-    /// The upstream that hosts agree on for the request's shared parts.
+    /// The upstream at which all hosts prefer to cache the request's shared parts.
     pub preferred: Option<u32>,
-    /// What the order of upstreams of equal cost follows from.
+    /// Ranks upstreams of equal cost.
     pub tie_break: TieBreak,
     /// Tokens of the request's shared parts.
     pub shared_tokens: u32,
 }
 
-/// The order of upstreams among which nothing else decides.
+/// How upstreams of equal cost are ranked.
 ///
-/// In the order of the list every host of a data centre that has heard the same thing would send its next request to
-/// the same idle engine.
+/// In list order, all hosts of a data centre with the same knowledge would send their next request
+/// to the same idle engine.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TieBreak {
-    /// That of the last shared part of a prompt: all hosts read it at the same next one.
+    /// By the hash of the prompt's last shared part: all hosts choose the same next upstream for
+    /// it.
     SharedPart(u32),
-    /// One drawn for this request.
+    /// By a random number drawn for this request.
     Random(u64),
 }
 
 impl TieBreak {
-    /// Returns the order for a prompt; `draw` is another number for each request.
+    /// Builds the tie-break for a prompt; `random` differs with each request.
     pub(super) fn new(prefixes: &[PromptPrefix], random: u64) -> Self {
         match prefixes {
             [.., part, _] => Self::SharedPart(part.hash),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns an upstream's rank; the highest goes first.
+    /// Returns an upstream's rank; the highest is chosen.
     pub(super) fn rank(self, upstream: u32) -> u64 {
         let number = match self {
             Self::SharedPart(it) => u64::from(it),
@@ -78,45 +79,45 @@
     }
 }
 
-/// One upstream as a choice for a request.
+/// One upstream, scored for a request.
 #[derive(Debug, Clone)]
 pub(super) struct ScoredUpstream {
     pub upstream: u32,
     pub times: Times,
     pub queued_tokens: u32,
-    /// What the least of is chosen, in milliseconds.
+    /// Total cost in milliseconds; the lowest is chosen.
     pub cost: f64,
-    /// The highest of equal cost is chosen.
+    /// Decides between equal costs; the highest is chosen.
     pub rank: u64,
-    /// An engine on which nothing waits, with a slot left.
+    /// An engine with an empty queue and a free slot.
     pub is_idle: bool,
-    /// It is left alone until `opens`.
+    /// No request may be sent to it until `opens_at`.
     pub is_blocked: bool,
     pub opens_at: Duration,
-    /// It asked to be left alone.
+    /// It asked this host to back off.
     pub is_backing_off: bool,
 }
 
-/// What a request would take at an upstream, in milliseconds.
+/// Parts of a request's time to the first event at an upstream, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Times {
-    /// Behind others.
+    /// Time spent waiting for other requests.
     pub wait: f64,
-    /// For itself.
+    /// Time spent on the request itself.
     pub processing: f64,
-    /// The part of the wait that no host's requests explain.
+    /// The part of the wait that known requests do not explain.
     pub bias: f64,
-    /// Tokens to read.
+    /// Tokens of the prompt that are not cached.
     pub uncached_tokens: u32,
 }
 
 impl ScoredUpstream {
-    /// Returns the time to the first event, or the answer.
+    /// Returns the estimated time to the first event, or to the response of a plain service.
     pub(super) fn estimate(&self) -> Duration {
         from_millis(self.times.wait + self.times.processing)
     }
 
-    /// Returns the placement at this upstream.
+    /// Returns the assignment of the request to this upstream.
     pub(super) fn assignment(&self, status: ShareStatus) -> Assignment {
         Assignment {
             upstream: self.upstream,
@@ -130,7 +131,7 @@
 }
 
 impl CostModel<'_> {
-    /// Weighs one upstream.
+    /// Scores one upstream for a request.
     pub(super) fn score(
         &self,
         request: &PlacementRequest,
@@ -194,7 +195,7 @@
         let processing = self.mean_time.unwrap_or(INITIAL_PLAIN_TIME);
         let slots = f64::from(slots.max(1));
         let excess = (load.running - slots + 1.0).max(0.0);
-        // The share of its slots in use breaks the tie between upstreams with free ones.
+        // The fraction of slots in use decides between upstreams with free slots.
         Times {
             wait: excess * processing / slots + load.running / slots,
             processing,
@@ -204,13 +205,13 @@
     }
 }
 
-/// Returns whether nothing waits at an engine and it has a slot left, as far as this host knows.
+/// Returns whether an engine has an empty queue and a free slot, as far as this host knows.
 fn is_idle(engine: EngineSpec, state: &UpstreamState) -> bool {
     let load = state.total();
     load.pending < 1.0 && load.running < f64::from(engine.slots) && state.n_overdue == 0
 }
 
-/// Returns the choice with the least of something; of several the one of highest rank.
+/// Returns the upstream with the lowest value of `f`; of equal ones the one with the highest rank.
 pub(super) fn min_by_key(
     upstreams: impl Iterator<Item = ScoredUpstream>,
     f: impl Fn(&ScoredUpstream) -> f64,
@@ -218,13 +219,13 @@
     upstreams.min_by(|a, b| f(a).total_cmp(&f(b)).then(b.rank.cmp(&a.rank)))
 }
 
-/// Returns a time of so many milliseconds.
+/// Returns a duration of `value` milliseconds, zero if that is out of range.
 pub(super) fn from_millis(value: f64) -> Duration {
     Duration::try_from_secs_f64(value / 1000.0).unwrap_or(Duration::ZERO)
 }
 
-/// Returns the upstream that hosts agree on for the last shared part of a prompt, by the highest
-/// rendezvous hash; `None` where nothing is shared.
+/// Returns the upstream at which all hosts prefer to cache a prompt's last shared part, by highest
+/// rendezvous hash; `None` if no part is shared.
 pub(super) fn preferred_upstream(
     tie_break: TieBreak,
     upstreams: impl Iterator<Item = u32>,
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -1,41 +1,42 @@
-//! Max-min shares of the workspaces, over the fleet and the last seconds.
+//! Max-min fair shares of the workspaces, over the whole fleet and a sliding window.
 
 use std::time::Duration;
 
 use super::fast_map::FastMap;
 use crate::telling::REPEATS;
 
-/// Buckets of the window.
+/// Number of buckets in the window.
 const N_BUCKETS: usize = 8;
-/// Excess of what was asked over what was taken above which the fleet counts as short; a refused
-/// request that comes again is asked again.
+/// Ratio of tokens asked for to tokens granted above which capacity counts as short. It is above
+/// one because a refused request that is retried is counted again.
 const SHORTAGE_RATIO: f64 = 1.08;
 
-/// Part of what the best served workspace has had, or of what it asked itself if that is less, below
-/// which a workspace is behind: the users call it unfair at a half.
+/// Part of the largest usage, or of its own demand if that is less, below which a workspace is
+/// underserved; users call it unfair at 0.5.
 ///
-/// Beyond the shares everybody is alike, and who asks most often gets most, until somebody is behind.
-/// So this is where the part of the others settles, with less over single spans of some seconds: well above the half.
+/// Beyond the shares all workspaces are equal, and the one that asks most often gets most until
+/// another is underserved. The others therefore settle at this part, and fall below it for a few
+/// seconds at a time, so it is well above 0.5.
 const UNDERSERVED_BELOW: f64 = 0.85;
-/// The same, below which it is served like one within its share, and shared parts are read again for
-/// it: that takes from all, so a few refusals must not be enough.
+/// The same, below which a workspace is served like one within its share, and shared parts are read
+/// again for it. That costs all workspaces capacity, so a few refusals must not suffice.
 const STARVED_BELOW: f64 = 0.6;
 
-/// How a workspace stands against its share.
+/// A workspace's usage compared with its fair share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ShareStatus {
-    /// There is enough for all.
+    /// There is capacity for all demands.
     Uncontended,
-    /// What it has had, as a multiple of its share, where it was refused and another has had more.
+    /// Usage as a multiple of the fair share; the workspace was refused, and another has had more.
     Underserved(f64),
-    /// The same, where it was refused much and another has had far more.
+    /// The same, for a workspace that was refused a lot while another has had far more.
     Starved(f64),
-    /// What it has had, as a multiple of its share.
+    /// Usage as a multiple of the fair share.
     Served(f64),
 }
 
 impl ShareStatus {
-    /// Returns what the workspace has had as a multiple of its share, zero where there is plenty.
+    /// Returns the usage as a multiple of the fair share; zero without contention.
     pub fn share_ratio(self) -> f64 {
         match self {
             Self::Uncontended => 0.0,
@@ -44,41 +45,41 @@
     }
 }
 
-/// Both sides of the comparison that a [`ShareStatus`] comes from, in tokens of the window.
+/// What a [`ShareStatus`] is based on, in tokens within the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ShareSnapshot {
-    /// What the workspace asked for.
+    /// Tokens that the workspace asked for.
     pub asked: f64,
-    /// What it has had.
+    /// Tokens that it was granted.
     pub taken: f64,
-    /// The most that a workspace is owed; zero where there is plenty.
+    /// The fair share, the most that a workspace is entitled to; zero without contention.
     pub fair_share: f64,
-    /// The most that one has had; zero where there is plenty.
+    /// The usage of the best served workspace; zero without contention.
     pub largest_usage: f64,
-    /// How old the last two are.
+    /// Age of the fair share and the largest usage.
     pub age: Duration,
 }
 
-/// What one workspace asked for and got, in tokens.
+/// Tokens that a workspace asked for and was granted.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Usage {
     pub asked: f64,
     pub taken: f64,
 }
 
-/// What a window has for each, in tokens.
+/// Result of the max-min allocation, in tokens within the window.
 #[derive(Debug, Clone, Copy)]
 struct Allocation {
-    /// The most that a workspace is owed.
+    /// The most that a workspace is entitled to.
     fair_share: f64,
-    /// The most that one has had.
+    /// The usage of the best served workspace.
     largest_usage: f64,
 }
 
 #[derive(Debug, Default, Clone)]
 struct Window {
     buckets: [Usage; N_BUCKETS],
-    /// Number of the newest bucket since the start.
+    /// Number of the newest bucket, counted from time zero.
     newest_bucket: u64,
 }
 
@@ -106,26 +107,26 @@
     }
 }
 
-/// The fleet's workspaces by hash of their names.
+/// Usage and fair share of the fleet's workspaces, by the hash of their names.
 #[derive(Debug)]
 pub(crate) struct Shares {
     window: Duration,
     windows: FastMap<u32, Window>,
-    /// What this host's own requests came to since its start.
+    /// Usage by this host's own requests since its start.
     totals: FastMap<u32, Usage>,
-    /// In how many digests each total is still to be told.
+    /// Number of digests in which a total is still to be reported.
     n_reports_left: FastMap<u32, u32>,
-    /// What there is by the configuration, in tokens a second; zero is unknown.
+    /// Configured capacity in tokens per second; zero if unknown.
     capacity: f64,
     allocation: Option<Allocation>,
     computed_at: Duration,
 }
 
-/// Time between two computations of the level.
+/// Time between two computations of the allocation.
 const REFRESH_PERIOD: Duration = Duration::from_millis(100);
 
 impl Shares {
-    /// Builds the shares; `window` is the time over which they are kept.
+    /// Builds the shares; `window` is the time over which usage counts.
     pub(crate) fn new(window: Duration) -> Self {
         Self {
             window,
@@ -138,12 +139,12 @@
         }
     }
 
-    /// Sets what there is by the configuration, in tokens a second; zero is unknown.
+    /// Sets the configured capacity in tokens per second; zero if unknown.
     pub(crate) fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
     }
 
-    /// Notes what one of this host's requests asked for or took.
+    /// Records usage by a request of this host.
     pub(crate) fn record_local(&mut self, now: Duration, workspace: u32, usage: Usage) {
         let total = self.totals.entry(workspace).or_default();
         total.asked += usage.asked;
@@ -152,20 +153,20 @@
         self.add_to_window(now, workspace, usage);
     }
 
-    /// Notes what another host's requests asked for or took.
+    /// Adds usage by any host to the window.
     pub(crate) fn add_to_window(&mut self, now: Duration, workspace: u32, usage: Usage) {
         let bucket = self.bucket(now);
         self.windows.entry(workspace).or_default().add(bucket, usage);
     }
 
-    /// Returns what this host's requests came to since its start, by workspace.
+    /// Returns the usage by this host's requests since its start, by workspace.
     pub(crate) fn totals(&self) -> impl Iterator<Item = (u32, Usage)> {
         self.totals.iter().map(|(id, it)| (*id, *it))
     }
 
-    /// Takes the totals that are to be told now; each change is told [`REPEATS`] times.
+    /// Takes the totals due in the next digest; each change is reported [`REPEATS`] times.
     ///
-    /// All of them in each digest would be most of its bytes.
+    /// All totals in every digest would make up most of its bytes.
     pub(crate) fn take_changed_totals(&mut self) -> Vec<(u32, Usage)> {
         let total = |id: &u32| (*id, self.totals.get(id).copied().unwrap_or_default());
         let res = self.n_reports_left.keys().map(total).collect();
@@ -174,7 +175,7 @@
         res
     }
 
-    /// Returns how a workspace stands.
+    /// Returns the share status of a workspace.
     pub(crate) fn status(&mut self, now: Duration, workspace: u32) -> ShareStatus {
         if self.computed_at + REFRESH_PERIOD <= now || self.computed_at == Duration::ZERO {
             self.computed_at = now;
@@ -193,7 +194,7 @@
         ShareStatus::Served(ratio)
     }
 
-    /// Returns what a workspace's standing comes from, as of the last one computed.
+    /// Returns what a workspace's share status is based on, as of the last allocation.
     pub(crate) fn snapshot(&self, now: Duration, workspace: u32) -> ShareSnapshot {
         let usage = self.windows.get(&workspace).map(Window::sum).unwrap_or_default();
         let (fair_share, largest_usage) =
@@ -202,8 +203,8 @@
         ShareSnapshot { asked: usage.asked, taken: usage.taken, fair_share, largest_usage, age }
     }
 
-    /// Returns the least part that a workspace has had of what it asked, or of what the best served one has had if that
-    /// is less, over the window; one where nobody was refused.
+    /// Returns the lowest ratio of tokens granted to tokens asked for, or to the largest usage if
+    /// that is less, over workspaces with refused requests; one if nothing was refused.
     pub(crate) fn min_fairness(&mut self, now: Duration) -> f64 {
         let bucket = self.bucket(now);
         self.windows.values_mut().for_each(|it| it.advance(bucket));
@@ -213,9 +214,9 @@
         refused.map(|it| it.taken / it.asked.min(largest)).fold(1.0, f64::min)
     }
 
-    /// Returns the most that a workspace gets in a window, `None` where all get what they ask.
+    /// Computes the allocation; `None` if all demands are met.
     ///
-    /// What all took together is what there is; the level shares it out by max-min.
+    /// The available capacity is what all workspaces were granted together.
     fn compute_allocation(&mut self, now: Duration) -> Option<Allocation> {
         let bucket = self.bucket(now);
         let mut asked: Vec<f64> = Vec::new();
@@ -241,8 +242,8 @@
     }
 }
 
-/// Returns the most that each gets where what there is, is shared out by max-min; `None` where there
-/// is enough for all.
+/// Returns the largest share that max-min fairness allows of `available`; `None` if all demands can
+/// be met.
 pub(super) fn max_min_share(mut demands: Vec<f64>, mut available: f64) -> Option<f64> {
     demands.sort_by(f64::total_cmp);
     let mut n_remaining = demands.len() as f64;
--- a/crates/portfield/src/balance/store_availability.rs
+++ b/crates/portfield/src/balance/store_availability.rs
@@ -1,11 +1,11 @@
-//! Whether other hosts heard the store while this one could not.
+//! Whether other hosts reached the store while this one could not.
 
 use std::time::Duration;
 
-/// When the other hosts heard the store, as far as their words tell.
+/// When other hosts last heard from the store, as reported in their digests.
 ///
-/// The load that this answers: the store turns one host away and serves the others. What it says to that host when it
-/// answers again is then no older than what the others know, and an upstream that is missing is gone.
+/// The case to handle: the store rejects one host and serves the others. Its next answer to that
+/// host is then no older than what the others know, so an upstream missing from it is really gone.
 ///
 /// # Examples
 ///
@@ -23,21 +23,22 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct StoreAvailability {
-    /// Longest time between two words of the store that is no outage.
+    /// Longest time between two answers of the store that is no outage.
     max_gap: Duration,
-    /// Since when it was heard without such a time.
+    /// Start of the period without an outage.
     since: Duration,
-    /// When it was last heard.
+    /// Time of the last answer.
     last_heard: Duration,
 }
 
 impl StoreAvailability {
-    /// Builds what a host knows that has heard of nobody; `gap` is the longest time without a word that is no outage.
+    /// Builds the state of a host without reports; `max_gap` is the longest time between answers
+    /// that is no outage.
     pub fn new(max_gap: Duration) -> Self {
         Self { max_gap, since: Duration::MAX, last_heard: Duration::ZERO }
     }
 
-    /// Notes that some host heard the store at a time; an earlier one than the last is no news.
+    /// Records that some host heard from the store; a time before the last one is ignored.
     pub fn record(&mut self, at: Duration) {
         if at <= self.last_heard {
             return;
@@ -48,7 +49,8 @@
         self.last_heard = at;
     }
 
-    /// Returns whether there was no outage between a time at which this host heard the store and now.
+    /// Returns whether there was no outage between `from`, when this host last heard from the
+    /// store, and `now`.
     pub fn is_continuous(&self, from: Duration, now: Duration) -> bool {
         self.since <= from + self.max_gap && now <= self.last_heard + self.max_gap
     }
--- a/crates/portfield/src/balance/store_watchers.rs
+++ b/crates/portfield/src/balance/store_watchers.rs
@@ -1,27 +1,27 @@
-//! Which hosts follow the platform's store, so that not every host calls it.
+//! Which hosts watch the platform's store for changes, so that not every host calls it.
 
 use std::time::Duration;
 
 use super::{fast_map::FastMap, peer_state::PEER_TIMEOUT};
 
-/// Up to so many hosts all of them follow the store: what they would save is under a hundredth of
-/// what they earn, and each learns of a change by itself.
-const ALL_WATCH_BELOW: usize = 12;
-/// Hosts of a data centre that follow the store where there are more.
+/// Up to this many hosts, every host watches the store: the calls saved would be worth less than a
+/// hundredth of the revenue, and each host learns of changes by itself.
+const ALL_WATCH_LIMIT: usize = 12;
+/// Hosts per data centre that watch the store in a larger fleet.
 const WATCHERS_PER_CENTRE: usize = 2;
-/// Time in which the store answers a call beyond that for which it holds it.
+/// Time within which the store answers a call, in addition to the time for which it holds it.
 pub const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time that a host needs to take what a call told, and to tell the others.
+/// Time that a host needs to process a change and to tell the other hosts.
 const PROPAGATION: Duration = Duration::from_millis(800);
-/// Shortest and longest time for which the store is asked to hold a call. The longest tells an outage of the store in
-/// which upstreams' entries lapse, three heartbeats of 1.2 s, from a call that is held.
+/// Shortest and longest time for which the store is asked to hold a call. The longest keeps a held
+/// call distinct from an outage in which upstreams' entries lapse, three heartbeats of 1.2 s.
 const HOLD_BOUNDS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(2200));
-/// Time above that for which a call is held, above which a host counts as cut off from the store.
+/// Time beyond a held call after which a host counts as cut off from the store.
 const STALE_SLACK: Duration = Duration::from_millis(500);
-/// The same, above which the list of upstreams is taken from other hosts.
+/// Time beyond a held call after which the list of upstreams is taken from other hosts.
 const FALLBACK_SLACK: Duration = Duration::from_millis(800);
 
-/// How a host follows the store, by how soon the users count on what it says.
+/// Timeouts of a host that watches the store by long polling.
 ///
 /// # Examples
 ///
@@ -34,20 +34,21 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreTimeouts {
-    /// Time for which the store holds a call in which nothing changes.
+    /// Time for which the store holds a call while nothing changes.
     pub hold: Duration,
-    /// Age of a host's last word from the store above which it counts as cut off from it.
+    /// Age of the store's last answer after which a host counts as cut off from the store.
     pub stale_after: Duration,
-    /// Age above which the list is taken from other hosts.
+    /// Age of the last answer after which the list of upstreams is taken from other hosts.
     pub fallback_after: Duration,
 }
 
 impl StoreTimeouts {
-    /// Builds it from the time after a disturbance from which on hosts count as in touch: a cut hides changes until a
-    /// held call is given up, and by then they must have been taken.
+    /// Derives the timeouts from `contact`, the time after a disturbance from which on hosts count
+    /// as connected. A partition hides changes until a held call times out, and they have to be
+    /// processed within `contact`.
     ///
-    /// With 4 s calls are held for 2.2 s in place of 1.2 s: hosts that follow a store in which nothing changes make
-    /// half as many.
+    /// With 4 s, calls are held for 2.2 s instead of 1.2 s, so an unchanged store gets half as
+    /// many.
     pub fn new(contact: Duration) -> Self {
         let hold = contact
             .saturating_sub(STORE_CALL_TIMEOUT + PROPAGATION)
@@ -62,32 +63,32 @@
     }
 }
 
-/// Hosts of a data centre that try the store beside the first ones, for each time that the age of the last
-/// word from it has doubled.
+/// Additional hosts per data centre that try the store each time the age of its last answer has
+/// doubled.
 ///
-/// A store that turns a third of the hosts away is found by one of the next three at once, and one that
-/// is down for all is not asked by hundreds.
+/// If the store rejects a third of the hosts, one of the next three gets through at once; if it is
+/// down for all, it is not called by hundreds.
 const TRIES_PER_DOUBLING: f64 = 3.0;
 
-/// What another host last said of itself.
+/// What another host last reported about its access to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatcherStatus {
     /// Hash of the host's address.
     pub host: u64,
-    /// Hash of its data centre's name.
+    /// Hash of the name of its data centre.
     pub data_centre: u32,
-    /// Age of its last word from the store when it said so.
+    /// Age of the store's last answer to it, at the time of the report.
     pub store_age: Duration,
-    /// When it said so.
+    /// When the report arrived.
     pub last_heard: Duration,
 }
 
-/// The other hosts by address hash.
+/// Chooses the hosts that watch the store, from the reports of all others.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::{WatcherStatus, StoreWatchers};
+/// use portfield::balance::{StoreWatchers, WatcherStatus};
 /// use std::time::Duration;
 ///
 /// let mut watchers = StoreWatchers::default();
@@ -106,21 +107,21 @@
 }
 
 impl StoreWatchers {
-    /// Builds the state of a host that has heard nobody.
+    /// Builds the state of a host that has no reports yet.
     pub fn new(timeouts: StoreTimeouts) -> Self {
         Self { hosts: FastMap::default(), timeouts }
     }
 
-    /// Notes what another host said.
+    /// Records the report of another host.
     pub fn record(&mut self, it: WatcherStatus) {
         self.hosts.insert(it.host, it);
     }
 
-    /// Returns whether a host is to follow the store itself: all do where there are few; else the
-    /// first ones of each data centre by hash, of those that the store answers. `n_peers` is how many
-    /// other hosts are heard, each by itself or in a sum.
+    /// Returns whether a host is to watch the store: every host in a small fleet, otherwise the
+    /// first ones of each data centre by hash among those that the store answers. `n_peers` is the
+    /// number of other hosts heard, directly or in summaries.
     pub fn is_watcher(&self, now: Duration, host: u64, data_centre: u32, n_peers: usize) -> bool {
-        if n_peers < ALL_WATCH_BELOW {
+        if n_peers < ALL_WATCH_LIMIT {
             return true;
         }
         let is_local = |it: &&WatcherStatus| it.data_centre == data_centre && is_alive(it, now);
@@ -138,7 +139,7 @@
     now < it.last_heard + PEER_TIMEOUT
 }
 
-/// Returns how many more hosts try the store where the last word from it has that age.
+/// Returns how many more hosts try the store when its last answer has that age.
 fn n_tries(age: Duration, stale_after: Duration) -> usize {
     let doublings = (age.as_secs_f64() / stale_after.as_secs_f64()).log2();
     if doublings < 0.0 { 0 } else { 1 + (doublings * TRIES_PER_DOUBLING) as usize }
--- a/crates/portfield/src/balance/upstream_signals.rs
+++ b/crates/portfield/src/balance/upstream_signals.rs
@@ -1,23 +1,24 @@
-//! What upstreams say of themselves, or show: that they are cold, want to be left alone, or can be reached.
+//! State that upstreams report or show: that they are cold, ask for a backoff, or are reachable.
 
 use std::time::Duration;
 
 use super::Balancer;
 
 impl Balancer {
-    /// Notes that a connection to an upstream could be opened.
+    /// Records that a connection to an upstream could be opened.
     pub fn record_reachable(&mut self, upstream: u32) {
         self.upstreams.entry(upstream).health.record_reachable();
     }
 
-    /// Notes that an upstream asks this host to send it nothing for a time; one that it asked for before is not shortened.
+    /// Records that an upstream asks this host to back off for a time; an earlier backoff is not
+    /// shortened.
     ///
-    /// After it one request goes there, and more once that one was taken.
+    /// When it ends, one request is sent as a probe, and more once that was accepted.
     ///
     /// # Examples
     ///
     /// ```
-    /// use portfield::balance::{Balancer, Candidate, PlacementRequest, Placement, Refusal, Stage};
+    /// use portfield::balance::{Balancer, Candidate, Placement, PlacementRequest, Refusal, Stage};
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
@@ -42,12 +43,12 @@
         self.upstreams.entry(upstream).backoff.begin(now, time);
     }
 
-    /// Returns when the time is over for which an upstream asked to be left alone; `None` where none runs.
+    /// Returns when an upstream's backoff ends; `None` if there is none at `now`.
     pub fn backoff_until(&self, now: Duration, upstream: u32) -> Option<Duration> {
         self.upstreams.get(upstream)?.backoff.until(now)
     }
 
-    /// Returns the upstreams whose time is over since the last call.
+    /// Returns the upstreams whose backoff ended since the last call.
     pub fn take_expired_backoffs(&mut self, now: Duration) -> Vec<u32> {
         let expired = self
             .upstreams
@@ -56,17 +57,17 @@
         expired.collect()
     }
 
-    /// Returns how many upstreams are left alone because they asked for it.
+    /// Returns the number of upstreams that this host backs off from.
     pub fn n_backing_off(&self, now: Duration) -> usize {
         self.upstreams.iter().filter(|it| it.backoff.until(now).is_some()).count()
     }
 
-    /// Notes that an upstream is cold until a time: this host may send it `quota` requests a second.
+    /// Marks an upstream as cold until a time; this host may send it `quota` requests per second.
     ///
     /// # Examples
     ///
     /// ```
-    /// use portfield::balance::{Balancer, Candidate, PlacementRequest, Placement, Stage};
+    /// use portfield::balance::{Balancer, Candidate, Placement, PlacementRequest, Stage};
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
@@ -82,15 +83,16 @@
     /// };
     /// let candidate = Candidate { upstream: 7, slots: 4, is_local: true };
     /// balancer.mark_cold(7, second * 3, 0);
-    /// let placed = |it: &mut Balancer, now| matches!(it.place(now, &request, &[candidate]), Placement::Send(_));
-    /// assert!(!placed(&mut balancer, second));
-    /// assert!(placed(&mut balancer, second * 3));
+    /// let mut is_placed =
+    ///     |now| matches!(balancer.place(now, &request, &[candidate]), Placement::Send(_));
+    /// assert!(!is_placed(second));
+    /// assert!(is_placed(second * 3));
     /// ```
     pub fn mark_cold(&mut self, upstream: u32, until: Duration, quota: u32) {
         self.upstreams.entry(upstream).warmup.begin(until, quota);
     }
 
-    /// Notes that an upstream is not cold.
+    /// Marks an upstream as no longer cold.
     pub fn mark_warm(&mut self, upstream: u32) {
         self.upstreams.entry(upstream).warmup.end();
     }
--- a/crates/portfield/src/balance/upstream_table.rs
+++ b/crates/portfield/src/balance/upstream_table.rs
@@ -1,4 +1,5 @@
-//! What is on its way to each upstream, from this host and from the others.
+//! Load, cache and health of each upstream, from this host's requests and from other hosts'
+//! digests.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -17,18 +18,18 @@
 pub(crate) struct Load {
     /// Requests sent and not ended.
     pub running: f64,
-    /// Tokens to read before the first events that have not come.
+    /// Tokens that the upstream has yet to read before the first events of these requests.
     pub pending: f64,
 }
 
-/// One upstream.
+/// What this host knows of one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamState {
     pub local: Load,
     pub remote: Load,
     /// Tokens that this host's requests brought into its memory.
     tokens_read: f64,
-    /// Digests that the sums above are still to be told in.
+    /// Number of digests in which the totals above are still to be reported.
     n_reports_left: u32,
     pub cache: PrefixCache,
     pub health: Health,
@@ -39,33 +40,33 @@
 }
 
 impl UpstreamState {
-    /// Notes tokens that this host's request brings into its memory.
+    /// Records tokens that a request of this host brings into the upstream's memory.
     pub(crate) fn record_read(&mut self, tokens: f64) {
         self.tokens_read += tokens;
         self.cache.record_read(tokens);
         self.n_reports_left = REPEATS;
     }
 
-    /// Returns whether nothing is to be sent to it now.
+    /// Returns whether no request may be sent to it now.
     pub(crate) fn is_closed(&self, now: Duration) -> bool {
         self.health.is_blocked(now) || self.warmup.is_closed(now) || self.backoff.is_closed(now)
     }
 
-    /// Returns whether parts of prompts are to be read elsewhere.
+    /// Returns whether shared prompt parts are to be cached at another upstream.
     ///
-    /// All hosts agree on that, also those that may send a cold one something: else a part is read there by these and at
-    /// the next upstream by all others. One that asked this host to be left alone is away for this host only.
+    /// All hosts must agree on this, including those with a quota for a cold upstream: otherwise a
+    /// part is read both there and at the next upstream. A backoff applies to this host only.
     pub(crate) fn is_unavailable(&self, now: Duration) -> bool {
         self.health.is_blocked(now) || self.warmup.is_cold(now) || self.backoff.is_closed(now)
     }
 
-    /// Returns when something may be sent to it.
+    /// Returns when a request may be sent to it.
     pub(crate) fn opens_at(&self, now: Duration) -> Duration {
         let opens = self.health.blocked_until().max(self.warmup.opens_at(now));
         opens.max(self.backoff.opens_at(now))
     }
 
-    /// Returns what this host tells of it.
+    /// Returns this host's entry for a digest.
     fn report(&self, upstream: u32) -> wire::UpstreamLoad {
         wire::UpstreamLoad {
             upstream,
@@ -84,26 +85,26 @@
     }
 }
 
-/// A use of a prompt's parts that other hosts are told of.
+/// A use of prompt prefixes that digests announce to other hosts.
 #[derive(Debug, Clone)]
 struct Announcement {
     prefix: wire::PrefixUse,
     n_left: u32,
 }
 
-/// All upstreams.
+/// All known upstreams, and the digests of the peers that use them.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamTable {
     upstreams: FastMap<u32, UpstreamState>,
     peers: FastMap<u64, PeerState>,
     announcements: VecDeque<Announcement>,
-    /// What other hosts of the data centre told, for sums.
+    /// Announcements of other hosts of this data centre, for the summary.
     received: VecDeque<Announcement>,
-    /// When this host last summed up its data centre.
+    /// When this host last wrote a summary.
     last_summary: Option<Duration>,
 }
 
-/// What the hosts of a data centre did, summed up.
+/// Summary of a data centre's hosts.
 #[derive(Debug, Default)]
 pub(crate) struct Summary {
     pub n_hosts: u32,
@@ -113,39 +114,39 @@
 }
 
 impl UpstreamTable {
-    /// Returns an upstream, new if it was not known.
+    /// Returns the state of an upstream, inserting it if needed.
     pub(crate) fn entry(&mut self, upstream: u32) -> &mut UpstreamState {
         self.upstreams.entry(upstream).or_default()
     }
 
-    /// Returns all upstreams.
+    /// Iterates over all upstreams mutably.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
         self.upstreams.values_mut()
     }
 
-    /// Returns all upstreams, to be read.
+    /// Iterates over all upstreams.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &UpstreamState> {
         self.upstreams.values()
     }
 
-    /// Returns all upstreams with their numbers.
+    /// Iterates over all upstreams and their numbers, mutably.
     pub(crate) fn iter_numbered_mut(&mut self) -> impl Iterator<Item = (u32, &mut UpstreamState)> {
         self.upstreams.iter_mut().map(|(number, it)| (*number, it))
     }
 
-    /// Returns an upstream that is known.
+    /// Returns the state of a known upstream.
     pub(crate) fn get(&self, upstream: u32) -> Option<&UpstreamState> {
         self.upstreams.get(&upstream)
     }
 
-    /// Forgets upstreams that are gone, have no requests of this host and did not ask it to be left alone: an entry that
-    /// lapsed may come back.
+    /// Removes upstreams that are no longer known, unless they run requests of this host or have a
+    /// recorded backoff: an entry that lapsed in the store may come back.
     pub(crate) fn retain(&mut self, f: impl Fn(u32) -> bool) {
         self.upstreams
             .retain(|id, it| f(*id) || 0.0 < it.local.running || it.backoff.is_recorded());
     }
 
-    /// Remembers to tell the others of parts that an upstream now keeps.
+    /// Queues prompt prefixes that an upstream now caches for announcement to other hosts.
     pub(crate) fn announce(&mut self, upstream: u32, parts: Vec<u32>) {
         if !parts.is_empty() {
             let prefix = wire::PrefixUse { upstream, parts };
@@ -153,9 +154,10 @@
         }
     }
 
-    /// Returns this host's part of a digest.
+    /// Returns this host's loads and announcements for a digest.
     pub(crate) fn report(&mut self) -> (Vec<wire::UpstreamLoad>, Vec<wire::PrefixUse>) {
-        // What nobody uses and everybody knows is left out: a digest grows with what goes on.
+        // Idle upstreams whose totals were already reported are left out, which keeps digests
+        // short.
         let is_reported =
             |it: &(&u32, &UpstreamState)| 0.0 < it.1.local.running || 0 < it.1.n_reports_left;
         let loads =
@@ -166,11 +168,12 @@
         (loads, take_announcements(&mut self.announcements))
     }
 
-    /// Sums up what this host and the others of its data centre did; usage is the others' only.
+    /// Summarizes what this host and the other hosts of its data centre did; usage covers the other
+    /// hosts only.
     ///
-    /// What was read and used is that since this host first heard each of them. With their totals in
-    /// its place a host that starts anew and sums up tells the other data centres all that its
-    /// neighbours ever did as done just now.
+    /// Of the other hosts' totals it counts the growth since this host first heard them. With the
+    /// full totals, a restarted leader would report everything that its neighbours ever did to the
+    /// other data centres as new.
     pub(crate) fn summary(&mut self, now: Duration, data_centre: u32) -> Summary {
         let members =
             || self.peers.values().filter(|it| it.data_centre == data_centre && it.n_summed == 0);
@@ -192,14 +195,14 @@
         }
         let n_hosts = 1 + members().filter(|it| now < it.last_heard + PEER_TIMEOUT).count() as u32;
         let loads = loads.into_values().filter(|it| 0 < it.read || 0 < it.running).collect();
-        // This host's own parts are among those it tells; they go along once.
+        // This host's own prefixes are sent in its digests too; the summary carries them as well.
         let mut prefixes = take_announcements(&mut self.received);
         prefixes.extend(self.announcements.iter().map(|it| it.prefix.clone()));
         self.last_summary = Some(now);
         Summary { n_hosts, loads, prefixes, usage }
     }
 
-    /// Keeps what another host told, once, while this host sums up its data centre.
+    /// Keeps the announcements of another host, each once, while this host writes summaries.
     fn collect_announcements(&mut self, now: Duration, digest: &wire::Digest) {
         if digest.n_summed != 0 || self.last_summary.is_none_or(|it| it + PEER_TIMEOUT < now) {
             return;
@@ -211,9 +214,9 @@
         }
     }
 
-    /// Takes another host's digest; returns how its workspaces' usage grew.
+    /// Merges another host's digest and returns the growth of its workspaces' usage.
     ///
-    /// A digest that is older than the last one taken changes nothing.
+    /// A digest older than the last one merged is ignored.
     pub(crate) fn merge_digest(
         &mut self,
         now: Duration,
@@ -240,7 +243,7 @@
         usage
     }
 
-    /// Drops what hosts said that have been silent for [`PEER_TIMEOUT`], and what upstreams asked for long ago.
+    /// Drops the load of peers silent for [`PEER_TIMEOUT`], and backoffs that ended long ago.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.upstreams.values_mut().for_each(|it| it.backoff.expire(now));
         for peer in self.peers.values_mut() {
@@ -250,14 +253,14 @@
         }
     }
 
-    /// Returns how many other hosts were heard of late.
+    /// Returns the number of other hosts heard recently, directly or in a summary.
     pub(crate) fn n_peers(&self, now: Duration) -> usize {
         let alive = self.peers.values().filter(|it| now < it.last_heard + PEER_TIMEOUT);
         alive.map(|it| it.n_summed.max(1) as usize).sum()
     }
 }
 
-/// Takes the parts to be told now; each is told [`REPEATS`] times.
+/// Takes the announcements due now; each is sent [`REPEATS`] times.
 fn take_announcements(announcements: &mut VecDeque<Announcement>) -> Vec<wire::PrefixUse> {
     let res = announcements.iter().map(|it| it.prefix.clone()).collect();
     announcements.iter_mut().for_each(|it| it.n_left -= 1);
@@ -265,12 +268,12 @@
     res
 }
 
-/// Takes another host's requests away from the upstreams; its totals stay known.
+/// Removes a peer's requests from the upstreams; its totals are kept.
 fn remove_load(peer: &mut PeerState, upstreams: &mut FastMap<u32, UpstreamState>) {
     peer.loads.drain(..).for_each(|it| apply_load(upstreams, &it, -1.0));
 }
 
-/// Adds another host's requests to an upstream's, or takes them away with `sign` -1.
+/// Adds a peer's requests to an upstream, or removes them if `sign` is -1.
 fn apply_load(upstreams: &mut FastMap<u32, UpstreamState>, it: &wire::UpstreamLoad, sign: f64) {
     let load = &mut upstreams.entry(it.upstream).or_default().remote;
     load.running = (load.running + sign * f64::from(it.running)).max(0.0);
--- a/crates/portfield/src/balance/warmup.rs
+++ b/crates/portfield/src/balance/warmup.rs
@@ -1,26 +1,30 @@
-//! How many requests this host may send to an upstream that is cold.
+//! Quota of requests that this host may send to a cold upstream.
 //!
-//! The load that this answers: a data centre's 47 engines come back at once and stay cold for 3 s. A cold one ends,
-//! with all that runs there, when more than 14 requests come to it in a second from all hosts together; 64 hosts
-//! send 9 a second to each on average, hear of each other's requests 50 to 260 ms late, and behind a cut not at all.
+//! The case to handle: a data centre's 47 engines come back at once and stay cold for 3 s. A cold
+//! engine crashes, with all requests on it, if it receives more than 14 requests per second from
+//! all hosts together; 64 hosts send it 9 per second each on average, and learn of each other's
+//! requests 50 to 260 ms late, or not at all across a network partition.
 //!
-//! So nothing is counted together. A few hosts of the upstream's data centre, drawn by rendezvous hash from those that
-//! are known, whether there or not, may each send it an equal part; all others leave it alone. A cut between data
-//! centres changes nothing of it, and hosts that die take only their part along. Each drawn host leaves room for one
-//! more than are drawn: hosts that know of different members differ by that one.
+//! So hosts do not count together. A few hosts of the upstream's data centre, chosen by rendezvous
+//! hash from the known ones, dead or alive, may each send an equal part; all others send nothing. A
+//! partition between data centres does not change that, and a chosen host that dies takes only its
+//! own part with it. The limit is divided by one more than the number of chosen hosts, because
+//! hosts with different membership views differ by one choice.
 
 use std::{collections::VecDeque, time::Duration};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hosts that may send to one cold upstream: with one or two its part is lost when they die, with more each part is
-/// less than a request a second.
+/// Number of hosts that may send to a cold upstream: with one or two, little is left when they die;
+/// with more, each part is below one request per second.
 const MAX_SENDERS: usize = 3;
-/// Time over which a host counts what it sent: a second, and what requests differ by on the way.
+/// Time over which a host counts its requests: one second, plus the variation of their delay on the
+/// way.
 const WINDOW: Duration = Duration::from_millis(1250);
 
-/// Returns how many requests a second a host may send to a cold upstream that takes `most` from all hosts together;
-/// `hosts` are those of the upstream's data centre that are known, by hash of their addresses.
+/// Returns how many requests per second a host may send to a cold upstream that takes `max_rate`
+/// from all hosts together. `hosts` are the address hashes of the known hosts of the upstream's
+/// data centre.
 ///
 /// # Examples
 ///
@@ -43,25 +47,25 @@
     (max_rate / (MAX_SENDERS.min(hosts.len()) + 1) as f64) as u32
 }
 
-/// What this host may send to one upstream while that is cold.
+/// Quota for one cold upstream.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Warmup {
     /// When the upstream is no longer cold.
     until: Duration,
     /// Requests that this host may send in [`WINDOW`].
     quota: u32,
-    /// When it sent the last ones.
+    /// Times of the requests sent within [`WINDOW`].
     sent: VecDeque<Duration>,
 }
 
 impl Warmup {
-    /// Notes that the upstream is cold until a time.
+    /// Marks the upstream as cold until a time.
     pub(crate) fn begin(&mut self, until: Duration, quota: u32) {
         self.until = until;
         self.quota = quota;
     }
 
-    /// Notes that the upstream is not cold.
+    /// Marks the upstream as no longer cold.
     pub(crate) fn end(&mut self) {
         self.until = Duration::ZERO;
     }
@@ -71,12 +75,12 @@
         now < self.until
     }
 
-    /// Returns whether nothing may be sent now.
+    /// Returns whether no request may be sent now.
     pub(crate) fn is_closed(&self, now: Duration) -> bool {
         now < self.opens_at(now)
     }
 
-    /// Returns when something may be sent again.
+    /// Returns when the next request may be sent.
     pub(crate) fn opens_at(&self, now: Duration) -> Duration {
         if self.until <= now {
             return Duration::ZERO;
@@ -89,7 +93,7 @@
         first.map_or(Duration::ZERO, |it| (*it + WINDOW).min(self.until))
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub(crate) fn record_sent(&mut self, now: Duration) {
         if self.until <= now {
             self.sent.clear();
