--- a/crates/portfield/src/balance/latency_model.rs
+++ b/crates/portfield/src/balance/latency_model.rs
@@ -23,11 +23,11 @@
 /// with exponential forgetting.
 #[derive(Debug, Clone)]
 pub(crate) struct LatencyModel {
-    n: f64,
-    x: f64,
-    y: f64,
-    xx: f64,
-    xy: f64,
+    weight: f64,
+    sum_x: f64,
+    sum_y: f64,
+    sum_xx: f64,
+    sum_xy: f64,
     tokens_per_ms: f64,
     base: f64,
 }
@@ -39,11 +39,11 @@
         let y = |x: f64| INITIAL_BASE + x / INITIAL_RATE;
         let half = PRIOR_WEIGHT / 2.0;
         let mut res = Self {
-            n: PRIOR_WEIGHT,
-            x: half * far,
-            y: half * (y(0.0) + y(far)),
-            xx: half * far * far,
-            xy: half * far * y(far),
+            weight: PRIOR_WEIGHT,
+            sum_x: half * far,
+            sum_y: half * (y(0.0) + y(far)),
+            sum_xx: half * far * far,
+            sum_xy: half * far * y(far),
             tokens_per_ms: INITIAL_RATE,
             base: INITIAL_BASE,
         };
@@ -72,11 +72,11 @@
             return;
         }
         for (sum, it) in [
-            (&mut self.n, 1.0),
-            (&mut self.x, tokens),
-            (&mut self.y, y),
-            (&mut self.xx, tokens * tokens),
-            (&mut self.xy, tokens * y),
+            (&mut self.weight, 1.0),
+            (&mut self.sum_x, tokens),
+            (&mut self.sum_y, y),
+            (&mut self.sum_xx, tokens * tokens),
+            (&mut self.sum_xy, tokens * y),
         ] {
             *sum = *sum * DECAY + it;
         }
@@ -84,13 +84,14 @@
     }
 
     fn refit(&mut self) {
-        let spread = self.n * self.xx - self.x * self.x;
+        let spread = self.weight * self.sum_xx - self.sum_x * self.sum_x;
         if spread <= 0.0 {
             return;
         }
-        let slope = (self.n * self.xy - self.x * self.y) / spread;
+        let slope = (self.weight * self.sum_xy - self.sum_x * self.sum_y) / spread;
         let slope = slope.clamp(1.0 / RATE_BOUNDS.1, 1.0 / RATE_BOUNDS.0);
         self.tokens_per_ms = 1.0 / slope;
-        self.base = ((self.y - slope * self.x) / self.n).clamp(BASE_BOUNDS.0, BASE_BOUNDS.1);
+        self.base =
+            ((self.sum_y - slope * self.sum_x) / self.weight).clamp(BASE_BOUNDS.0, BASE_BOUNDS.1);
     }
 }
--- a/crates/portfield/src/balance/peer_table.rs
+++ b/crates/portfield/src/balance/peer_table.rs
@@ -43,7 +43,7 @@
     address: SocketAddr,
     /// Number of hosts that its summary covers.
     n_hosts: usize,
-    heard: Duration,
+    last_heard: Duration,
 }
 
 /// The table of other hosts and the topology that follows from it.
@@ -100,7 +100,7 @@
         let hosts: Vec<RemoteHost> = self.hosts.values().copied().collect();
         // Summaries count whether or not they are merged: otherwise a host that loses some peers
         // for a moment would ignore the summaries which show that these are alive.
-        let leaders = self.leaders.values().filter(|it| now < it.heard + LEADER_DEAD_AFTER);
+        let leaders = self.leaders.values().filter(|it| now < it.last_heard + LEADER_DEAD_AFTER);
         let n_remote = leaders.map(|it| it.n_hosts).sum();
         self.topology = GossipTopology::new(now, self.config, &hosts, n_remote);
         self.topology
@@ -126,7 +126,7 @@
     pub fn has_unreachable_centre(&self, now: Duration) -> bool {
         let mut heard: FastMap<u32, Duration> = FastMap::default();
         let hosts = self.hosts.values().filter_map(|it| Some((it.data_centre?, it.last_heard)));
-        let leaders = self.leaders.iter().map(|(centre, it)| (*centre, it.heard));
+        let leaders = self.leaders.iter().map(|(centre, it)| (*centre, it.last_heard));
         for (centre, at) in hosts.chain(leaders).filter(|it| it.0 != self.config.data_centre) {
             let last = heard.entry(centre).or_default();
             *last = (*last).max(at);
@@ -176,7 +176,7 @@
                 return;
             }
             let n_hosts = digest.n_summed as usize;
-            let leader = Leader { address, n_hosts, heard: now };
+            let leader = Leader { address, n_hosts, last_heard: now };
             self.leaders.insert(digest.data_centre, leader);
             return;
         }
@@ -250,11 +250,12 @@
             by_centre.entry(it.data_centre.unwrap_or_default()).or_default().push(*address);
         }
         let is_random = sequence.is_multiple_of(RANDOM_HOST_EVERY);
-        let live_leaders = self.leaders.values().filter(|it| now < it.heard + LEADER_DEAD_AFTER);
+        let live_leaders =
+            self.leaders.values().filter(|it| now < it.last_heard + LEADER_DEAD_AFTER);
         let mut res: Vec<SocketAddr> = live_leaders.map(|it| it.address).collect();
         for (data_centre, mut addresses) in by_centre {
             let leader = self.leaders.get(&data_centre);
-            if is_random || leader.is_none_or(|it| it.heard + LEADER_SILENT_AFTER < now) {
+            if is_random || leader.is_none_or(|it| it.last_heard + LEADER_SILENT_AFTER < now) {
                 addresses.sort_unstable();
                 let idx = xxh3_64(&sequence.to_le_bytes()) as usize % addresses.len();
                 res.push(addresses[idx]);
--- a/crates/portfield/src/balance/prompt.rs
+++ b/crates/portfield/src/balance/prompt.rs
@@ -41,11 +41,11 @@
     /// Returns the prefix that ends with each part.
     pub(crate) fn prefixes(&self) -> Vec<PromptPrefix> {
         let mut hash = 0;
-        let link = |it: &PromptPart| {
+        let prefix = |it: &PromptPart| {
             hash = xxh3_64_with_seed(&it.id.to_le_bytes(), hash);
             PromptPrefix { hash: hash as u32, tokens: it.tokens }
         };
-        self.parts.iter().map(link).collect()
+        self.parts.iter().map(prefix).collect()
     }
 }
 
--- a/crates/portfield/src/balance/upstream_signals.rs
+++ b/crates/portfield/src/balance/upstream_signals.rs
@@ -83,10 +83,11 @@
     /// };
     /// let candidate = Candidate { upstream: 7, slots: 4, is_local: true };
     /// balancer.mark_cold(7, second * 3, 0);
-    /// let mut is_placed =
-    ///     |now| matches!(balancer.place(now, &request, &[candidate]), Placement::Send(_));
-    /// assert!(!is_placed(second));
-    /// assert!(is_placed(second * 3));
+    /// let is_placed = |it: &mut Balancer, now| {
+    ///     matches!(it.place(now, &request, &[candidate]), Placement::Send(_))
+    /// };
+    /// assert!(!is_placed(&mut balancer, second));
+    /// assert!(is_placed(&mut balancer, second * 3));
     /// ```
     pub fn mark_cold(&mut self, upstream: u32, until: Duration, quota: u32) {
         self.upstreams.entry(upstream).warmup.begin(until, quota);
--- a/crates/portfield/src/balance/warmup.rs
+++ b/crates/portfield/src/balance/warmup.rs
@@ -89,8 +89,8 @@
         if n == 0 {
             return self.until;
         }
-        let first = self.sent.len().checked_sub(n).and_then(|it| self.sent.get(it));
-        first.map_or(Duration::ZERO, |it| (*it + WINDOW).min(self.until))
+        let oldest = self.sent.len().checked_sub(n).and_then(|it| self.sent.get(it));
+        oldest.map_or(Duration::ZERO, |it| (*it + WINDOW).min(self.until))
     }
 
     /// Records that a request is sent.
