--- a/crates/portfield/tests/warmup.rs
+++ b/crates/portfield/tests/warmup.rs
@@ -10,7 +10,7 @@
     Balancer, Candidate, Placement, PlacementRequest, RunId, Stage, cold_quota, host_hash,
 };
 
-const MOST: f64 = 14.15;
+const MAX_RATE: f64 = 14.15;
 const COLD: Duration = Duration::from_secs(3);
 const N_UPSTREAMS: u32 = 47;
 /// Requests a second for each of the upstreams, more than they take: callers press.
@@ -25,32 +25,32 @@
 /// What a host knows of the others.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum View {
-    Whole,
+    Complete,
     /// One host in ten is new, and half of the hosts have not heard of those.
-    Behind,
+    Outdated,
     /// One host in ten ends and starts anew: it forgets what it sent.
     Restarts,
 }
 
 /// How a host's part is found.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
+enum Quota {
     /// The code's: few hosts.
-    Few,
+    FewHosts,
     /// Each host an equal part.
-    Even,
+    AllHosts,
     /// Each host all that is left by what the others said, which is so old.
-    Told(Duration),
+    Gossip(Duration),
 }
 
 /// Most requests that reached one upstream in a second, and how many one got a second on average.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Got {
-    most: usize,
+struct Stats {
+    peak: usize,
     mean: f64,
 }
 
-fn job() -> PlacementRequest {
+fn request() -> PlacementRequest {
     PlacementRequest {
         workspace: 1,
         service: 1,
@@ -63,24 +63,24 @@
 }
 
 /// Plays the return of a data centre's upstreams.
-fn play(fleet: Fleet, view: View, way: Way, seed: u64) -> Got {
+fn simulate(fleet: Fleet, view: View, quota_kind: Quota, seed: u64) -> Stats {
     let mut rng = fastrand::Rng::with_seed(seed);
     let address = |it: usize| ([10, it as u8, (it >> 8) as u8, 1], 80).into();
     let hashes: Vec<u64> = (0..fleet.n_hosts).map(|it| host_hash(address(it))).collect();
-    let here: Vec<usize> = (0..fleet.n_hosts).step_by(fleet.n_centres).collect();
+    let local_hosts: Vec<usize> = (0..fleet.n_hosts).step_by(fleet.n_centres).collect();
     let start = Duration::from_secs(9);
     let new_host = |idx: usize| {
         let is_new = |it: usize| {
-            view == View::Behind && it.is_multiple_of(10) && it != idx && !idx.is_multiple_of(2)
+            view == View::Outdated && it.is_multiple_of(10) && it != idx && !idx.is_multiple_of(2)
         };
-        let known = here.iter().filter(|it| !is_new(**it)).map(|it| hashes[*it]);
+        let known = local_hosts.iter().filter(|it| !is_new(**it)).map(|it| hashes[*it]);
         let known: Vec<u64> = known.collect();
         let mut res = Balancer::new(Duration::from_secs(4));
         for upstream in 0..N_UPSTREAMS {
-            let quota = match way {
-                Way::Few => cold_quota(MOST, &known, hashes[idx], upstream),
-                Way::Even => (MOST / fleet.n_hosts as f64) as u32,
-                Way::Told(_) => u32::MAX,
+            let quota = match quota_kind {
+                Quota::FewHosts => cold_quota(MAX_RATE, &known, hashes[idx], upstream),
+                Quota::AllHosts => (MAX_RATE / fleet.n_hosts as f64) as u32,
+                Quota::Gossip(_) => u32::MAX,
             };
             res.mark_cold(upstream, start + COLD, quota);
         }
@@ -99,17 +99,17 @@
             (0..N_UPSTREAMS).for_each(|it| hosts[idx].mark_cold(it, start + COLD, 0));
             runs.retain(|it| it.0 != idx);
         }
-        let is_left = |upstream: &u32| {
-            let Way::Told(age) = way else { return true };
+        let has_quota_left = |upstream: &u32| {
+            let Quota::Gossip(age) = quota_kind else { return true };
             let list = &sent[*upstream as usize];
             let recent = list.iter().rev().take_while(|it| now < it.0 + Duration::from_secs(1));
             let known = recent.filter(|it| it.1 == idx || it.0 + age <= now).count();
-            (known as f64) < MOST - 1.0
+            (known as f64) < MAX_RATE - 1.0
         };
         let candidate = |upstream| Candidate { upstream, slots: 1000, is_local: true };
-        let candidates: Vec<_> = (0..N_UPSTREAMS).filter(is_left).map(candidate).collect();
-        if let Placement::Send(placed) = hosts[idx].place(now, &job(), &candidates) {
-            runs.push((idx, hosts[idx].record_start(now, &job(), &placed)));
+        let candidates: Vec<_> = (0..N_UPSTREAMS).filter(has_quota_left).map(candidate).collect();
+        if let Placement::Send(placed) = hosts[idx].place(now, &request(), &candidates) {
+            runs.push((idx, hosts[idx].record_start(now, &request(), &placed)));
             sent[placed.upstream as usize].push((now, idx));
         }
     }
@@ -121,7 +121,7 @@
     };
     let n: usize = sent.iter().map(Vec::len).sum();
     let mean = n as f64 / f64::from(N_UPSTREAMS) / COLD.as_secs_f64();
-    Got { most: sent.iter().map(in_second).max().unwrap_or(0), mean }
+    Stats { peak: sent.iter().map(in_second).max().unwrap_or(0), mean }
 }
 
 const FLEETS: [Fleet; 3] = [
@@ -131,12 +131,12 @@
 ];
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_takes_whatever_hosts_know_of_each_other() {
+fn a_cold_upstream_is_not_overloaded_with_any_membership_view() {
     for fleet in FLEETS {
-        for view in [View::Whole, View::Behind, View::Restarts] {
+        for view in [View::Complete, View::Outdated, View::Restarts] {
             for seed in 0..3 {
-                let got = play(fleet, view, Way::Few, seed);
-                assert!(got.most as f64 <= MOST, "{fleet:?} {view:?} {got:?}");
+                let stats = simulate(fleet, view, Quota::FewHosts, seed);
+                assert!(stats.peak as f64 <= MAX_RATE, "{fleet:?} {view:?} {stats:?}");
             }
         }
     }
@@ -146,13 +146,14 @@
 /// hosts on; told by digests, 64 hosts whose words are 130 ms old send 18 a second where 14 are allowed, and behind a
 /// cut each side sends all of it.
 #[test]
-fn the_other_ways_serve_nothing_or_send_too_much() {
-    let few = FLEETS.map(|it| play(it, View::Whole, Way::Few, 1));
-    let even = FLEETS.map(|it| play(it, View::Whole, Way::Even, 1));
-    let told = FLEETS.map(|it| play(it, View::Whole, Way::Told(Duration::from_millis(130)), 1));
-    let cut = FLEETS.map(|it| play(it, View::Whole, Way::Told(COLD), 1));
-    assert!(even[1..].iter().all(|it| it.mean == 0.0), "{even:?}");
-    assert!(told[1..].iter().all(|it| MOST < it.most as f64), "{told:?}");
-    assert!(cut[1..].iter().all(|it| MOST < it.most as f64), "{cut:?}");
-    assert!(few.iter().all(|it| 0.5 < it.mean), "{few:?}");
+fn alternative_quotas_starve_or_overload_cold_upstreams() {
+    let few_hosts = FLEETS.map(|it| simulate(it, View::Complete, Quota::FewHosts, 1));
+    let all_hosts = FLEETS.map(|it| simulate(it, View::Complete, Quota::AllHosts, 1));
+    let gossip =
+        FLEETS.map(|it| simulate(it, View::Complete, Quota::Gossip(Duration::from_millis(130)), 1));
+    let partition = FLEETS.map(|it| simulate(it, View::Complete, Quota::Gossip(COLD), 1));
+    assert!(all_hosts[1..].iter().all(|it| it.mean == 0.0), "{all_hosts:?}");
+    assert!(gossip[1..].iter().all(|it| MAX_RATE < it.peak as f64), "{gossip:?}");
+    assert!(partition[1..].iter().all(|it| MAX_RATE < it.peak as f64), "{partition:?}");
+    assert!(few_hosts.iter().all(|it| 0.5 < it.mean), "{few_hosts:?}");
 }
