--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -62,7 +62,7 @@
 /// up to 0.6 of their time left as a wait, of the others' requests 31 of 941 were late or refused at
 /// the fastest engines, and 87 of 1,386 at the most; now it is 4 and 27.
 #[test]
-fn who_asks_within_its_share_is_served_whatever_others_ask() {
+fn workspaces_within_their_share_are_served_under_overload() {
     for (n_engines, rate, least) in
         [(9, 100.0, 0.98), (3, 100.0, 0.98), (9, 33.0, 0.97), (9, 300.0, 0.99), (40, 100.0, 0.97)]
     {
@@ -79,7 +79,7 @@
 /// Two workspaces at two hosts, one asking nine times what the other asks, together far more than
 /// there is, and nobody knows how much that is: each gets about half.
 #[test]
-fn who_has_had_its_share_is_refused_before_who_has_not() {
+fn a_workspace_beyond_its_share_is_refused_first() {
     let fleet = Fleet { n_hosts: 2, capacity: 0.0, ..fleet(2, 40.0) };
     for seed in 1..=3 {
         // 2 engines read 80 tokens a millisecond: 20 prompts a second whose shared part is kept.
@@ -94,7 +94,7 @@
         let got = play(fleet, &[demand(0, 135.0), demand(1, 15.0)], seed);
         let taken = |it: u32| got[&it].in_time + got[&it].late;
         let part = |it: u32| f64::from(got[&it].refused) / f64::from(got[&it].asked);
-        assert!(0.3 < part(0), "the load is too small: {got:?}");
+        assert!(0.3 < part(0), "the load is too low: {got:?}");
         assert!(part(1) < 0.4 * part(0), "{got:?}");
         assert!(taken(0) * 4 <= taken(1) * 5, "{got:?}");
     }
@@ -104,7 +104,7 @@
 /// weight for that belief, 6 of 105 requests within their share were refused in the first two
 /// seconds; with two it is 1.
 #[test]
-fn fast_engines_are_not_believed_slow_after_a_start() {
+fn fast_engines_are_not_taken_for_slow_after_a_start() {
     let fleet = Fleet { length: Duration::from_secs(2), ..fleet(9, 300.0) };
     let (small, _) = small_and_hot(fleet, 0.5, 1);
     assert!(small.refused <= 2, "{small:?}");
@@ -125,15 +125,15 @@
 /// refused by their share (2,626 of 2,626 thousand, 3,439 of 3,439), none by hosts short of time, and
 /// the least part in this load follows `BEHIND`: 0.45 at 0.6, 0.55 at 0.7, 0.64 at 0.85.
 #[test]
-fn who_asks_beyond_its_share_gets_more_than_half_of_what_the_best_served_gets() {
-    for (n_engines, rate, n_middling, part) in
+fn a_workspace_beyond_its_share_gets_over_half_of_the_largest_usage() {
+    for (n_engines, rate, n_medium, part) in
         [(9, 100.0, 2, 0.5), (40, 50.0, 3, 0.8), (90, 51.0, 3, 0.5)]
     {
         for seed in 1..=2 {
             let fleet = fleet(n_engines, rate);
-            let (demands, middling) = large_and_middling(&fleet, n_middling, part);
+            let (demands, medium) = large_and_medium(&fleet, n_medium, part);
             let tokens = play_tokens(fleet, &demands, seed);
-            for it in middling {
+            for it in medium {
                 let part = least_part(&tokens, it, SPAN);
                 assert!(0.6 <= part, "{n_engines} engines of {rate}, seed {seed}: {part:.3}");
             }
@@ -146,18 +146,22 @@
 
 /// One workspace asks for four times the capacity, middling ones for `part` of it each, small ones for
 /// a third of it together; returns the numbers of the middling ones too.
-fn large_and_middling(
+fn large_and_medium(
     fleet: &Fleet,
-    n_middling: u32,
+    n_medium: u32,
     part: f64,
 ) -> (Vec<Demand>, std::ops::Range<u32>) {
     let [large, first] = HOT;
-    let middling = first..first + n_middling;
+    let medium = first..first + n_medium;
     let mut res = demands(fleet, 2.0);
-    let even = res.pop().expect("two large workspaces");
+    let template = res.pop().expect("two large workspaces");
     if let Some(it) = res.iter_mut().find(|it| it.workspace == large) {
         it.rate *= 4.0;
     }
-    res.extend(middling.clone().map(|it| Demand { workspace: it, rate: even.rate * part, ..even }));
-    (res, middling)
+    res.extend(medium.clone().map(|it| Demand {
+        workspace: it,
+        rate: template.rate * part,
+        ..template
+    }));
+    (res, medium)
 }
