--- a/crates/portfield/tests/gossip_leaders.rs
+++ b/crates/portfield/tests/gossip_leaders.rs
@@ -14,7 +14,7 @@
 /// An idle host at 295 handled some 700 datagrams a second, a number that grew with the hosts of its
 /// data centre; now it handles 17 of its own and 9 of the speaker.
 #[test]
-fn all_hear_of_all_and_few_datagrams_are_sent() {
+fn every_host_hears_all_others_with_few_datagrams() {
     for n_each in [20, 59] {
         let mut world = World::new(5, n_each, None);
         world.run(Duration::from_secs(5));
@@ -28,22 +28,22 @@
             .map(|(it, before)| (it.n_sent + it.n_received - before) / 4)
             .collect();
         rates.sort_unstable();
-        let (middle, most) = (rates[rates.len() / 2], rates[rates.len() - 1]);
-        assert!(middle <= 62, "{n_each} hosts: {middle} datagrams a second");
-        assert!(most <= 1_100, "{n_each} hosts: {most} datagrams a second at a speaker");
+        let (median, max) = (rates[rates.len() / 2], rates[rates.len() - 1]);
+        assert!(median <= 62, "{n_each} hosts: {median} datagrams a second");
+        assert!(max <= 1_100, "{n_each} hosts: {max} datagrams a second at a leader");
         assert!((0..5).all(|it| world.speakers(it).len() == 1));
     }
 }
 
 #[test]
-fn hosts_that_know_three_seeds_only_find_all_others() {
+fn hosts_with_three_seeds_discover_all_others() {
     let mut world = World::new(3, 20, Some(3));
     world.run(Duration::from_secs(8));
     world.check_all_known(AGE);
 }
 
 #[test]
-fn the_next_in_line_speaks_once_the_speaker_is_dead() {
+fn the_standby_replaces_a_dead_leader() {
     let mut world = World::new(3, 25, None);
     world.run(Duration::from_secs(5));
     let first = world.speakers(1)[0];
@@ -57,22 +57,22 @@
 }
 
 #[test]
-fn a_data_centre_whose_first_two_die_at_once_finds_itself_again() {
+fn a_data_centre_recovers_from_the_death_of_leader_and_standby() {
     let mut world = World::new(3, 25, None);
     world.run(Duration::from_secs(5));
     for _ in 0..2 {
-        let mut line: Vec<usize> = (0..world.hosts.len())
+        let mut by_hash: Vec<usize> = (0..world.hosts.len())
             .filter(|it| world.hosts[*it].is_alive && world.hosts[*it].data_centre == 0)
             .collect();
-        line.sort_by_key(|it| host_hash(world.hosts[*it].address));
-        world.hosts[line[0]].is_alive = false;
+        by_hash.sort_by_key(|it| host_hash(world.hosts[*it].address));
+        world.hosts[by_hash[0]].is_alive = false;
     }
     world.run(Duration::from_millis(2_000));
     world.check_all_known(AGE);
 }
 
 #[test]
-fn a_host_that_comes_back_is_heard_soon_though_it_is_the_first_in_line() {
+fn a_returning_leader_is_heard_soon() {
     let mut world = World::new(3, 25, None);
     world.run(Duration::from_secs(5));
     let first = world.speakers(2)[0];
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn all_hear_of_all_while_a_tenth_of_the_datagrams_is_lost() {
+fn every_host_hears_all_others_with_ten_percent_loss() {
     let mut world = World::new(5, 40, None);
     world.loss = 10;
     world.run(Duration::from_secs(6));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn all_that_start_anew_at_once_find_each_other() {
+fn hosts_started_at_once_discover_each_other() {
     let mut world = World::new(5, 59, None);
     world.run(Duration::from_secs(3));
     world.check_all_known(AGE);
@@ -103,7 +103,7 @@
 /// A host that for a moment counted one host too few took the others for few, ignored the sums, and
 /// stayed so: 14 hosts, of which one was stopped and started.
 #[test]
-fn hosts_at_the_border_between_few_and_many_know_all_again() {
+fn hosts_at_the_mesh_limit_recover_from_restarts() {
     let mut world = World::new(2, 7, None);
     world.run(Duration::from_secs(5));
     world.check_all_known(AGE);
@@ -143,7 +143,7 @@
 
 /// Within three seconds of the last of three ends every host has to know of them.
 #[test]
-fn what_three_hosts_saw_adds_up_at_all() {
+fn crashes_seen_by_three_hosts_add_up_at_every_host() {
     for (n_each, loss) in [(2, 0), (2, 10), (12, 10), (60, 0), (60, 10)] {
         let (mut world, request) = with_suspect(n_each, loss);
         world.run(Duration::from_millis(1500));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn hosts_that_start_anew_learn_which_requests_are_refused() {
+fn restarted_hosts_learn_quarantined_requests() {
     let (mut world, request) = with_suspect(60, 10);
     world.run(Duration::from_secs(10));
     (0..30).for_each(|i| world.revive(i * 7));
@@ -163,7 +163,7 @@
 
 /// Some fifteen requests of others run at an engine that ends, at as many hosts.
 #[test]
-fn evidence_of_many_requests_does_not_hold_up_that_of_one() {
+fn many_suspects_do_not_delay_the_quarantine_of_one() {
     let (mut world, request) = with_suspect(60, 10);
     for n in 0..1500 {
         let host = &mut world.hosts[n % 300];
@@ -176,7 +176,7 @@
 
 impl World {
     /// Lets hosts go on that stood still: they know what they knew.
-    fn go_on(&mut self, hosts: &[usize]) {
+    fn resume(&mut self, hosts: &[usize]) {
         for i in hosts {
             let host = &mut self.hosts[*i];
             host.others.clear_forwards();
@@ -186,9 +186,9 @@
     }
 
     /// Returns the hosts of a data centre in the order in which they speak for it.
-    fn line(&self, data_centre: u32) -> Vec<usize> {
-        let there = |it: &usize| self.hosts[*it].data_centre == data_centre;
-        let mut res: Vec<usize> = (0..self.hosts.len()).filter(there).collect();
+    fn by_hash(&self, data_centre: u32) -> Vec<usize> {
+        let is_local = |it: &usize| self.hosts[*it].data_centre == data_centre;
+        let mut res: Vec<usize> = (0..self.hosts.len()).filter(is_local).collect();
         res.sort_by_key(|it| host_hash(self.hosts[*it].address));
         res
     }
@@ -196,68 +196,71 @@
 
 /// Two hosts, of which one spoke, and all of a data centre.
 #[test]
-fn hosts_that_stood_still_are_heard_again_though_nothing_says_that_they_are_new() {
-    for n_still in [2, 25] {
+fn paused_hosts_are_heard_again() {
+    for n_paused in [2, 25] {
         let mut world = World::new(3, 25, None);
         world.run(Duration::from_secs(5));
-        let still: Vec<usize> = world.line(1).into_iter().take(n_still).collect();
-        still.iter().for_each(|i| world.hosts[*i].is_alive = false);
+        let paused: Vec<usize> = world.by_hash(1).into_iter().take(n_paused).collect();
+        paused.iter().for_each(|i| world.hosts[*i].is_alive = false);
         world.run(Duration::from_secs(9));
-        world.go_on(&still);
+        world.resume(&paused);
         world.run(Duration::from_millis(1_500));
         world.check_all_known(AGE);
-        assert_eq!(world.speakers(1), [world.line(1)[0]]);
+        assert_eq!(world.speakers(1), [world.by_hash(1)[0]]);
     }
 }
 
 /// What is held against a request gets older while who tells it stands still.
 #[test]
-fn a_verdict_told_by_a_host_that_stood_still_is_as_old_as_it_is() {
+fn a_quarantine_ages_while_its_host_is_paused() {
     let (mut world, request) = with_suspect(25, 0);
     world.run(Duration::from_secs(3));
-    let still = world.line(1);
-    still.iter().for_each(|i| world.hosts[*i].is_alive = false);
+    let paused = world.by_hash(1);
+    paused.iter().for_each(|i| world.hosts[*i].is_alive = false);
     world.run(Duration::from_secs(60));
-    world.go_on(&still);
-    let new = world.line(2)[3];
+    world.resume(&paused);
+    let new = world.by_hash(2)[3];
     world.revive(new);
     world.run(Duration::from_secs(3));
     let left = |world: &World, i: usize| {
         let host = &world.hosts[i];
         host.quarantine.verdict(world.now - host.started, request).unwrap().left
     };
-    let (here, there) = (left(&world, still[0]), left(&world, new));
-    assert!(here < Duration::from_secs(60), "{here:?}");
-    assert!(here.abs_diff(there) < Duration::from_millis(50), "{here:?} {there:?}");
+    let (paused_left, new_left) = (left(&world, paused[0]), left(&world, new));
+    assert!(paused_left < Duration::from_secs(60), "{paused_left:?}");
+    assert!(
+        paused_left.abs_diff(new_left) < Duration::from_millis(50),
+        "{paused_left:?} {new_left:?}"
+    );
 }
 
 /// Evidence of the two sides of a cut adds up by the store, which a host reads while it misses a data centre.
 #[test]
-fn a_data_centre_that_falls_silent_is_missed_and_a_host_that_does_is_not() {
+fn a_silent_data_centre_is_unreachable_and_a_silent_host_is_not() {
     for n_each in [3, 20] {
         let mut world = World::new(3, n_each, None);
         world.run(Duration::from_secs(5));
-        let misses = |world: &World, i: usize| {
+        let is_unreachable = |world: &World, i: usize| {
             let host = &world.hosts[i];
             host.others.has_unreachable_centre(world.now - host.started)
         };
-        let near = world.line(0)[0];
-        assert!(!misses(&world, near));
-        let there = world.line(1);
-        there[1..].iter().for_each(|i| world.hosts[*i].is_alive = false);
+        let local = world.by_hash(0)[0];
+        assert!(!is_unreachable(&world, local));
+        let remote = world.by_hash(1);
+        remote[1..].iter().for_each(|i| world.hosts[*i].is_alive = false);
         world.run(Duration::from_secs(3));
-        assert!(!misses(&world, near), "one of {n_each} is there");
-        world.hosts[there[0]].is_alive = false;
+        assert!(!is_unreachable(&world, local), "one of {n_each} is alive");
+        world.hosts[remote[0]].is_alive = false;
         world.run(Duration::from_secs(2));
-        assert!(misses(&world, near), "none of {n_each} is there");
-        assert!(misses(&world, world.line(2)[1]));
+        assert!(is_unreachable(&world, local), "none of {n_each} is alive");
+        assert!(is_unreachable(&world, world.by_hash(2)[1]));
         world.run(Duration::from_secs(62));
-        assert!(!misses(&world, near), "it has ended");
+        assert!(!is_unreachable(&world, local), "it counts as shut down");
     }
 }
 
 #[test]
-fn the_first_hosts_of_each_data_centre_are_few_and_all_of_a_small_one() {
+fn the_first_hosts_are_few_in_each_data_centre() {
     for (n_each, expected) in [(3, 9), (20, 12)] {
         let world = World::new(3, n_each, None);
         let n = world.hosts.iter().filter(|it| it.others.is_among_first(4)).count();
@@ -267,9 +270,9 @@
 
 /// One host alone hears the operator's order from the store; the users give five seconds, and count on far less.
 #[test]
-fn an_order_that_one_host_reads_is_known_to_all_within_a_second() {
+fn an_order_read_by_one_host_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
-        for (loss, most) in [(0, 700), (10, 1000)] {
+        for (loss, max_ms) in [(0, 700), (10, 1000)] {
             let mut world = World::new(n_centres, n_each, None);
             world.run(Duration::from_secs(6));
             world.loss = loss;
@@ -279,7 +282,7 @@
                 world.run(Duration::from_millis(10));
                 let time = world.now - start;
                 let text = format!("{n_centres} data centres of {n_each} hosts, {loss} % lost");
-                assert!(time <= Duration::from_millis(most), "{text}");
+                assert!(time <= Duration::from_millis(max_ms), "{text}");
             }
         }
     }
@@ -287,9 +290,9 @@
 
 /// One host alone gets the answer that says so.
 #[test]
-fn an_upstream_that_drains_by_its_own_word_is_known_to_all_within_a_second() {
+fn a_self_reported_drain_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
-        for (loss, most) in [(0, 700), (10, 1000)] {
+        for (loss, max_ms) in [(0, 700), (10, 1000)] {
             let mut world = World::new(n_centres, n_each, None);
             world.run(Duration::from_secs(6));
             world.loss = loss;
@@ -299,7 +302,7 @@
                 world.run(Duration::from_millis(10));
                 let time = world.now - start;
                 let text = format!("{n_centres} data centres of {n_each} hosts, {loss} % lost");
-                assert!(time <= Duration::from_millis(most), "{text}");
+                assert!(time <= Duration::from_millis(max_ms), "{text}");
             }
         }
     }
@@ -307,7 +310,7 @@
 
 /// The host that heard it may be gone by then.
 #[test]
-fn a_host_that_starts_later_hears_which_upstreams_drain() {
+fn a_host_started_later_learns_of_draining_upstreams() {
     for n_each in [3, 21] {
         let mut world = World::new(3, n_each, None);
         world.run(Duration::from_secs(5));
