--- a/crates/portfield/tests/host_limits.rs
+++ b/crates/portfield/tests/host_limits.rs
@@ -9,24 +9,24 @@
 }
 
 #[test]
-fn repeats_keep_to_the_fleet_s_budget_whatever_the_hosts_hear() {
+fn retries_stay_within_the_fleet_budget_without_coordination() {
     let (ratio, extra, n_hosts) = (0.2, 50.0, 9);
     let window = Duration::from_secs(10);
     let mut budgets = vec![RetryBudget::new(ratio, extra, window); n_hosts];
-    let mut repeats = 0;
+    let mut n_retries = 0;
     for step in 0..900_u64 {
         let now = Duration::from_millis(step * 10);
         let it = &mut budgets[(step % n_hosts as u64) as usize];
         it.deposit(now);
-        repeats += usize::from(it.withdraw(now, n_hosts));
+        n_retries += usize::from(it.withdraw(now, n_hosts));
     }
-    assert!(0 < repeats && repeats as f64 <= ratio * 900.0 + extra, "{repeats}");
+    assert!(0 < n_retries && n_retries as f64 <= ratio * 900.0 + extra, "{n_retries}");
 }
 
 /// A caller of a hot workspace sent everything to one host, which ran out of processor time while
 /// the others were idle.
 #[test]
-fn a_host_that_falls_behind_sheds_and_takes_callers_again_once_calm() {
+fn a_late_host_sheds_load_until_it_is_calm() {
     let mut it = LoadShedder::default();
     let step = |it: &mut LoadShedder, n: u64, late: u64| {
         it.observe(at(n * 25), Duration::from_millis(late));
@@ -34,18 +34,18 @@
     (0..40).for_each(|n| step(&mut it, n, 1));
     assert!(!it.is_overloaded() && it.shed(at(1_000), 1, 1.0, 0.0).is_none());
     (40..60).for_each(|n| step(&mut it, n, 18));
-    let mut refuses = |draw| it.shed(at(1_500), 1, 1.0, draw).is_some();
-    assert!(refuses(0.2) && !refuses(0.9));
+    let mut is_shed = |draw| it.shed(at(1_500), 1, 1.0, draw).is_some();
+    assert!(is_shed(0.2) && !is_shed(0.9));
     assert!(it.is_overloaded());
     (60..100).for_each(|n| step(&mut it, n, 0));
-    assert!(it.is_overloaded(), "one calm second is not enough");
+    assert!(it.is_overloaded(), "one calm second is too short");
     (100..150).for_each(|n| step(&mut it, n, 0));
     assert!(!it.is_overloaded());
 }
 
 /// A host that is late for a moment, as when a large configuration is read, bears the same load as before.
 #[test]
-fn a_host_that_was_late_for_a_moment_takes_callers_again_at_its_usual_load() {
+fn a_briefly_late_host_recovers_at_its_usual_load() {
     let mut it = LoadShedder::default();
     // Sixty requests a second, and timers that are late for a fifth of one.
     for n in 0..200_u64 {
@@ -65,7 +65,7 @@
 /// Grown Craigmhor, scale-1: a host short of processor time refused whoever came, and a workspace
 /// whose callers all came there got under half of what it asked for.
 #[test]
-fn a_flood_at_a_host_takes_from_no_other_workspace() {
+fn a_flood_of_one_workspace_costs_no_other_workspace() {
     let mut it = LoadShedder::default();
     (0..40).for_each(|n| it.observe(at(n * 25), Duration::from_millis(18)));
     let mut n_refused = [0; 2];
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn one_late_timer_sends_nobody_away() {
+fn a_single_late_timer_is_no_overload() {
     let mut it = LoadShedder::default();
     it.observe(at(0), Duration::from_millis(50));
     assert!(!it.is_overloaded());
@@ -88,37 +88,40 @@
 
 /// Calls to the store were the largest price of the grown deployments.
 #[test]
-fn few_hosts_follow_the_store_and_others_take_over_from_those_it_turns_away() {
-    let follower = |host: u64, store_age: u64, heard: u64| WatcherStatus {
+fn few_hosts_watch_the_store_and_others_replace_rejected_ones() {
+    let status = |host: u64, store_age: u64, heard: u64| WatcherStatus {
         host,
         data_centre: (host % 3) as u32,
         store_age: Duration::from_millis(store_age),
         last_heard: at(heard),
     };
-    let readers = |silent: &[u64], now: u64| -> Vec<u64> {
-        let is_reader = |me: &u64| {
+    let watchers = |silent: &[u64], now: u64| -> Vec<u64> {
+        let is_watcher = |me: &u64| {
             let mut it = StoreWatchers::default();
             for host in (0..60).filter(|it| it != me) {
                 let age = if silent.contains(&host) { 3_000 } else { 900 };
-                it.record(follower(host, age, now));
+                it.record(status(host, age, now));
             }
             it.is_watcher(at(now + 100), *me, (*me % 3) as u32, 59)
         };
-        (0..60).filter(is_reader).collect()
+        (0..60).filter(is_watcher).collect()
     };
-    assert_eq!(readers(&[], 0), [0, 1, 2, 3, 4, 5]);
-    assert_eq!(readers(&[0, 4], 0), [0, 1, 2, 3, 4, 5, 6, 7]);
+    assert_eq!(watchers(&[], 0), [0, 1, 2, 3, 4, 5]);
+    assert_eq!(watchers(&[0, 4], 0), [0, 1, 2, 3, 4, 5, 6, 7]);
     let mut alone = StoreWatchers::default();
-    (0..60).for_each(|host| alone.record(follower(host, 100, 0)));
-    assert!(alone.is_watcher(at(5_000), 61, 1, 0), "who hears nobody follows the store itself");
+    (0..60).for_each(|host| alone.record(status(host, 100, 0)));
+    assert!(
+        alone.is_watcher(at(5_000), 61, 1, 0),
+        "a host that hears nobody watches the store itself"
+    );
 }
 
 /// While the store was down for all, every host asked it twice a second for each table: 295 of them 1,200
 /// times a second.
 #[test]
-fn few_hosts_ask_a_store_that_is_down() {
-    let n_readers = |age: u64| {
-        let is_reader = |me: &u64| {
+fn few_hosts_call_a_store_that_is_down() {
+    let n_watchers = |age: u64| {
+        let is_watcher = |me: &u64| {
             let mut it = StoreWatchers::default();
             for host in (0..295).filter(|it| it != me) {
                 let store_age = Duration::from_millis(age);
@@ -131,10 +134,10 @@
             }
             it.is_watcher(at(0), *me, (*me % 5) as u32, 294)
         };
-        (0..295).filter(is_reader).count()
+        (0..295).filter(is_watcher).count()
     };
-    assert_eq!(n_readers(900), 10);
-    assert_eq!(n_readers(1_800), 15, "one more of each data centre");
-    assert_eq!(n_readers(3_500), 30);
-    assert_eq!(n_readers(20_000), 65);
+    assert_eq!(n_watchers(900), 10);
+    assert_eq!(n_watchers(1_800), 15, "one more of each data centre");
+    assert_eq!(n_watchers(3_500), 30);
+    assert_eq!(n_watchers(20_000), 65);
 }
