--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -11,7 +11,7 @@
 
 use async_net::TcpStream;
 use bytes::Bytes;
-use portfield::catalog::{Order, OrderList, Source, StoreVersion};
+use portfield::catalog::{EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion};
 use portfield_net::{clock, rpc};
 use portfield_wire::{
     EvacuationOrder, KnowledgeReply, KnowledgeRequest, ListedUpstream, peers_server::Peers,
@@ -19,10 +19,10 @@
 use tonic::{Request, Response, Status};
 
 use crate::{
-    listed::Listed,
-    orders,
-    reading::{Extent, ListRow, Reading, take_list},
+    evacuations,
     state::Host,
+    table_read::{ListRow, ReadScope, TableRead, apply_list},
+    upstream_list::UpstreamList,
 };
 
 /// Time in which another host tells its configuration: a second host is asked within the two
@@ -75,21 +75,21 @@
     let channel = rpc::Channel::open(&host.rt, stream).await?;
     let request = request(host, wanted);
     let mut reply = channel.peers().knowledge(request).await?.into_inner();
-    take_orders(host, &mut reply);
+    apply_orders(host, &mut reply);
     if !reply.config.is_empty() {
-        host.adopt(Bytes::from(std::mem::take(&mut reply.config)), "host");
+        host.apply_config(Bytes::from(std::mem::take(&mut reply.config)), "host");
     }
     if reply.list.is_empty() && !reply.is_partial {
         return Ok(());
     }
-    take_reply(host, reply);
+    apply_reply(host, reply);
     Ok(())
 }
 
 /// Asks for what is newer than this host knows; nothing is newer than the last version, so that the other parts are
 /// left out of the reply.
 fn request(host: &Host, wanted: Wanted) -> KnowledgeRequest {
-    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::LAST, StoreVersion::LAST);
+    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::MAX, StoreVersion::MAX);
     match wanted {
         Wanted::Config => config = host.config_version(),
         Wanted::List => list = host.with_list(|it| it.directory.version()),
@@ -105,35 +105,35 @@
 }
 
 /// Takes another host's orders of the operator.
-fn take_orders(host: &Arc<Host>, reply: &mut KnowledgeReply) {
+fn apply_orders(host: &Arc<Host>, reply: &mut KnowledgeReply) {
     let version = StoreVersion::new(reply.orders_era, reply.orders_version);
     if version == StoreVersion::default() {
         return;
     }
-    let order = |it: EvacuationOrder, is_lifted| Order {
+    let order = |it: EvacuationOrder, is_lifted| EvacuationRow {
         data_centre: it.data_centre,
-        row: it.row,
+        row_version: it.row,
         is_lifted,
     };
     let standing = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
-        let left = time_held(it.held);
+        let left = held_time(it.held);
         (order(it, false), left)
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
-    let list = OrderList { standing: standing.collect(), lifted: lifted.collect() };
-    orders::learn(host, version, list);
+    let list = EvacuationSnapshot { active: standing.collect(), lifted: lifted.collect() };
+    evacuations::merge_peer_orders(host, version, list);
 }
 
 /// Takes another host's list, or what changed in it.
-fn take_reply(host: &Host, mut reply: KnowledgeReply) {
+fn apply_reply(host: &Host, mut reply: KnowledgeReply) {
     let now = clock::now();
     host.with_list(|it| {
-        reply.list.retain(|row| row.held == 0 || it.directory.takes_held(&row.id));
+        reply.list.retain(|row| row.held == 0 || it.directory.accepts_unlisted(&row.id));
     });
     let held: Vec<(String, Duration)> = reply
         .list
         .iter()
-        .filter_map(|it| Some((it.id.clone(), now + time_held(it.held)?)))
+        .filter_map(|it| Some((it.id.clone(), now + held_time(it.held)?)))
         .collect();
     let set = reply.list.into_iter().map(|it| ListRow {
         id: it.id,
@@ -143,14 +143,14 @@
     let gone = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
     let rows: Vec<ListRow> = set.chain(gone).collect();
     // The other host tells which entries may only have lapsed.
-    let reading = Reading {
+    let reading = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
-        extent: if reply.is_partial { Extent::Changes } else { Extent::Whole },
-        source: Source::Current,
+        scope: if reply.is_partial { ReadScope::Changes } else { ReadScope::Full },
+        source: MissingRows::Deleted,
     };
     host.update_list(|it| {
-        if take_list(it, rows, &reading) {
-            held.iter().for_each(|(id, until)| it.directory.hold(id, *until));
+        if apply_list(it, rows, &reading) {
+            held.iter().for_each(|(id, until)| it.directory.set_expiry(id, *until));
         }
     });
 }
@@ -176,7 +176,7 @@
     ) -> Result<Response<KnowledgeReply>, Status> {
         let request = request.into_inner();
         let mut reply = KnowledgeReply::default();
-        if let Some(it) = self.host.in_force()
+        if let Some(it) = self.host.active_config()
             && request.config_version < it.catalog.version()
         {
             reply.config_version = it.catalog.version();
@@ -185,8 +185,8 @@
         let list = StoreVersion::new(request.list_era, request.list_version);
         let orders = StoreVersion::new(request.orders_era, request.orders_version);
         self.host.with_list(|it| {
-            tell_list(it, list, &mut reply);
-            tell_orders(it, orders, &mut reply);
+            fill_list(it, list, &mut reply);
+            fill_orders(it, orders, &mut reply);
         });
         Ok(Response::new(reply))
     }
@@ -198,21 +198,21 @@
 }
 
 /// Reads what [`held_ms`] wrote.
-fn time_held(millis: u32) -> Option<Duration> {
+fn held_time(millis: u32) -> Option<Duration> {
     (0 < millis).then(|| Duration::from_millis(u64::from(millis)))
 }
 
 /// Tells the operator's orders to a host that knows an older version of them.
-fn tell_orders(listed: &Listed, known: StoreVersion, reply: &mut KnowledgeReply) {
+fn fill_orders(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.evacuations.version();
     if version <= known {
         return;
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
-    let OrderList { standing, lifted } = listed.evacuations.list(clock::now());
-    let tell = |it: Order, left: Option<Duration>| EvacuationOrder {
+    let EvacuationSnapshot { active: standing, lifted } = listed.evacuations.snapshot(clock::now());
+    let tell = |it: EvacuationRow, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
-        row: it.row,
+        row: it.row_version,
         held: held_ms(left),
     };
     reply.evacuations = standing.into_iter().map(|(it, left)| tell(it, left)).collect();
@@ -221,7 +221,7 @@
 
 /// Tells the list to a host that knows an older version of it, or what changed since where that is
 /// known: one entry of some 200 bytes in place of 65 KB at 325 upstreams.
-fn tell_list(listed: &Listed, known: StoreVersion, reply: &mut KnowledgeReply) {
+fn fill_list(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.directory.version();
     (reply.list_version, reply.list_era) = (version.number, version.era);
     if version <= known {
@@ -229,16 +229,16 @@
     }
     let now = clock::now();
     let entry = |id: &String| {
-        let held = listed.directory.held_until(id);
+        let held = listed.directory.expires_at(id);
         let held = held_ms(held.map(|it| it.saturating_sub(now)));
         let entry = listed.entries.get(id)?.to_vec();
-        Some(ListedUpstream { id: id.clone(), entry, held, row: listed.directory.row(id) })
+        Some(ListedUpstream { id: id.clone(), entry, held, row: listed.directory.row_version(id) })
     };
-    match listed.directory.since(known) {
+    match listed.directory.changes_since(known) {
         Some(difference) => {
             reply.is_partial = true;
             reply.list = difference.set.iter().filter_map(entry).collect();
-            reply.gone = difference.gone;
+            reply.gone = difference.removed;
         }
         None => reply.list = listed.entries.keys().filter_map(entry).collect(),
     }
--- a/crates/portfield-host/src/reading.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -3,11 +3,13 @@
 use std::collections::{HashMap, HashSet};
 
 use bytes::Bytes;
-use portfield::catalog::{Change, Changed, Directory, Source, State, StoreVersion};
+use portfield::catalog::{
+    ChangedUpstream, Directory, EntryChange, MissingRows, State, StoreVersion,
+};
 use portfield_net::contain;
-use portfield_platform::upstreams;
+use portfield_platform::upstream_entry;
 
-use crate::listed::Listed;
+use crate::upstream_list::UpstreamList;
 
 /// Upstreams that changed together, up to which each has a log line: a fleet of several hundred hosts
 /// that starts would else write a line for each upstream and host.
@@ -15,22 +17,22 @@
 
 /// As of when a table was read, and what that says of rows that are missing.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Reading {
+pub(crate) struct TableRead {
     pub version: StoreVersion,
-    pub extent: Extent,
-    pub source: Source,
+    pub scope: ReadScope,
+    pub source: MissingRows,
 }
 
 /// How much of a table was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Extent {
+pub(crate) enum ReadScope {
     /// What changed since the last reading.
     Changes,
     /// All of it.
-    Whole,
+    Full,
     /// All of it, from a store that came back from a copy of itself: what it has lost may be missing, and what was over
     /// may be there.
-    Copy,
+    Restored,
 }
 
 /// One row of the list, as the store or another host tells it.
@@ -45,15 +47,15 @@
 
 impl ListRow {
     /// Reads the row; one of another writer names no upstream.
-    fn change(&self) -> Change {
-        let Some(entry) = &self.entry else { return Change::Gone(self.id.clone()) };
-        let decoded = contain::call("entry", || upstreams::decode(&self.id, entry));
-        let Some(decoded) = decoded else { return Change::Foreign(self.id.clone()) };
+    fn change(&self) -> EntryChange {
+        let Some(entry) = &self.entry else { return EntryChange::Removed(self.id.clone()) };
+        let decoded = contain::call("entry", || upstream_entry::decode(&self.id, entry));
+        let Some(decoded) = decoded else { return EntryChange::Invalid(self.id.clone()) };
         match decoded {
-            Ok(it) => Change::Set(it),
+            Ok(it) => EntryChange::Set(it),
             Err(err) => {
                 log::warn!(upstream = self.id, err:%; "entry not readable");
-                Change::Foreign(self.id.clone())
+                EntryChange::Invalid(self.id.clone())
             }
         }
     }
@@ -61,30 +63,34 @@
 
 /// Changes the list, with a log line for each upstream that changed, or one for many; returns whether it is not older
 /// than what is known.
-pub(crate) fn take_list(listed: &mut Listed, rows: Vec<ListRow>, reading: &Reading) -> bool {
-    let Reading { version, extent, source } = *reading;
+pub(crate) fn apply_list(
+    listed: &mut UpstreamList,
+    rows: Vec<ListRow>,
+    reading: &TableRead,
+) -> bool {
+    let TableRead { version, scope, source } = *reading;
     // What is told on goes with the list's own version: older bytes would be taken for newer ones.
     if version < listed.directory.version() {
         log::info!(list:% = listed.directory.version(), read:% = version; "older list passed over");
         return false;
     }
-    let read: Vec<Change> = rows.iter().map(ListRow::change).collect();
+    let read: Vec<EntryChange> = rows.iter().map(ListRow::change).collect();
     let directory = &mut listed.directory;
     // Who tells a list of a later era may have begun with the copy, and not know what is over.
     let is_later_era = !directory.is_empty() && directory.version().era < version.era;
-    let (told, as_read) = if extent == Extent::Copy || is_later_era {
+    let (told, as_read) = if scope == ReadScope::Restored || is_later_era {
         let versions = rows.iter().map(|it| it.version);
-        let told = directory.without_past(read.iter().cloned().zip(versions));
+        let told = directory.reconcile_restored(read.iter().cloned().zip(versions));
         let as_read = ids_in_both(&read, &told);
         (told, Some(as_read))
     } else {
         (read, None)
     };
-    let changed = match extent {
-        Extent::Changes => directory.apply(version, told, source),
-        Extent::Whole | Extent::Copy => directory.replace(version, told, source),
+    let changed = match scope {
+        ReadScope::Changes => directory.apply(version, told, source),
+        ReadScope::Full | ReadScope::Restored => directory.replace(version, told, source),
     };
-    rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
+    rows.iter().for_each(|it| directory.set_row_version(&it.id, it.version));
     // The bytes of what was not taken as it was read are not told on.
     let is_taken = |it: &ListRow| as_read.as_ref().is_none_or(|ids| ids.contains(&it.id));
     let taken = rows.into_iter().filter(is_taken);
@@ -98,15 +104,15 @@
 }
 
 /// Returns the ids of the changes that stand in both lists.
-fn ids_in_both(read: &[Change], told: &[Change]) -> HashSet<String> {
-    let told: HashMap<&str, &Change> = told.iter().map(|it| (it.id(), it)).collect();
-    let is_told = |it: &&Change| told.get(it.id()) == Some(it);
+fn ids_in_both(read: &[EntryChange], told: &[EntryChange]) -> HashSet<String> {
+    let told: HashMap<&str, &EntryChange> = told.iter().map(|it| (it.id(), it)).collect();
+    let is_told = |it: &&EntryChange| told.get(it.id()) == Some(it);
     read.iter().filter(is_told).map(|it| it.id().to_owned()).collect()
 }
 
 /// Logs the entries that say `ready` of upstreams which said of themselves that they drain: these go on draining.
-fn log_contradicted(directory: &Directory, changed: &[Changed], list: StoreVersion) {
-    let is_contradicted = |id: &str| directory.drains_unlisted().any(|it| it.entry.id == id);
+fn log_contradicted(directory: &Directory, changed: &[ChangedUpstream], list: StoreVersion) {
+    let is_contradicted = |id: &str| directory.draining_unlisted().any(|it| it.entry.id == id);
     for it in changed.iter().filter(|it| it.state == Some(State::Ready)) {
         if is_contradicted(&it.id) {
             log::warn!(upstream = it.id, list:%; "entry says ready, its upstream said that it drains");
@@ -114,7 +120,7 @@
     }
 }
 
-fn log_changed(changed: &[Changed], list: StoreVersion) {
+fn log_changed(changed: &[ChangedUpstream], list: StoreVersion) {
     if MAX_CHANGED_LINES < changed.len() {
         let n_gone = changed.iter().filter(|it| it.state.is_none()).count();
         log::info!(n = changed.len(), n_gone, list:%; "upstreams changed");
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -257,8 +257,8 @@
         if let (Some(prompt), Some(engine)) = (&request.prompt, request.engine) {
             let prefixes = prompt.prefixes();
             state.record_read(pending + f64::from(prompt.max_output_tokens));
-            state.cache.touch(prefixes.iter().map(|it| it.hash), engine.memory);
-            self.engine_memory.insert(assignment.upstream, engine.memory);
+            state.cache.touch(prefixes.iter().map(|it| it.hash), engine.kv_capacity);
+            self.engine_memory.insert(assignment.upstream, engine.kv_capacity);
             let shared = prefixes.len().saturating_sub(1);
             let parts = prefixes.iter().take(shared).map(|it| it.hash).collect();
             self.upstreams.announce(assignment.upstream, parts);
--- a/crates/portfield/src/balance/scoring.rs
+++ b/crates/portfield/src/balance/scoring.rs
@@ -177,7 +177,7 @@
         let rate = self.latency.tokens_per_ms();
         let uncached_tokens = prompt
             .input_tokens
-            .saturating_sub(state.cache.cached_tokens(prefixes, engine.memory))
+            .saturating_sub(state.cache.cached_tokens(prefixes, engine.kv_capacity))
             .max(1);
         let slots = f64::from(engine.slots);
         let excess = (load.running - slots + 1.0).max(0.0);
--- a/crates/portfield/src/balance/shares.rs
+++ b/crates/portfield/src/balance/shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fast_map::FastMap;
-use crate::telling::REPEATS;
+use crate::digest_scope::DIGESTS_PER_UPDATE;
 
 /// Number of buckets in the window.
 const N_BUCKETS: usize = 8;
@@ -149,7 +149,7 @@
         let total = self.totals.entry(workspace).or_default();
         total.asked += usage.asked;
         total.taken += usage.taken;
-        self.n_reports_left.insert(workspace, REPEATS);
+        self.n_reports_left.insert(workspace, DIGESTS_PER_UPDATE);
         self.add_to_window(now, workspace, usage);
     }
 
@@ -164,7 +164,7 @@
         self.totals.iter().map(|(id, it)| (*id, *it))
     }
 
-    /// Takes the totals due in the next digest; each change is reported [`REPEATS`] times.
+    /// Takes the totals due in the next digest; each change is reported [`DIGESTS_PER_UPDATE`] times.
     ///
     /// All totals in every digest would make up most of its bytes.
     pub(crate) fn take_changed_totals(&mut self) -> Vec<(u32, Usage)> {
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use super::balancer::FULL_DIGEST_EVERY;
-use crate::{telling::Telling, wire};
+use crate::{digest_scope::DigestScope, wire};
 
 /// Time between two digests in a small fleet; a shorter period did not improve what callers get.
 const PERIOD: Duration = Duration::from_millis(50);
@@ -145,12 +145,12 @@
     /// Returns how much detail the digest with this sequence number has on slowly changing state.
     ///
     /// In a hierarchy every host hears its leader, so only the leader sends all of it.
-    pub fn detail(&self, sequence: u64) -> Telling {
+    pub fn detail(&self, sequence: u64) -> DigestScope {
         let tells_all = !self.is_hierarchical() || self.is_leader();
         if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
-            return Telling::Whole;
+            return DigestScope::Full;
         }
-        Telling::News
+        DigestScope::Changes
     }
 
     /// Returns the time between two digests.
--- a/crates/portfield/src/balance/upstream_table.rs
+++ b/crates/portfield/src/balance/upstream_table.rs
@@ -11,7 +11,7 @@
     prefix_cache::PrefixCache,
     warmup::Warmup,
 };
-use crate::{telling::REPEATS, wire};
+use crate::{digest_scope::DIGESTS_PER_UPDATE, wire};
 
 /// Requests at one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -44,7 +44,7 @@
     pub(crate) fn record_read(&mut self, tokens: f64) {
         self.tokens_read += tokens;
         self.cache.record_read(tokens);
-        self.n_reports_left = REPEATS;
+        self.n_reports_left = DIGESTS_PER_UPDATE;
     }
 
     /// Returns whether no request may be sent to it now.
@@ -150,7 +150,7 @@
     pub(crate) fn announce(&mut self, upstream: u32, parts: Vec<u32>) {
         if !parts.is_empty() {
             let prefix = wire::PrefixUse { upstream, parts };
-            self.announcements.push_back(Announcement { prefix, n_left: REPEATS });
+            self.announcements.push_back(Announcement { prefix, n_left: DIGESTS_PER_UPDATE });
         }
     }
 
@@ -209,7 +209,8 @@
         }
         for it in &digest.prefixes {
             if !self.received.iter().any(|known| known.prefix == *it) {
-                self.received.push_back(Announcement { prefix: it.clone(), n_left: REPEATS });
+                self.received
+                    .push_back(Announcement { prefix: it.clone(), n_left: DIGESTS_PER_UPDATE });
             }
         }
     }
@@ -260,7 +261,7 @@
     }
 }
 
-/// Takes the announcements due now; each is sent [`REPEATS`] times.
+/// Takes the announcements due now; each is sent [`DIGESTS_PER_UPDATE`] times.
 fn take_announcements(announcements: &mut VecDeque<Announcement>) -> Vec<wire::PrefixUse> {
     let res = announcements.iter().map(|it| it.prefix.clone()).collect();
     announcements.iter_mut().for_each(|it| it.n_left -= 1);
--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -34,7 +34,7 @@
         objective: OBJECTIVE,
         waited: Duration::ZERO,
         stage: Stage::New,
-        engine: Some(EngineSpec { slots: 64, memory: MEMORY, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 64, kv_capacity: MEMORY, event_tokens: 3 }),
     }
 }
 
--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -31,7 +31,7 @@
         objective: Duration::from_millis(800),
         waited: Duration::ZERO,
         stage: Stage::New,
-        engine: Some(EngineSpec { slots: 64, memory: MEMORY, event_tokens: 3 }),
+        engine: Some(EngineSpec { slots: 64, kv_capacity: MEMORY, event_tokens: 3 }),
     }
 }
 
--- a/crates/portfield/tests/fleet/mod.rs
+++ b/crates/portfield/tests/fleet/mod.rs
@@ -157,8 +157,8 @@
             ..Digest::default()
         };
         host.balancer.fill_digest(own, &mut digest);
-        digest.suspects = host.quarantine.report(own, &audience, host.sequence);
-        digest.draining = host.drains.report(audience.detail(host.sequence), |_| true);
+        digest.suspects = host.quarantine.suspects_for_digest(own, &audience, host.sequence);
+        digest.draining = host.drains.take_for_digest(audience.detail(host.sequence), |_| true);
         let mut out = Vec::new();
         if audience.is_leader() {
             let mut sum = Digest {
@@ -168,8 +168,8 @@
                 ..digest.clone()
             };
             host.balancer.fill_summary(own, &mut sum);
-            sum.suspects = host.quarantine.summarize(own);
-            sum.draining = host.drains.summarize(|_| true);
+            sum.suspects = host.quarantine.suspects_for_summary(own);
+            sum.draining = host.drains.for_summary(|_| true);
             let told = host.others.summary_recipients(own, host.sequence);
             out.extend(told.into_iter().map(|it| (it, sum.clone())));
         }
@@ -228,9 +228,9 @@
                 continue;
             }
             host.others.record_digest(now, from, &it);
-            host.quarantine.take(now, &it.suspects);
+            host.quarantine.merge(now, &it.suspects);
             it.draining.iter().for_each(|it| {
-                host.drains.note(*it);
+                host.drains.insert(*it);
             });
             if host.orders < it.orders_version && host.fetching.is_none() {
                 host.fetching = Some((it.orders_version, self.now + FETCH));
--- a/crates/portfield/tests/gossip_leaders.rs
+++ b/crates/portfield/tests/gossip_leaders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet::{Host, World};
-use portfield::{balance::host_hash, quarantine::Request};
+use portfield::{balance::host_hash, quarantine::RequestKey};
 
 /// Age of the last word of a host: two periods of 118 ms at 59 hosts, and one lost.
 const AGE: Duration = Duration::from_millis(400);
@@ -117,25 +117,25 @@
 }
 
 /// A request whose runs ended upstreams at three hosts, one each, in three data centres.
-fn with_suspect(n_each: u32, loss: u32) -> (World, Request) {
+fn with_suspect(n_each: u32, loss: u32) -> (World, RequestKey) {
     let mut world = World::new(5, n_each, None);
     world.loss = loss;
     world.run(Duration::from_secs(5));
-    let request = Request { workspace: 7, fingerprint: 0xfeed };
+    let request = RequestKey { workspace: 7, fingerprint: 0xfeed };
     for (i, upstream) in [(1, 100), (7, 101), (8, 102)] {
         let host = &mut world.hosts[i];
         let own = world.now - host.started;
-        assert_eq!(host.quarantine.ended(own, &[request], upstream), []);
+        assert_eq!(host.quarantine.record_crash(own, &[request], upstream), []);
     }
     (world, request)
 }
 
 impl World {
     /// Returns how many hosts would send a request.
-    fn n_sending(&self, request: Request) -> usize {
+    fn n_sending(&self, request: RequestKey) -> usize {
         let sends = |it: &&Host| {
             let own = self.now.saturating_sub(it.started);
-            it.is_alive && it.quarantine.verdict(own, request).is_none()
+            it.is_alive && it.quarantine.entry(own, request).is_none()
         };
         self.hosts.iter().filter(sends).count()
     }
@@ -167,8 +167,8 @@
     let (mut world, request) = with_suspect(60, 10);
     for n in 0..1500 {
         let host = &mut world.hosts[n % 300];
-        let other = Request { workspace: n as u32 % 40, fingerprint: n as u64 };
-        host.quarantine.ended(world.now - host.started, &[other], 200 + n as u32 % 100);
+        let other = RequestKey { workspace: n as u32 % 40, fingerprint: n as u64 };
+        host.quarantine.record_crash(world.now - host.started, &[other], 200 + n as u32 % 100);
     }
     world.run(Duration::from_secs(3));
     assert_eq!(world.n_sending(request), 0);
@@ -224,7 +224,7 @@
     world.run(Duration::from_secs(3));
     let left = |world: &World, i: usize| {
         let host = &world.hosts[i];
-        host.quarantine.verdict(world.now - host.started, request).unwrap().left
+        host.quarantine.entry(world.now - host.started, request).unwrap().remaining
     };
     let (paused_left, new_left) = (left(&world, paused[0]), left(&world, new));
     assert!(paused_left < Duration::from_secs(60), "{paused_left:?}");
@@ -296,9 +296,9 @@
             let mut world = World::new(n_centres, n_each, None);
             world.run(Duration::from_secs(6));
             world.loss = loss;
-            world.hosts[7].drains.note(9);
+            world.hosts[7].drains.insert(9);
             let start = world.now;
-            while world.hosts.iter().any(|it| !it.drains.covers(9)) {
+            while world.hosts.iter().any(|it| !it.drains.contains(9)) {
                 world.run(Duration::from_millis(10));
                 let time = world.now - start;
                 let text = format!("{n_centres} data centres of {n_each} hosts, {loss} % lost");
@@ -314,11 +314,11 @@
     for n_each in [3, 21] {
         let mut world = World::new(3, n_each, None);
         world.run(Duration::from_secs(5));
-        world.hosts[7].drains.note(9);
+        world.hosts[7].drains.insert(9);
         world.run(Duration::from_secs(2));
         world.hosts[7].is_alive = false;
         world.revive(5);
         world.run(Duration::from_secs(4));
-        assert!(world.hosts[5].drains.covers(9), "{n_each} hosts a data centre");
+        assert!(world.hosts[5].drains.contains(9), "{n_each} hosts a data centre");
     }
 }
