--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -54,7 +54,7 @@
         return;
     }
     let mut listed = host.listed.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = listed.directory.draining_for_digest(audience.detail(digest.sequence));
+    digest.draining = listed.directory.draining_for_digest(audience.digest_scope(digest.sequence));
 }
 
 /// Adds them to the sum of this host's data centre.
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -145,7 +145,7 @@
     /// Returns how much detail the digest with this sequence number has on slowly changing state.
     ///
     /// In a hierarchy every host hears its leader, so only the leader sends all of it.
-    pub fn detail(&self, sequence: u64) -> DigestScope {
+    pub fn digest_scope(&self, sequence: u64) -> DigestScope {
         let tells_all = !self.is_hierarchical() || self.is_leader();
         if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
             return DigestScope::Full;
--- a/crates/portfield/src/quarantine/registry.rs
+++ b/crates/portfield/src/quarantine/registry.rs
@@ -155,7 +155,7 @@
         audience: &GossipTopology,
         sequence: u64,
     ) -> Vec<wire::Suspect> {
-        let scope = match audience.detail(sequence) {
+        let scope = match audience.digest_scope(sequence) {
             DigestScope::Changes => Scope::Local,
             DigestScope::Full => Scope::Full,
         };
--- a/crates/portfield/tests/fleet/mod.rs
+++ b/crates/portfield/tests/fleet/mod.rs
@@ -158,7 +158,8 @@
         };
         host.balancer.fill_digest(own, &mut digest);
         digest.suspects = host.quarantine.suspects_for_digest(own, &audience, host.sequence);
-        digest.draining = host.drains.take_for_digest(audience.detail(host.sequence), |_| true);
+        digest.draining =
+            host.drains.take_for_digest(audience.digest_scope(host.sequence), |_| true);
         let mut out = Vec::new();
         if audience.is_leader() {
             let mut sum = Digest {
