--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Loads that ask for more than there is, and what callers get.
+//! Admission when callers ask for more than the capacity.
 
 mod agenda;
 mod emulator;
@@ -7,7 +7,7 @@
 
 use emulator::{Demand, Fleet, Got, least_part, play, play_tokens};
 
-/// Workspaces that ask for little, and the two that ask for several times what there is.
+/// Workspaces that ask for little, and the two that ask for several times the capacity.
 const SMALL: std::ops::Range<u32> = 0..14;
 const HOT: [u32; 2] = [14, 15];
 
@@ -16,7 +16,7 @@
         n_hosts: 8,
         n_engines,
         rate,
-        // A little over half of what the engines read, as the users' figures have it.
+        // A little over half of what the engines read, as in the users' figures.
         capacity: n_engines as f64 * rate * 550.0,
         length: Duration::from_secs(20),
     }
@@ -33,7 +33,7 @@
             shared: (8, shared),
             tokens,
             output,
-            // As long as the largest prompt takes to be read, three times.
+            // Three times the reading time of the largest prompt.
             objective: Duration::from_millis(150)
                 + Duration::from_secs_f64(3.0 * 16.0 / fleet.rate),
         }
@@ -51,16 +51,16 @@
     })
 }
 
-/// Plays the load and returns what the small workspaces got and what the hot ones got.
+/// Simulates the load; returns the results of the small and of the hot workspaces.
 fn small_and_hot(fleet: Fleet, hot: f64, seed: u64) -> (Got, Got) {
     let got = play(fleet, &demands(&fleet, hot), seed);
     let of = |it: u32| got.get(&it).copied().unwrap_or_default();
     (sum(SMALL.map(of)), sum(HOT.into_iter().map(of)))
 }
 
-/// Two workspaces ask for four times the capacity. While those who had had their share were sent with
-/// up to 0.6 of their time left as a wait, of the others' requests 31 of 941 were late or refused at
-/// the fastest engines, and 87 of 1,386 at the most; now it is 4 and 27.
+/// Two workspaces ask for four times the capacity. While workspaces beyond their share could wait
+/// for up to 0.6 of the remaining time, 31 of 941 requests of the others were late or refused with
+/// the fastest engines, and 87 of 1,386 in the worst case; now it is 4 and 27.
 #[test]
 fn workspaces_within_their_share_are_served_under_overload() {
     for (n_engines, rate, least) in
@@ -70,19 +70,19 @@
         let text = format!("{n_engines} engines of {rate}: {small:?}, {hot:?}");
         assert!(least <= small.in_time(), "{text}");
         assert!(small.refused <= small.asked / 200, "{text}");
-        // What is left idle is used all the same: a quarter of the demand is the capacity.
+        // Spare capacity is used all the same: the capacity is a quarter of the demand.
         assert!(0.3 <= hot.in_time(), "{text}");
         assert!(hot.late * 50 <= hot.in_time, "sent where it can only be late: {text}");
     }
 }
 
 /// Two workspaces at two hosts, one asking nine times what the other asks, together far more than
-/// there is, and nobody knows how much that is: each gets about half.
+/// the capacity, which is not configured: each gets about half.
 #[test]
 fn a_workspace_beyond_its_share_is_refused_first() {
     let fleet = Fleet { n_hosts: 2, capacity: 0.0, ..fleet(2, 40.0) };
     for seed in 1..=3 {
-        // 2 engines read 80 tokens a millisecond: 20 prompts a second whose shared part is kept.
+        // Two engines read 80 tokens per millisecond: 20 prompts per second with a cached prefix.
         let demand = |workspace: u32, rate: f64| Demand {
             workspace,
             rate,
@@ -100,9 +100,9 @@
     }
 }
 
-/// Engines that read three times as fast as a host believes at its start: with twenty observations'
-/// weight for that belief, 6 of 105 requests within their share were refused in the first two
-/// seconds; with two it is 1.
+/// Engines three times as fast as the initial estimate. With a weight of twenty observations for
+/// that estimate, 6 of 105 requests within their share were refused in the first two seconds; with
+/// two it is 1.
 #[test]
 fn fast_engines_are_not_taken_for_slow_after_a_start() {
     let fleet = Fleet { length: Duration::from_secs(2), ..fleet(9, 300.0) };
@@ -110,20 +110,20 @@
     assert!(small.refused <= 2, "{small:?}");
 }
 
-/// What users saw: for six seconds a workspace asked for 741 thousand tokens a second, was refused or
-/// late in every one of them, and got 346 thousand; another got 1,687 thousand, more than half of
-/// what all engines are declared to handle.
+/// For six seconds a workspace asked for 741 thousand tokens per second, was refused or late in
+/// each of them, and got 346 thousand; another got 1,687 thousand, more than half of the declared
+/// capacity.
 ///
-/// Order of events: a large workspace asks for several times the capacity; middling ones begin to ask
-/// for more than their share, which comes from the declared rate. Engines do twice that rate. What is
-/// beyond the shares goes to whoever asks most often, until a middling workspace has had under
-/// `BEHIND` of what it asked: only then is it sent like one within its share.
+/// A large workspace asks for several times the capacity; medium ones begin to ask for more than
+/// their share of the declared capacity, which is half of what the engines do. Capacity beyond the
+/// shares goes to the workspace that asks most often, until a medium one has had less than
+/// `UNDERSERVED_BELOW` of what it asked for; only then is it served like one within its share.
 ///
-/// Cause: that part was 0.6, so what a middling workspace got stayed around 0.6 of what it asked, and
-/// over six seconds it fell to either side of it, at times below the half. Evidence: on four days
-/// with the tokens of each request in the logs, nearly all that such workspaces were refused was
-/// refused by their share (2,626 of 2,626 thousand, 3,439 of 3,439), none by hosts short of time, and
-/// the least part in this load follows `BEHIND`: 0.45 at 0.6, 0.55 at 0.7, 0.64 at 0.85.
+/// Cause: that constant was 0.6, so a medium workspace got about 0.6 of what it asked for, and over
+/// six seconds at times less than half. On four days with the tokens of each request in the logs,
+/// nearly all refusals of such workspaces were by share (2,626 of 2,626 thousand tokens, 3,439 of
+/// 3,439) and none by overloaded hosts. In this load the lowest ratio follows the constant: 0.45 at
+/// 0.6, 0.55 at 0.7, 0.64 at 0.85.
 #[test]
 fn a_workspace_beyond_its_share_gets_over_half_of_the_largest_usage() {
     for (n_engines, rate, n_medium, part) in
@@ -141,11 +141,11 @@
     }
 }
 
-/// Seconds over which the users compare.
+/// Seconds over which users compare workspaces.
 const SPAN: usize = 6;
 
-/// One workspace asks for four times the capacity, middling ones for `part` of it each, small ones for
-/// a third of it together; returns the numbers of the middling ones too.
+/// One workspace asks for four times the capacity, medium ones for `part` of it each, small ones
+/// for a third of it together; also returns the numbers of the medium ones.
 fn large_and_medium(
     fleet: &Fleet,
     n_medium: u32,
--- a/crates/portfield/tests/backoff.rs
+++ b/crates/portfield/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Upstreams that ask a host to be left alone: for how long, what happens then, and what callers hear.
+//! Backoffs that upstreams ask for: how long they hold, what follows, and what callers are told.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const WINDOW: Duration = Duration::from_secs(4);
-/// From when on it counts: what had been sent before arrives by then.
+/// Time after which a backoff is checked: requests sent before it have arrived by then.
 const SLACK: Duration = Duration::from_millis(500);
 
 fn at(millis: u64) -> Duration {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends a request; returns where, if anywhere.
+/// Sends a request; returns its upstream and run, or `None` if it is refused.
 fn send(
     it: &mut Balancer,
     now: Duration,
@@ -180,7 +180,7 @@
     assert!(send(&mut it, at(2_030), &plain_request(), 1).is_some());
 }
 
-/// A request that was turned away once kept its upstream from all light load for twenty seconds.
+/// A request rejected once kept its upstream from light load for twenty seconds.
 #[test]
 fn a_backoff_does_not_count_as_a_failure() {
     let mut it = Balancer::new(WINDOW);
@@ -210,16 +210,17 @@
     assert_eq!(it.n_backing_off(at(1_150)), 0);
 }
 
-/// What one play gave.
+/// Results of one simulation.
 #[derive(Debug, Default)]
 struct Stats {
     n_rejected: usize,
     n_served: usize,
-    /// Most requests that reached an upstream from one host in a time that it had asked it for.
+    /// Most requests from one host that reached an upstream during one backoff.
     max_during_backoff: usize,
 }
 
-/// Plays hosts whose callers press, and upstreams of which some turn away most of what comes, and ask for time.
+/// Simulates hosts under load, and upstreams of which some reject most requests and ask for a
+/// backoff.
 fn simulate(seed: u64) -> Stats {
     const N_HOSTS: usize = 9;
     const N_UPSTREAMS: u32 = 9;
--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Placement, admission, shares, health and the digest, without I/O.
+//! Placement, admission, shares, health and digests of the balancer.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -91,8 +91,8 @@
     PlacementRequest { stage: Stage::Streaming, ..request(1, shared, 500) }
 }
 
-/// Grown Karumkaste, scale-2: hosts with few callers of their own believed first events to come in
-/// 275 ms that took 412 at the median and 1,911 at the ninth tenth.
+/// Hosts with few callers of their own estimated 275 ms for first events that took 412 ms at the
+/// median and 1,911 ms at the 90th percentile (grown Karumkaste, scale-2).
 #[test]
 fn underestimates_raise_later_estimates_until_they_decay() {
     let mut it = Balancer::new(WINDOW);
@@ -156,7 +156,7 @@
 }
 
 /// Every event of a stream counted as a first one: the estimate for an idle engine rose to 400 ms
-/// where 60 ms was true, and requests were refused at idle engines.
+/// instead of 60 ms, and requests were refused while engines were idle.
 #[test]
 fn later_events_are_not_learned_as_first_events() {
     let mut it = Balancer::new(WINDOW);
@@ -217,8 +217,8 @@
     assert_eq!(assigned(two.place(at(42), &request(1, 7, 100), &engines(1))).queued_tokens, 0);
 }
 
-/// The request itself counted as asked and not taken: at a start, where nothing was taken yet, the
-/// first requests were refused for their share.
+/// A request counted as asked but not granted while it was placed: after a start, when nothing had
+/// been granted yet, the first requests were refused by share.
 #[test]
 fn the_first_requests_of_a_fleet_are_within_their_share() {
     let mut it = Balancer::new(WINDOW);
@@ -254,7 +254,7 @@
     assert!(pauses.is_sorted() && pauses[0] < pauses[2], "{pauses:?}");
 }
 
-/// A crashed engine that says nothing got requests until the connections broke, 1.8 s later.
+/// A crashed engine that sent nothing got requests until its connections broke, 1.8 s later.
 #[test]
 fn a_silent_engine_gets_no_more_requests() {
     let mut it = Balancer::new(WINDOW);
@@ -273,7 +273,7 @@
     assert_eq!(again.upstream, placed.upstream);
 }
 
-/// A request that may end its upstream goes where it takes the fewest others with it.
+/// A request that may crash its upstream is sent where it takes the fewest others with it.
 #[test]
 fn the_least_busy_upstream_runs_the_fewest_requests() {
     let mut it = Balancer::new(WINDOW);
@@ -292,7 +292,7 @@
     assert_eq!(it.least_busy(at(3), &[]), None);
 }
 
-/// While a host stood still, events of its runs came and lay in its sockets.
+/// While a host was suspended, events of its requests arrived and waited in its sockets.
 #[test]
 fn a_pause_of_the_host_makes_no_request_overdue_or_slow() {
     let mut it = Balancer::new(WINDOW);
@@ -324,8 +324,8 @@
     assert!(n[2] < 60, "{n:?}");
 }
 
-/// What a host refuses for want of processor time counts as asked: a workspace of which half is refused
-/// so, while another gets all, is behind.
+/// Requests refused by an overloaded host count as asked: a workspace that has half of its requests
+/// refused in this way, while another gets all, is underserved.
 #[test]
 fn requests_refused_before_placement_count_as_asked() {
     let mut it = Balancer::new(WINDOW);
@@ -340,8 +340,8 @@
     assert_eq!((other.asked, other.taken), (40.0 * 10_700.0, 40.0 * 10_700.0));
 }
 
-/// A workspace whose parts' engine was full got under half of what the best served one got, which
-/// found its own engines idle.
+/// A workspace whose engine was full got under half of what the best served one got, which found
+/// its own engines idle.
 #[test]
 fn a_starved_workspace_may_use_an_engine_without_its_prefix() {
     let mut it = Balancer::new(WINDOW);
@@ -352,7 +352,7 @@
         it.record_first_event(at(n * 50 + 300), run);
         it.record_end(at(n * 50 + 600), run, Completion::Done);
     }
-    // Most engines have something waiting, so that none is read at for nothing.
+    // Most engines have a queue, so the rule for spare engines does not apply.
     for engine in 1..=8 {
         let only = [Candidate { upstream: engine, slots: 64, is_local: true }];
         let small = request(1, u64::from(engine) + 500, 100);
@@ -367,7 +367,7 @@
         match it.place(now, &popular, &engines(9)) {
             Placement::Refuse { .. } => n_refused += 1,
             Placement::Send(placed) if preferred.is_none_or(|it| it == placed.upstream) => {
-                // Its first events do not come: the engine fills up.
+                // Its first events do not arrive, so the engine fills up.
                 preferred = Some(placed.upstream);
                 it.record_start(now, &popular, &placed);
             }
@@ -384,7 +384,7 @@
     panic!("refused {n_refused} times and never sent elsewhere");
 }
 
-/// Of 20 requests each, one workspace has ten refused, another five.
+/// Of 20 requests each, ten of one workspace are refused, and five of another.
 #[test]
 fn min_fairness_is_that_of_the_most_refused_workspace() {
     let mut it = Balancer::new(WINDOW);
@@ -403,7 +403,7 @@
     assert_eq!(it.min_fairness(at(9_000)), 1.0, "forgotten after the window");
 }
 
-/// From logs nobody could tell whether a workspace was over its share, or the fleet believed so.
+/// Logs did not show whether a workspace was beyond its share or only believed to be.
 #[test]
 fn a_refusal_by_share_reports_usage_and_fair_share() {
     let mut it = Balancer::new(WINDOW);
@@ -437,14 +437,14 @@
     }
 }
 
-/// A balancer of its own host.
+/// Returns a balancer with a seed of its own, as each host has.
 fn seeded_balancer(seed: u64) -> Balancer {
     let mut res = Balancer::new(WINDOW);
     res.set_seed(seed);
     res
 }
 
-/// Every host of a data centre that had heard the same thing sent its next request to the same idle
+/// All hosts of a data centre with the same knowledge sent their next request to the same idle
 /// engine: 240 of 240.
 #[test]
 fn hosts_with_equal_knowledge_spread_over_idle_engines() {
@@ -460,8 +460,8 @@
     assert!(n_at.len() == 8 && *most <= 60, "{n_at:?}");
 }
 
-/// Where the preferred engine of a shared part is busy, all hosts read the part at the same next one, and
-/// another part at another one. All went to the first engine of the list.
+/// If the preferred engine of a prefix is busy, all hosts read the prefix at the same next one,
+/// which differs between prefixes. All went to the first engine of the list.
 #[test]
 fn hosts_agree_on_the_next_engine_for_a_prefix() {
     let next = |n: u64, part: u64| {
@@ -480,8 +480,8 @@
     assert_eq!(seconds.len(), 8);
 }
 
-/// Requests for one shared part, more than its engine can read in time, while most engines are idle: they
-/// were refused. Where most are busy they still are, so that shared parts are not read everywhere.
+/// More requests for one prefix than its engine can read in time were refused while most engines
+/// were idle. With most engines busy they still are, so that the prefix is not read everywhere.
 #[test]
 fn a_popular_prefix_is_read_at_idle_engines_instead_of_refused() {
     let n_refused = |n_busy: u32| {
@@ -509,8 +509,8 @@
     assert!(0 < n_refused(17), "{}", n_refused(17));
 }
 
-/// A part whose preferred upstream is cold is read at the next one by all hosts, those that may send the cold one something
-/// included: else it is read at both.
+/// While the preferred upstream of a prefix is cold, all hosts read the prefix at the next one,
+/// including hosts with a quota for the cold one. Otherwise it is read at both.
 #[test]
 fn hosts_agree_on_the_engine_for_a_prefix_while_the_preferred_is_cold() {
     let chosen = |cold: Option<(u32, u32)>| {
--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -1,5 +1,4 @@
-//! What hosts tell each other where there are many: a data centre's sum in place of each host's
-//! own word.
+//! Digests in a large fleet, where a summary of each data centre replaces the digests of its hosts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -72,7 +71,7 @@
     Balancer::new(Duration::from_secs(4))
 }
 
-/// Two hosts of a data centre send a request each; the first sums up.
+/// Two hosts of a data centre send a request each; the first one writes summaries.
 fn two_busy_hosts() -> (Balancer, Balancer, Assignment) {
     let (mut first, mut second) = (balancer(), balancer());
     summary(&mut first, 10, 1);
@@ -109,7 +108,7 @@
     remote.merge_digest(NOW, &digest);
     remote.merge_digest(NOW, &digest);
     assert_eq!(place(&mut remote, 7).queued_tokens, 21_000);
-    // The second host takes over and knows of its own request only.
+    // The second host becomes leader and knows of its own request only.
     remote.merge_digest(NOW, &summary(&mut second, 11, 9));
     assert_eq!(place(&mut remote, 7).queued_tokens, 10_500);
     let silent = NOW + Duration::from_secs(2);
@@ -170,8 +169,7 @@
     assert_eq!((leaders(0), leaders(2)), (vec![1], vec![3]));
 }
 
-/// A member of the data centre sends requests of one workspace, one a digest, until it has sent
-/// `n`; returns its digests.
+/// Returns the digests of a host that sends `n` requests of one workspace, one per digest.
 fn digests_of_busy_member(host: u64, n: u64) -> Vec<Digest> {
     let mut member = balancer();
     let digest = |sequence: u64| {
@@ -188,14 +186,13 @@
     it.share_snapshot(NOW, WORKSPACE).taken
 }
 
-/// Order of events: the host that sums its data centre up is stopped and started, in the course of an
-/// upgrade or a loss of power. It begins to sum up at once, hears the other hosts one after the
-/// other, and with each its sum grows by all that this host did since its own start. The other data
-/// centres take that for requests of the last seconds. A workspace that was within its share is
-/// believed to have had many times that, and is sent to idle engines only until the window of the
-/// shares has gone by.
+/// The leader of a data centre is restarted, by an upgrade or a loss of power. It writes summaries
+/// at once and hears the other hosts one by one; with each of them its summary grew by all that
+/// this host had done since its own start. Other data centres took that for usage of the last few
+/// seconds: a workspace within its share seemed to have had many times its share, and got idle
+/// engines only until the window had passed.
 ///
-/// Cause: a sum of totals grows with who is in it. Evidence: this test, and no log so far.
+/// Cause: a sum of totals grows with its members. No log has shown this so far, only this test.
 #[test]
 fn a_restarted_leader_reports_no_usage_twice() {
     let (mut first, mut remote) = (balancer(), balancer());
@@ -216,8 +213,8 @@
     assert_eq!(taken(&remote), had, "usage reported before its start counts once");
 }
 
-/// The same sum tells what each engine read, by which hosts reckon what has fallen out of its memory:
-/// after a host that sums up had started anew, all engines' shared parts were believed gone.
+/// Summaries also hold the tokens that each engine read, from which hosts derive what it has
+/// evicted: after the restart of a leader, all cached prefixes were taken for evicted.
 #[test]
 fn a_restarted_leader_evicts_no_cached_prefix() {
     let (mut first, mut remote) = (balancer(), balancer());
@@ -239,7 +236,8 @@
     assert_eq!(place(&mut remote, 7).uncached_tokens, 500, "nothing was read since");
 }
 
-/// A sum that fell with a member's end would grow by all that the member had done once it is back.
+/// If the summary shrank when a member stops, it would grow by all that the member had done once it
+/// is back.
 #[test]
 fn a_restarted_member_does_not_shrink_the_summary() {
     let (mut first, mut remote) = (balancer(), balancer());
@@ -265,8 +263,8 @@
     assert_eq!(place(&mut remote, 7).uncached_tokens, 500, "one request was read since");
 }
 
-/// What an upstream read is left out of digests while nobody uses it there. A host that started anew
-/// took the next word of it, a sum since another host's start, for what was read just now.
+/// Idle upstreams are left out of digests. A restarted host took the next total of such an
+/// upstream, accumulated since another host's start, for tokens read just now.
 #[test]
 fn a_total_reported_for_the_first_time_does_not_count_as_new_reads() {
     let mut restarted = balancer();
@@ -285,37 +283,36 @@
     assert_eq!(place(&mut restarted, 7).uncached_tokens, 1, "all of it is cached");
 }
 
-/// Hosts of one data centre among many: an audience that has heard them all.
+/// Hosts of two data centres in a large fleet, all heard just now.
 fn large_fleet() -> Vec<RemoteHost> {
     let centre = |host| if host % 2 == 0 { LOCAL_CENTRE } else { REMOTE_CENTRE };
     let remote_host = |host| RemoteHost { host, data_centre: Some(centre(host)), last_heard: NOW };
     (1..=60).map(remote_host).collect()
 }
 
-/// Takes a digest the way a host does.
+/// Merges a digest if a host would.
 fn merge_accepted(it: &mut Balancer, topology: &GossipTopology, digest: &Digest) {
     if topology.accepts(digest) {
         it.merge_digest(NOW, digest);
     }
 }
 
-/// What users saw: for six seconds a workspace was refused again and again, while another was served
-/// five times as much.
+/// For six seconds a workspace was refused repeatedly while another got five times as much.
 ///
-/// Order of events: the fleet starts, no host knows yet where the others stand, and each passes the
-/// sums of data centres on to everybody; so a host takes the sum of its own data centre, in which
-/// there is nothing yet. From then on it hears no more of it. Much later a host far away is stopped
-/// and started. It knows nobody's place, passes a sum on to everybody, and hosts of the summed data
-/// centre take all that was done there since the start of the fleet for requests of this moment. A
-/// workspace that has had what its share is is believed to have had many times that, and gets idle
-/// engines only for four seconds.
+/// At the start of the fleet no host knew the data centres of the others, and each sent the
+/// summaries of data centres to everybody. A host thus merged the still empty summary of its own
+/// data centre, and then got no more of them. Much later a host of another data centre was
+/// restarted. It knew no data centres, sent a summary to everybody, and hosts of the summarized
+/// data centre took everything done there since the start of the fleet for usage of that moment. A
+/// workspace that had used its share seemed to have used many times as much, and got idle engines
+/// only for four seconds.
 ///
-/// Cause: a total says how much, not when, and a host took one of what it knew otherwise. Evidence:
-/// what hosts believed that a workspace had had rose from 1.0 to 4.6 and from 2.4 to 8.8 million
-/// tokens within half a second, by what it had had since the start of the fleet; in the six seconds
-/// around it the two got 0.40 and 0.38 of what they were owed, refused by share. Of 28 such rises on
-/// one day none came before the first start of a host, each within 0.45 s after one, and there is none
-/// once sums of the own data centre are not taken.
+/// Cause: a total has no time, and the host already knew that usage from other digests. The usage
+/// attributed to two workspaces rose from 1.0 to 4.6 and from 2.4 to 8.8 million tokens within half
+/// a second, by their usage since the start of the fleet; in the six seconds around it they got
+/// 0.40 and 0.38 of what they were entitled to, refused by share. All 28 such rises of one day came
+/// within 0.45 s after the restart of a host, none before the first one, and there is none since
+/// summaries of the own data centre are not merged.
 #[test]
 fn a_summary_of_the_own_data_centre_is_not_merged() {
     let (mut leader, mut host) = (balancer(), balancer());
@@ -330,8 +327,9 @@
     assert_eq!(taken(&host), 100.0 * 10_700.0);
 }
 
-/// The same start, the other side of it: a sum goes to hosts that are known to be far, and from there
-/// to a speaker that is known to be near; never to one whose place is not known.
+/// The sending side of the same restart: a summary is sent to hosts known to be in another data
+/// centre, and forwarded there to a leader known to be in its own; never to a host whose data
+/// centre is unknown.
 #[test]
 fn a_summary_is_sent_only_to_hosts_whose_data_centre_is_known() {
     let just_started = Duration::from_secs(1);
@@ -353,8 +351,8 @@
     assert!(forwarded.is_none(), "nobody was heard, so no leader is known");
 }
 
-/// A host that was cut off hears in one word what the others did meanwhile: it is no usage of the
-/// last seconds.
+/// A host that was cut off learns in one digest what another did meanwhile: that is not usage of
+/// the last few seconds.
 #[test]
 fn usage_during_a_silence_does_not_count_as_recent() {
     let mut host = balancer();
@@ -368,7 +366,8 @@
     assert_eq!(host.share_snapshot(later, WORKSPACE).taken, 10_700.0);
 }
 
-/// Only what changed is told, three times; now and then all of it, for a host that begins to listen.
+/// Each change is reported three times, and all totals now and then for hosts that have just
+/// started.
 #[test]
 fn a_digest_reports_changed_usage_three_times() {
     let mut host = balancer();
@@ -379,7 +378,7 @@
     assert_eq!(n_reported, [1, 1, 1, 0, 0, 0, 0, 1, 0]);
 }
 
-/// A listener that misses two digests in a row knows as much as one that hears all.
+/// A host that misses two digests in a row knows as much as one that gets all.
 #[test]
 fn changed_usage_adds_up_despite_lost_digests() {
     let (mut all, mut some) = (balancer(), balancer());
--- a/crates/portfield/tests/gossip_leaders.rs
+++ b/crates/portfield/tests/gossip_leaders.rs
@@ -1,5 +1,5 @@
-//! Who tells whom where there are many hosts, in virtual time: every host hears of every other one
-//! soon, through starts, deaths, cuts and lost datagrams, and what it costs does not grow.
+//! Gossip of a large fleet in virtual time: every host soon hears of every other one, despite
+//! starts, deaths, partitions and lost datagrams, and the traffic per host does not grow.
 
 mod fleet;
 
@@ -8,11 +8,11 @@
 use fleet::{Host, World};
 use portfield::{balance::host_hash, quarantine::RequestKey};
 
-/// Age of the last word of a host: two periods of 118 ms at 59 hosts, and one lost.
+/// Allowed age of a host's last digest: two periods of 118 ms at 59 hosts, and a lost one.
 const AGE: Duration = Duration::from_millis(400);
 
-/// An idle host at 295 handled some 700 datagrams a second, a number that grew with the hosts of its
-/// data centre; now it handles 17 of its own and 9 of the speaker.
+/// An idle host among 295 handled some 700 datagrams per second, a number that grew with its data
+/// centre; now it handles 17 of its own and 9 of the leader.
 #[test]
 fn every_host_hears_all_others_with_few_datagrams() {
     for n_each in [20, 59] {
@@ -50,7 +50,7 @@
     world.hosts[first].is_alive = false;
     world.run(Duration::from_millis(800));
     world.check_near_known(AGE);
-    // The dead one counts for 1.5 s.
+    // A dead host counts for 1.5 s.
     world.run(Duration::from_millis(1_200));
     world.check_all_known(AGE);
     assert_ne!(world.speakers(1), [first]);
@@ -100,8 +100,8 @@
     world.check_all_known(AGE);
 }
 
-/// A host that for a moment counted one host too few took the others for few, ignored the sums, and
-/// stayed so: 14 hosts, of which one was stopped and started.
+/// A host that for a moment counted one host too few took the fleet for a small one, ignored the
+/// summaries and stayed in that state: 14 hosts, one of them restarted.
 #[test]
 fn hosts_at_the_mesh_limit_recover_from_restarts() {
     let mut world = World::new(2, 7, None);
@@ -116,7 +116,7 @@
     }
 }
 
-/// A request whose runs ended upstreams at three hosts, one each, in three data centres.
+/// A request that crashed an upstream at each of three hosts, in three data centres.
 fn with_suspect(n_each: u32, loss: u32) -> (World, RequestKey) {
     let mut world = World::new(5, n_each, None);
     world.loss = loss;
@@ -131,7 +131,7 @@
 }
 
 impl World {
-    /// Returns how many hosts would send a request.
+    /// Returns the number of hosts that would send a request.
     fn n_sending(&self, request: RequestKey) -> usize {
         let sends = |it: &&Host| {
             let own = self.now.saturating_sub(it.started);
@@ -141,7 +141,7 @@
     }
 }
 
-/// Within three seconds of the last of three ends every host has to know of them.
+/// Every host has to know of three crashes within three seconds of the last one.
 #[test]
 fn crashes_seen_by_three_hosts_add_up_at_every_host() {
     for (n_each, loss) in [(2, 0), (2, 10), (12, 10), (60, 0), (60, 10)] {
@@ -161,7 +161,7 @@
     assert_eq!(world.n_sending(request), 0);
 }
 
-/// Some fifteen requests of others run at an engine that ends, at as many hosts.
+/// About fifteen requests of other callers run at each crashing engine, sent by as many hosts.
 #[test]
 fn many_suspects_do_not_delay_the_quarantine_of_one() {
     let (mut world, request) = with_suspect(60, 10);
@@ -175,7 +175,7 @@
 }
 
 impl World {
-    /// Lets hosts go on that stood still: they know what they knew.
+    /// Resumes suspended hosts with the state that they had.
     fn resume(&mut self, hosts: &[usize]) {
         for i in hosts {
             let host = &mut self.hosts[*i];
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns the hosts of a data centre in the order in which they speak for it.
+    /// Returns the hosts of a data centre in the order in which they become leader.
     fn by_hash(&self, data_centre: u32) -> Vec<usize> {
         let is_local = |it: &usize| self.hosts[*it].data_centre == data_centre;
         let mut res: Vec<usize> = (0..self.hosts.len()).filter(is_local).collect();
@@ -194,7 +194,7 @@
     }
 }
 
-/// Two hosts, of which one spoke, and all of a data centre.
+/// Two hosts, one of them the leader, and all hosts of a data centre.
 #[test]
 fn paused_hosts_are_heard_again() {
     for n_paused in [2, 25] {
@@ -210,7 +210,7 @@
     }
 }
 
-/// What is held against a request gets older while who tells it stands still.
+/// Evidence against a request ages while the host that reports it is suspended.
 #[test]
 fn a_quarantine_ages_while_its_host_is_paused() {
     let (mut world, request) = with_suspect(25, 0);
@@ -234,7 +234,8 @@
     );
 }
 
-/// Evidence of the two sides of a cut adds up by the store, which a host reads while it misses a data centre.
+/// Evidence from both sides of a partition adds up in the store, which a host reads while a data
+/// centre is unreachable.
 #[test]
 fn a_silent_data_centre_is_unreachable_and_a_silent_host_is_not() {
     for n_each in [3, 20] {
@@ -268,7 +269,8 @@
     }
 }
 
-/// One host alone hears the operator's order from the store; the users give five seconds, and count on far less.
+/// One host alone reads the operator's order from the store; users require five seconds, and expect
+/// far less.
 #[test]
 fn an_order_read_by_one_host_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
@@ -288,7 +290,7 @@
     }
 }
 
-/// One host alone gets the answer that says so.
+/// One host alone gets the answer that reports the drain.
 #[test]
 fn a_self_reported_drain_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
@@ -308,7 +310,7 @@
     }
 }
 
-/// The host that heard it may be gone by then.
+/// The host that got the report may be dead by then.
 #[test]
 fn a_host_started_later_learns_of_draining_upstreams() {
     for n_each in [3, 21] {
--- a/crates/portfield/tests/host_limits.rs
+++ b/crates/portfield/tests/host_limits.rs
@@ -1,4 +1,4 @@
-//! What a host allows itself, and whether it keeps up: repeats, its own load, calls to the store.
+//! Limits of a single host: retries, load shedding and calls to the store.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     assert!(0 < n_retries && n_retries as f64 <= ratio * 900.0 + extra, "{n_retries}");
 }
 
-/// A caller of a hot workspace sent everything to one host, which ran out of processor time while
+/// A caller of a busy workspace sent everything to one host, which ran out of processor time while
 /// the others were idle.
 #[test]
 fn a_late_host_sheds_load_until_it_is_calm() {
@@ -43,11 +43,12 @@
     assert!(!it.is_overloaded());
 }
 
-/// A host that is late for a moment, as when a large configuration is read, bears the same load as before.
+/// A host that is late for a moment, as when it reads a large configuration, bears the same load as
+/// before.
 #[test]
 fn a_briefly_late_host_recovers_at_its_usual_load() {
     let mut it = LoadShedder::default();
-    // Sixty requests a second, and timers that are late for a fifth of one.
+    // Sixty requests per second, and timers that are late for a fifth of a second.
     for n in 0..200_u64 {
         let now = n * 25;
         it.observe(at(now), Duration::from_millis(if (40..48).contains(&n) { 40 } else { 1 }));
@@ -62,8 +63,8 @@
     assert!(!it.is_overloaded(), "after three and a half calm seconds");
 }
 
-/// Grown Craigmhor, scale-1: a host short of processor time refused whoever came, and a workspace
-/// whose callers all came there got under half of what it asked for.
+/// An overloaded host refused requests of all workspaces alike, and a workspace whose callers all
+/// used that host got under half of what it asked for (grown Craigmhor, scale-1).
 #[test]
 fn a_flood_of_one_workspace_costs_no_other_workspace() {
     let mut it = LoadShedder::default();
@@ -86,7 +87,7 @@
     assert!(!it.is_overloaded());
 }
 
-/// Calls to the store were the largest price of the grown deployments.
+/// Calls to the store were the largest cost of the grown deployments.
 #[test]
 fn few_hosts_watch_the_store_and_others_replace_rejected_ones() {
     let status = |host: u64, store_age: u64, heard: u64| WatcherStatus {
@@ -116,8 +117,8 @@
     );
 }
 
-/// While the store was down for all, every host asked it twice a second for each table: 295 of them 1,200
-/// times a second.
+/// While the store was down for all, every host called it twice a second for each table: 295 hosts
+/// made 1,200 calls per second.
 #[test]
 fn few_hosts_call_a_store_that_is_down() {
     let n_watchers = |age: u64| {
--- a/crates/portfield/tests/store_availability.rs
+++ b/crates/portfield/tests/store_availability.rs
@@ -1,4 +1,4 @@
-//! Whether other hosts heard the store while one could not.
+//! Whether reports of other hosts cover a time in which one host did not reach the store.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     );
 }
 
-/// A data centre that was cut off hears the others again before it hears the store.
+/// A data centre that was cut off hears the other hosts again before it reaches the store.
 #[test]
 fn reports_after_a_partition_do_not_cover_it() {
     let mut it = reported_at(1..=10);
--- a/crates/portfield/tests/warmup.rs
+++ b/crates/portfield/tests/warmup.rs
@@ -1,8 +1,9 @@
-//! Upstreams that come back cold: how many requests reach one in a second, and how many are served there.
+//! Upstreams that come back cold: requests that reach one per second, and requests served there.
 //!
-//! The load: a data centre's upstreams return together and stay cold for three seconds; each may get `MOST` requests
-//! in any second, from all hosts together. Ways that were weighed: an equal part for every host; what others sent, as
-//! told by digests; a few hosts of the data centre, which is what the code does.
+//! A data centre's upstreams come back together and stay cold for three seconds; each may get
+//! `MAX_RATE` requests in any second, from all hosts together. The alternatives compared are an
+//! equal part for every host, the remainder according to other hosts' digests, and a few hosts of
+//! the data centre, which is what the code does.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 const MAX_RATE: f64 = 14.15;
 const COLD: Duration = Duration::from_secs(3);
 const N_UPSTREAMS: u32 = 47;
-/// Requests a second for each of the upstreams, more than they take: callers press.
+/// Requests per second and upstream, more than an upstream takes.
 const DEMAND: f64 = 20.0;
 
 #[derive(Debug, Clone, Copy)]
@@ -22,28 +23,29 @@
     n_centres: usize,
 }
 
-/// What a host knows of the others.
+/// What a host knows of the other hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum View {
     Complete,
-    /// One host in ten is new, and half of the hosts have not heard of those.
+    /// One host in ten is new, and half of the hosts do not know of those.
     Outdated,
-    /// One host in ten ends and starts anew: it forgets what it sent.
+    /// One host in ten is restarted and forgets what it sent.
     Restarts,
 }
 
-/// How a host's part is found.
+/// How the quota of a host is computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Quota {
-    /// The code's: few hosts.
+    /// Equal parts for a few hosts, as in the code.
     FewHosts,
-    /// Each host an equal part.
+    /// Equal parts for all hosts.
     AllHosts,
-    /// Each host all that is left by what the others said, which is so old.
+    /// For each host all that is left according to digests of that age.
     Gossip(Duration),
 }
 
-/// Most requests that reached one upstream in a second, and how many one got a second on average.
+/// Largest number of requests that reached one upstream within a second, and mean requests per
+/// second and upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Stats {
     peak: usize,
@@ -62,7 +64,7 @@
     }
 }
 
-/// Plays the return of a data centre's upstreams.
+/// Simulates the return of a data centre's upstreams.
 fn simulate(fleet: Fleet, view: View, quota_kind: Quota, seed: u64) -> Stats {
     let mut rng = fastrand::Rng::with_seed(seed);
     let address = |it: usize| ([10, it as u8, (it >> 8) as u8, 1], 80).into();
@@ -94,7 +96,7 @@
         let now = start + COLD.mul_f64(f64::from(n) / f64::from(n_requests));
         let idx = rng.usize(..fleet.n_hosts);
         if view == View::Restarts && n.is_multiple_of(100) && idx.is_multiple_of(10) {
-            // For its first seconds a host sends cold upstreams nothing.
+            // A host sends cold upstreams nothing in its first seconds.
             hosts[idx] = Balancer::new(Duration::from_secs(4));
             (0..N_UPSTREAMS).for_each(|it| hosts[idx].mark_cold(it, start + COLD, 0));
             runs.retain(|it| it.0 != idx);
@@ -142,9 +144,9 @@
     }
 }
 
-/// The way that stands serves cold upstreams in every fleet. An equal part for each host serves them nothing from 15
-/// hosts on; told by digests, 64 hosts whose words are 130 ms old send 18 a second where 14 are allowed, and behind a
-/// cut each side sends all of it.
+/// The quota for a few hosts serves cold upstreams in every fleet. With equal parts for all hosts,
+/// nothing is served from 15 hosts on. With digests that are 130 ms old, 64 hosts send 18 requests
+/// per second where 14 are allowed, and in a partition each side sends all of them.
 #[test]
 fn alternative_quotas_starve_or_overload_cold_upstreams() {
     let few_hosts = FLEETS.map(|it| simulate(it, View::Complete, Quota::FewHosts, 1));
