--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -15,7 +15,7 @@
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
         clock::woke();
-        self.balancer().record_pause(still);
+        self.balancer().record_suspension(still);
         self.peers().clear_forwards();
         Some(still)
     }
--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -355,8 +355,8 @@
         }
     }
 
-    /// Records that this process was paused: the pause makes no request overdue and no engine slow.
-    pub fn record_pause(&mut self, time: Duration) {
+    /// Records that this process was suspended: that makes no request overdue and no engine slow.
+    pub fn record_suspension(&mut self, time: Duration) {
         for run in self.runs.values_mut().filter(|it| !it.has_begun) {
             run.started += time;
             run.due += time;
--- a/crates/portfield/src/balance/peer_table.rs
+++ b/crates/portfield/src/balance/peer_table.rs
@@ -217,7 +217,7 @@
         Some((leader, digest))
     }
 
-    /// Drops the queued digests: after a pause of this process they are outdated.
+    /// Drops the queued digests: after a suspension of this process they are outdated.
     pub fn clear_forwards(&mut self) {
         self.forwards.clear();
     }
--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -294,11 +294,11 @@
 
 /// While a host was suspended, events of its requests arrived and waited in its sockets.
 #[test]
-fn a_pause_of_the_host_makes_no_request_overdue_or_slow() {
+fn a_suspension_makes_no_request_overdue_or_slow() {
     let mut it = Balancer::new(WINDOW);
     let placed = assigned(it.place(at(0), &request(1, 7, 100), &engines(3)));
     let run = it.record_start(at(0), &request(1, 7, 100), &placed);
-    it.record_pause(Duration::from_secs(9));
+    it.record_suspension(Duration::from_secs(9));
     digest_of(&mut it, at(9_100), 1, 1);
     let next = assigned(it.place(at(9_100), &request(1, 7, 200), &engines(3)));
     assert_eq!(next.upstream, placed.upstream, "not overdue");
--- a/crates/portfield/tests/gossip_leaders.rs
+++ b/crates/portfield/tests/gossip_leaders.rs
@@ -196,14 +196,14 @@
 
 /// Two hosts, one of them the leader, and all hosts of a data centre.
 #[test]
-fn paused_hosts_are_heard_again() {
-    for n_paused in [2, 25] {
+fn suspended_hosts_are_heard_again() {
+    for n_suspended in [2, 25] {
         let mut world = World::new(3, 25, None);
         world.run(Duration::from_secs(5));
-        let paused: Vec<usize> = world.by_hash(1).into_iter().take(n_paused).collect();
-        paused.iter().for_each(|i| world.hosts[*i].is_alive = false);
+        let suspended: Vec<usize> = world.by_hash(1).into_iter().take(n_suspended).collect();
+        suspended.iter().for_each(|i| world.hosts[*i].is_alive = false);
         world.run(Duration::from_secs(9));
-        world.resume(&paused);
+        world.resume(&suspended);
         world.run(Duration::from_millis(1_500));
         world.check_all_known(AGE);
         assert_eq!(world.speakers(1), [world.by_hash(1)[0]]);
@@ -212,13 +212,13 @@
 
 /// Evidence against a request ages while the host that reports it is suspended.
 #[test]
-fn a_quarantine_ages_while_its_host_is_paused() {
+fn a_quarantine_ages_while_its_host_is_suspended() {
     let (mut world, request) = with_suspect(25, 0);
     world.run(Duration::from_secs(3));
-    let paused = world.by_hash(1);
-    paused.iter().for_each(|i| world.hosts[*i].is_alive = false);
+    let suspended = world.by_hash(1);
+    suspended.iter().for_each(|i| world.hosts[*i].is_alive = false);
     world.run(Duration::from_secs(60));
-    world.resume(&paused);
+    world.resume(&suspended);
     let new = world.by_hash(2)[3];
     world.revive(new);
     world.run(Duration::from_secs(3));
@@ -226,11 +226,11 @@
         let host = &world.hosts[i];
         host.quarantine.entry(world.now - host.started, request).unwrap().remaining
     };
-    let (paused_left, new_left) = (left(&world, paused[0]), left(&world, new));
-    assert!(paused_left < Duration::from_secs(60), "{paused_left:?}");
+    let (suspended_left, new_left) = (left(&world, suspended[0]), left(&world, new));
+    assert!(suspended_left < Duration::from_secs(60), "{suspended_left:?}");
     assert!(
-        paused_left.abs_diff(new_left) < Duration::from_millis(50),
-        "{paused_left:?} {new_left:?}"
+        suspended_left.abs_diff(new_left) < Duration::from_millis(50),
+        "{suspended_left:?} {new_left:?}"
     );
 }
 
