--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -311,8 +311,8 @@
 /// attributed to two workspaces rose from 1.0 to 4.6 and from 2.4 to 8.8 million tokens within half
 /// a second, by their usage since the start of the fleet; in the six seconds around it they got
 /// 0.40 and 0.38 of what they were entitled to, refused by share. All 28 such rises of one day came
-/// within 0.45 s after the restart of a host, none before the first one, and there is none since
-/// summaries of the own data centre are not merged.
+/// within 0.45 s after the start of a host, none before the first such start, and there is none
+/// since summaries of the own data centre are not merged.
 #[test]
 fn a_summary_of_the_own_data_centre_is_not_merged() {
     let (mut leader, mut host) = (balancer(), balancer());
