--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -1,24 +1,24 @@
 //! Admission when callers ask for more than the capacity.
 
 mod agenda;
-mod emulator;
+mod engine_simulation;
 
 use std::time::Duration;
 
-use emulator::{Demand, Fleet, Got, least_part, play, play_tokens};
+use engine_simulation::{Demand, Fleet, Outcomes, min_fairness, simulate, simulate_tokens};
 
 /// Workspaces that ask for little, and the two that ask for several times the capacity.
 const SMALL: std::ops::Range<u32> = 0..14;
 const HOT: [u32; 2] = [14, 15];
 
-fn fleet(n_engines: usize, rate: f64) -> Fleet {
+fn fleet(n_engines: usize, tokens_per_ms: f64) -> Fleet {
     Fleet {
         n_hosts: 8,
         n_engines,
-        rate,
+        tokens_per_ms,
         // A little over half of what the engines read, as in the users' figures.
-        capacity: n_engines as f64 * rate * 550.0,
-        length: Duration::from_secs(20),
+        capacity: n_engines as f64 * tokens_per_ms * 550.0,
+        duration: Duration::from_secs(20),
     }
 }
 
@@ -30,20 +30,20 @@
         Demand {
             workspace,
             rate: part * fleet.capacity / cost,
-            shared: (8, shared),
-            tokens,
-            output,
+            shared_parts: (8, shared),
+            own_tokens: tokens,
+            output_tokens: output,
             // Three times the reading time of the largest prompt.
             objective: Duration::from_millis(150)
-                + Duration::from_secs_f64(3.0 * 16.0 / fleet.rate),
+                + Duration::from_secs_f64(3.0 * 16.0 / fleet.tokens_per_ms),
         }
     };
     let small = SMALL.map(|it| demand(it, 0.33 / 14.0));
     small.chain(HOT.map(|it| demand(it, hot / 2.0))).collect()
 }
 
-fn sum(got: impl Iterator<Item = Got>) -> Got {
-    got.fold(Got::default(), |sum, it| Got {
+fn sum(outcomes: impl Iterator<Item = Outcomes>) -> Outcomes {
+    outcomes.fold(Outcomes::default(), |sum, it| Outcomes {
         asked: sum.asked + it.asked,
         in_time: sum.in_time + it.in_time,
         late: sum.late + it.late,
@@ -52,9 +52,9 @@
 }
 
 /// Simulates the load; returns the results of the small and of the hot workspaces.
-fn small_and_hot(fleet: Fleet, hot: f64, seed: u64) -> (Got, Got) {
-    let got = play(fleet, &demands(&fleet, hot), seed);
-    let of = |it: u32| got.get(&it).copied().unwrap_or_default();
+fn small_and_hot(fleet: Fleet, hot: f64, seed: u64) -> (Outcomes, Outcomes) {
+    let outcomes = simulate(fleet, &demands(&fleet, hot), seed);
+    let of = |it: u32| outcomes.get(&it).copied().unwrap_or_default();
     (sum(SMALL.map(of)), sum(HOT.into_iter().map(of)))
 }
 
@@ -68,10 +68,10 @@
     {
         let (small, hot) = small_and_hot(fleet(n_engines, rate), 4.0, 1);
         let text = format!("{n_engines} engines of {rate}: {small:?}, {hot:?}");
-        assert!(least <= small.in_time(), "{text}");
+        assert!(least <= small.in_time_ratio(), "{text}");
         assert!(small.refused <= small.asked / 200, "{text}");
         // Spare capacity is used all the same: the capacity is a quarter of the demand.
-        assert!(0.3 <= hot.in_time(), "{text}");
+        assert!(0.3 <= hot.in_time_ratio(), "{text}");
         assert!(hot.late * 50 <= hot.in_time, "sent where it can only be late: {text}");
     }
 }
@@ -86,17 +86,17 @@
         let demand = |workspace: u32, rate: f64| Demand {
             workspace,
             rate,
-            shared: (1, 10_000),
-            tokens: 4_000,
-            output: 100,
+            shared_parts: (1, 10_000),
+            own_tokens: 4_000,
+            output_tokens: 100,
             objective: Duration::from_millis(800),
         };
-        let got = play(fleet, &[demand(0, 135.0), demand(1, 15.0)], seed);
-        let taken = |it: u32| got[&it].in_time + got[&it].late;
-        let part = |it: u32| f64::from(got[&it].refused) / f64::from(got[&it].asked);
-        assert!(0.3 < part(0), "the load is too low: {got:?}");
-        assert!(part(1) < 0.4 * part(0), "{got:?}");
-        assert!(taken(0) * 4 <= taken(1) * 5, "{got:?}");
+        let outcomes = simulate(fleet, &[demand(0, 135.0), demand(1, 15.0)], seed);
+        let taken = |it: u32| outcomes[&it].in_time + outcomes[&it].late;
+        let part = |it: u32| f64::from(outcomes[&it].refused) / f64::from(outcomes[&it].asked);
+        assert!(0.3 < part(0), "the load is too low: {outcomes:?}");
+        assert!(part(1) < 0.4 * part(0), "{outcomes:?}");
+        assert!(taken(0) * 4 <= taken(1) * 5, "{outcomes:?}");
     }
 }
 
@@ -105,7 +105,7 @@
 /// two it is 1.
 #[test]
 fn fast_engines_are_not_taken_for_slow_after_a_start() {
-    let fleet = Fleet { length: Duration::from_secs(2), ..fleet(9, 300.0) };
+    let fleet = Fleet { duration: Duration::from_secs(2), ..fleet(9, 300.0) };
     let (small, _) = small_and_hot(fleet, 0.5, 1);
     assert!(small.refused <= 2, "{small:?}");
 }
@@ -132,9 +132,9 @@
         for seed in 1..=2 {
             let fleet = fleet(n_engines, rate);
             let (demands, medium) = large_and_medium(&fleet, n_medium, part);
-            let tokens = play_tokens(fleet, &demands, seed);
+            let tokens = simulate_tokens(fleet, &demands, seed);
             for it in medium {
-                let part = least_part(&tokens, it, SPAN);
+                let part = min_fairness(&tokens, it, SPAN);
                 assert!(0.6 <= part, "{n_engines} engines of {rate}, seed {seed}: {part:.3}");
             }
         }
--- a/crates/portfield/tests/emulator/mod.rs
+++ b/crates/portfield/tests/engine_simulation/mod.rs
@@ -24,11 +24,11 @@
 /// Time over which shares are kept.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time between two digests of a host.
-const PERIOD: Duration = Duration::from_millis(50);
+const DIGEST_PERIOD: Duration = Duration::from_millis(50);
 /// Time from the end of reading to the first event.
-const FIRST: Duration = Duration::from_millis(50);
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(50);
 /// Time for one event.
-const EVENT: Duration = Duration::from_millis(20);
+const EVENT_TIME: Duration = Duration::from_millis(20);
 /// Tokens in one event.
 const EVENT_TOKENS: u32 = 5;
 /// What the hosts' clocks show when the load begins.
@@ -40,10 +40,10 @@
     pub n_hosts: usize,
     pub n_engines: usize,
     /// Tokens that an engine reads in a millisecond.
-    pub rate: f64,
+    pub tokens_per_ms: f64,
     /// What the configuration says that all engines handle, in tokens a second.
     pub capacity: f64,
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// What one workspace asks for: one kind of prompt, evenly drawn over its shared parts.
@@ -53,17 +53,17 @@
     /// Requests a second.
     pub rate: f64,
     /// Shared parts, and the tokens of each.
-    pub shared: (u64, u32),
+    pub shared_parts: (u64, u32),
     /// Tokens of the prompt's own, on average; they are drawn up to twice that.
-    pub tokens: u32,
+    pub own_tokens: u32,
     /// Tokens generated.
-    pub output: u32,
+    pub output_tokens: u32,
     pub objective: Duration,
 }
 
 /// What became of a workspace's requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Got {
+pub struct Outcomes {
     pub asked: u32,
     pub in_time: u32,
     pub late: u32,
@@ -71,24 +71,24 @@
     pub refused: u32,
 }
 
-impl Got {
+impl Outcomes {
     /// Returns the part that was answered within its objective, from the first try on.
-    pub fn in_time(&self) -> f64 {
+    pub fn in_time_ratio(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.asked.max(1))
     }
 }
 
 /// Plays a load; the seed draws when requests come and what they ask.
-pub fn play(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Got> {
-    let mut it = World::new(fleet, demands, seed);
+pub fn simulate(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Outcomes> {
+    let mut it = Simulation::new(fleet, demands, seed);
     it.run();
-    it.got
+    it.outcomes
 }
 
 /// Plays a load and returns what each workspace asked for and got in each second, in tokens; who
 /// comes back asks again.
-pub fn play_tokens(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Vec<Tokens>> {
-    let mut it = World::new(fleet, demands, seed);
+pub fn simulate_tokens(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Vec<Tokens>> {
+    let mut it = Simulation::new(fleet, demands, seed);
     it.run();
     it.tokens
 }
@@ -97,36 +97,37 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tokens {
     pub asked: f64,
-    pub got: f64,
+    pub granted: f64,
 }
 
 /// Returns the least part that a workspace got of the lesser of what it asked and what the best
 /// served one got, second by second, over all spans of `n_seconds`: the users call less than a half
 /// unfair.
-pub fn least_part(tokens: &HashMap<u32, Vec<Tokens>>, workspace: u32, n_seconds: usize) -> f64 {
+pub fn min_fairness(tokens: &HashMap<u32, Vec<Tokens>>, workspace: u32, n_seconds: usize) -> f64 {
     let own = &tokens[&workspace];
-    let part = |from: usize| {
+    let ratio = |from: usize| {
         let span = from..from + n_seconds;
-        let got = |it: &Vec<Tokens>| it[span.clone()].iter().map(|it| it.got).sum::<f64>();
-        let best = tokens.values().max_by(|a, b| got(a).total_cmp(&got(b))).expect("a workspace");
-        let owed: f64 = span.clone().map(|it| own[it].asked.min(best[it].got)).sum();
-        got(own) / owed.max(1.0)
+        let granted = |it: &Vec<Tokens>| it[span.clone()].iter().map(|it| it.granted).sum::<f64>();
+        let largest =
+            tokens.values().max_by(|a, b| granted(a).total_cmp(&granted(b))).expect("a workspace");
+        let entitled: f64 = span.clone().map(|it| own[it].asked.min(largest[it].granted)).sum();
+        granted(own) / entitled.max(1.0)
     };
-    (0..=own.len() - n_seconds).map(part).fold(f64::INFINITY, f64::min)
+    (0..=own.len() - n_seconds).map(ratio).fold(f64::INFINITY, f64::min)
 }
 
 /// A request of a caller, at one of its tries.
 #[derive(Debug, Clone)]
-struct Ask {
-    job: PlacementRequest,
-    asked: Duration,
-    has_come_back: bool,
+struct Attempt {
+    request: PlacementRequest,
+    first_sent: Duration,
+    is_retry: bool,
 }
 
 #[derive(Debug)]
 enum Event {
-    Ask(Ask),
-    First { host: usize, run: RunId, ask: Ask },
+    Attempt(Attempt),
+    FirstEvent { host: usize, run: RunId, attempt: Attempt },
     End { host: usize, run: RunId },
     Digest,
 }
@@ -134,23 +135,23 @@
 #[derive(Debug, Default)]
 struct Engine {
     /// When it has read all that it was sent.
-    free: Duration,
-    kept: HashSet<u64>,
+    idle_at: Duration,
+    cached: HashSet<u64>,
 }
 
-struct World {
+struct Simulation {
     fleet: Fleet,
     hosts: Vec<Balancer>,
     engines: Vec<Engine>,
     candidates: Vec<Candidate>,
     agenda: Agenda<Event>,
     n_digests: u64,
-    draws: fastrand::Rng,
-    got: HashMap<u32, Got>,
+    rng: fastrand::Rng,
+    outcomes: HashMap<u32, Outcomes>,
     tokens: HashMap<u32, Vec<Tokens>>,
 }
 
-impl World {
+impl Simulation {
     fn new(fleet: Fleet, demands: &[Demand], seed: u64) -> Self {
         let candidate = |it: usize| Candidate { upstream: it as u32, slots: 128, is_local: true };
         let new_host = |_| {
@@ -165,8 +166,8 @@
             candidates: (0..fleet.n_engines).map(candidate).collect(),
             agenda: Agenda::default(),
             n_digests: 0,
-            draws: fastrand::Rng::with_seed(seed),
-            got: HashMap::new(),
+            rng: fastrand::Rng::with_seed(seed),
+            outcomes: HashMap::new(),
             tokens: HashMap::new(),
         };
         demands.iter().for_each(|it| res.schedule(it));
@@ -178,28 +179,30 @@
     fn schedule(&mut self, demand: &Demand) {
         let mut at = START;
         loop {
-            let gap = -(1.0 - self.draws.f64()).ln() / demand.rate;
+            let gap = -(1.0 - self.rng.f64()).ln() / demand.rate;
             at += Duration::from_secs_f64(gap);
-            if START + self.fleet.length <= at {
+            if START + self.fleet.duration <= at {
                 return;
             }
-            let ask = Ask { job: self.job(demand), asked: at, has_come_back: false };
-            self.got.entry(demand.workspace).or_default().asked += 1;
-            self.agenda.push(at, Event::Ask(ask));
+            let attempt =
+                Attempt { request: self.request(demand), first_sent: at, is_retry: false };
+            self.outcomes.entry(demand.workspace).or_default().asked += 1;
+            self.agenda.push(at, Event::Attempt(attempt));
         }
     }
 
-    fn job(&mut self, demand: &Demand) -> PlacementRequest {
-        let (n_shared, shared) = demand.shared;
-        let own = 1 + self.draws.u32(0..2 * demand.tokens);
+    fn request(&mut self, demand: &Demand) -> PlacementRequest {
+        let (n_shared, shared) = demand.shared_parts;
+        let own = 1 + self.rng.u32(0..2 * demand.own_tokens);
         let parts = vec![
             PromptPart {
-                id: u64::from(demand.workspace) << 32 | self.draws.u64(0..n_shared),
+                id: u64::from(demand.workspace) << 32 | self.rng.u64(0..n_shared),
                 tokens: shared,
             },
-            PromptPart { id: self.draws.u64(1 << 50..), tokens: own },
+            PromptPart { id: self.rng.u64(1 << 50..), tokens: own },
         ];
-        let prompt = Prompt { input_tokens: shared + own, max_output_tokens: demand.output, parts };
+        let prompt =
+            Prompt { input_tokens: shared + own, max_output_tokens: demand.output_tokens, parts };
         PlacementRequest {
             workspace: demand.workspace,
             service: 1,
@@ -218,60 +221,67 @@
     fn run(&mut self) {
         while let Some((now, event)) = self.agenda.pop() {
             match event {
-                Event::Ask(ask) => self.ask(now, ask),
-                Event::First { host, run, ask } => self.first(now, host, run, &ask),
+                Event::Attempt(attempt) => self.attempt(now, attempt),
+                Event::FirstEvent { host, run, attempt } => {
+                    self.first_event(now, host, run, &attempt)
+                }
                 Event::End { host, run } => self.hosts[host].record_end(now, run, Completion::Done),
-                Event::Digest => self.exchange(now),
+                Event::Digest => self.exchange_digests(now),
             }
         }
     }
 
-    fn ask(&mut self, now: Duration, ask: Ask) {
-        let host = self.draws.usize(0..self.hosts.len());
-        let cost = ask.job.prompt.as_ref().map_or(0.0, Prompt::token_cost);
-        self.note_tokens(now, &ask, Tokens { asked: cost, got: 0.0 });
-        match self.hosts[host].place(now, &ask.job, &self.candidates) {
+    fn attempt(&mut self, now: Duration, attempt: Attempt) {
+        let host = self.rng.usize(0..self.hosts.len());
+        let cost = attempt.request.prompt.as_ref().map_or(0.0, Prompt::token_cost);
+        self.record_tokens(now, &attempt, Tokens { asked: cost, granted: 0.0 });
+        match self.hosts[host].place(now, &attempt.request, &self.candidates) {
             Placement::Send(placed) => {
-                self.note_tokens(now, &ask, Tokens { asked: 0.0, got: cost });
-                let run = self.hosts[host].record_start(now, &ask.job, &placed);
-                let read =
-                    self.engines[placed.upstream as usize].read(now, &ask.job, self.fleet.rate);
-                let prompt = ask.job.prompt.as_ref().expect("engines' requests have prompts");
-                let first = read + FIRST;
-                let end = first + EVENT * (prompt.max_output_tokens / EVENT_TOKENS);
-                self.agenda.push(first, Event::First { host, run, ask });
+                self.record_tokens(now, &attempt, Tokens { asked: 0.0, granted: cost });
+                let run = self.hosts[host].record_start(now, &attempt.request, &placed);
+                let read = self.engines[placed.upstream as usize].read(
+                    now,
+                    &attempt.request,
+                    self.fleet.tokens_per_ms,
+                );
+                let prompt =
+                    attempt.request.prompt.as_ref().expect("engines' requests have prompts");
+                let first = read + FIRST_EVENT_DELAY;
+                let end = first + EVENT_TIME * (prompt.max_output_tokens / EVENT_TOKENS);
+                self.agenda.push(first, Event::FirstEvent { host, run, attempt });
                 self.agenda.push(end, Event::End { host, run });
             }
-            Placement::Refuse { retry_after: retry, .. } if !ask.has_come_back => {
-                self.agenda.push(now + retry, Event::Ask(Ask { has_come_back: true, ..ask }));
+            Placement::Refuse { retry_after, .. } if !attempt.is_retry => {
+                self.agenda
+                    .push(now + retry_after, Event::Attempt(Attempt { is_retry: true, ..attempt }));
             }
-            Placement::Refuse { .. } => self.got(&ask).refused += 1,
+            Placement::Refuse { .. } => self.outcomes_of(&attempt).refused += 1,
         }
     }
 
-    fn note_tokens(&mut self, now: Duration, ask: &Ask, tokens: Tokens) {
-        let n_seconds = self.fleet.length.as_secs() as usize;
-        let seconds = self.tokens.entry(ask.job.workspace).or_default();
+    fn record_tokens(&mut self, now: Duration, attempt: &Attempt, tokens: Tokens) {
+        let n_seconds = self.fleet.duration.as_secs() as usize;
+        let seconds = self.tokens.entry(attempt.request.workspace).or_default();
         seconds.resize(n_seconds, Tokens::default());
         // What comes back after the load has ended counts nowhere.
         if let Some(it) = seconds.get_mut(now.saturating_sub(START).as_secs() as usize) {
             it.asked += tokens.asked;
-            it.got += tokens.got;
+            it.granted += tokens.granted;
         }
     }
 
-    fn first(&mut self, now: Duration, host: usize, run: RunId, ask: &Ask) {
+    fn first_event(&mut self, now: Duration, host: usize, run: RunId, attempt: &Attempt) {
         self.hosts[host].record_first_event(now, run);
-        let is_late = ask.asked + ask.job.objective < now;
-        let got = self.got(ask);
-        if is_late { got.late += 1 } else { got.in_time += 1 }
+        let is_late = attempt.first_sent + attempt.request.objective < now;
+        let outcomes = self.outcomes_of(attempt);
+        if is_late { outcomes.late += 1 } else { outcomes.in_time += 1 }
     }
 
-    fn got(&mut self, ask: &Ask) -> &mut Got {
-        self.got.entry(ask.job.workspace).or_default()
+    fn outcomes_of(&mut self, attempt: &Attempt) -> &mut Outcomes {
+        self.outcomes.entry(attempt.request.workspace).or_default()
     }
 
-    fn exchange(&mut self, now: Duration) {
+    fn exchange_digests(&mut self, now: Duration) {
         self.n_digests += 1;
         let sequence = self.n_digests;
         let report = |(id, host): (usize, &mut Balancer)| {
@@ -282,22 +292,22 @@
         };
         let digests: Vec<Digest> = self.hosts.iter_mut().enumerate().map(report).collect();
         for (id, host) in self.hosts.iter_mut().enumerate() {
-            let others = digests.iter().filter(|it| it.host != id as u64 + 1);
-            others.for_each(|it| host.merge_digest(now, it));
+            let peers = digests.iter().filter(|it| it.host != id as u64 + 1);
+            peers.for_each(|it| host.merge_digest(now, it));
         }
-        if now < START + self.fleet.length {
-            self.agenda.push(now + PERIOD, Event::Digest);
+        if now < START + self.fleet.duration {
+            self.agenda.push(now + DIGEST_PERIOD, Event::Digest);
         }
     }
 }
 
 impl Engine {
     /// Returns when it has read a prompt that comes now.
-    fn read(&mut self, now: Duration, job: &PlacementRequest, rate: f64) -> Duration {
-        let parts = job.prompt.iter().flat_map(|it| &it.parts);
-        let unread: u32 = parts.filter(|it| self.kept.insert(it.id)).map(|it| it.tokens).sum();
-        let time = Duration::from_secs_f64(f64::from(unread) / rate / 1000.0);
-        self.free = self.free.max(now) + time;
-        self.free
+    fn read(&mut self, now: Duration, request: &PlacementRequest, tokens_per_ms: f64) -> Duration {
+        let parts = request.prompt.iter().flat_map(|it| &it.parts);
+        let uncached: u32 = parts.filter(|it| self.cached.insert(it.id)).map(|it| it.tokens).sum();
+        let time = Duration::from_secs_f64(f64::from(uncached) / tokens_per_ms / 1000.0);
+        self.idle_at = self.idle_at.max(now) + time;
+        self.idle_at
     }
 }
