--- a/crates/portfield/tests/engine_simulation/mod.rs
+++ b/crates/portfield/tests/engine_simulation/mod.rs
@@ -127,7 +127,7 @@
 #[derive(Debug)]
 enum Event {
     Attempt(Attempt),
-    FirstEvent { host: usize, run: RunId, attempt: Attempt },
+    FirstToken { host: usize, run: RunId, attempt: Attempt },
     End { host: usize, run: RunId },
     Digest,
 }
@@ -222,8 +222,8 @@
         while let Some((now, event)) = self.agenda.pop() {
             match event {
                 Event::Attempt(attempt) => self.attempt(now, attempt),
-                Event::FirstEvent { host, run, attempt } => {
-                    self.first_event(now, host, run, &attempt)
+                Event::FirstToken { host, run, attempt } => {
+                    self.first_event(now, host, run, &attempt);
                 }
                 Event::End { host, run } => self.hosts[host].record_end(now, run, Completion::Done),
                 Event::Digest => self.exchange_digests(now),
@@ -248,7 +248,7 @@
                     attempt.request.prompt.as_ref().expect("engines' requests have prompts");
                 let first = read + FIRST_EVENT_DELAY;
                 let end = first + EVENT_TIME * (prompt.max_output_tokens / EVENT_TOKENS);
-                self.agenda.push(first, Event::FirstEvent { host, run, attempt });
+                self.agenda.push(first, Event::FirstToken { host, run, attempt });
                 self.agenda.push(end, Event::End { host, run });
             }
             Placement::Refuse { retry_after, .. } if !attempt.is_retry => {
--- a/crates/portfield/tests/flood.rs
+++ b/crates/portfield/tests/flood.rs
@@ -1,16 +1,16 @@
 //! A flood at hosts that are short of processor time: what is served of it.
 
 mod agenda;
-mod rationed;
+mod overload_simulation;
 
-use rationed::{Flood, Got, play};
+use overload_simulation::{Outcomes, Workload, simulate};
 
 /// What a host of the fleet passes on when nothing is refused, in requests a second.
 const BEARABLE: f64 = 120.0;
 
 /// Returns what is served a second, once the platform has had time to look at the hosts.
 fn served(rate: f64, seed: u64) -> f64 {
-    let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
+    let Outcomes { served, .. } = simulate(Workload { rate, n_hosts: 60, seconds: 10 }, seed);
     let steady = &served[3..9];
     steady.iter().sum::<u32>() as f64 / steady.len() as f64
 }
@@ -49,7 +49,7 @@
 fn hosts_that_a_flood_just_fills_take_nobody_new() {
     for seed in 1..=3 {
         let rate = 600.0;
-        let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
+        let Outcomes { served, .. } = simulate(Workload { rate, n_hosts: 60, seconds: 10 }, seed);
         // Users call less than a half unfair.
         let least = served[6..].iter().min().expect("four seconds");
         assert!(rate / 2.0 <= f64::from(*least), "seed {seed}: {served:?}");
