--- a/crates/portfield/tests/engine_simulation/mod.rs
+++ b/crates/portfield/tests/engine_simulation/mod.rs
@@ -1,9 +1,9 @@
-//! Hosts with the balancer that runs in them, engines after the users' page, callers that come back
-//! once: a load is played in virtual time, and what callers get is counted.
+//! Discrete-event simulation of hosts with the real balancer, of engines as the users specify them,
+//! and of callers that retry once; counts what callers get.
 //!
-//! An engine reads prompts one after the other in order of arrival, at one speed, and knows no
-//! priority; a shared part that it has read is not read again. What it leaves out: reading slows
-//! down with the requests that run, and memory does not run out.
+//! An engine reads prompts in order of arrival at a constant speed, without priorities, and does
+//! not read a cached part again. Not modelled: reading that slows down with the number of running
+//! requests, and eviction.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -21,72 +21,72 @@
 
 use crate::agenda::Agenda;
 
-/// Time over which shares are kept.
+/// Time over which shares are computed.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time between two digests of a host.
 const DIGEST_PERIOD: Duration = Duration::from_millis(50);
 /// Time from the end of reading to the first event.
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(50);
-/// Time for one event.
+/// Time to generate one event.
 const EVENT_TIME: Duration = Duration::from_millis(20);
 /// Tokens in one event.
 const EVENT_TOKENS: u32 = 5;
-/// What the hosts' clocks show when the load begins.
+/// Virtual time at which the load begins.
 const START: Duration = Duration::from_secs(1);
 
-/// A fleet and how long it is played.
+/// A fleet and the duration of its simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
     pub n_hosts: usize,
     pub n_engines: usize,
-    /// Tokens that an engine reads in a millisecond.
+    /// Tokens that an engine reads per millisecond.
     pub tokens_per_ms: f64,
-    /// What the configuration says that all engines handle, in tokens a second.
+    /// Configured capacity of all engines together, in tokens per second.
     pub capacity: f64,
     pub duration: Duration,
 }
 
-/// What one workspace asks for: one kind of prompt, evenly drawn over its shared parts.
+/// Demand of one workspace: one kind of prompt, with shared parts drawn uniformly.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     pub workspace: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Shared parts, and the tokens of each.
+    /// Number of shared parts, and tokens of each.
     pub shared_parts: (u64, u32),
-    /// Tokens of the prompt's own, on average; they are drawn up to twice that.
+    /// Mean tokens of the prompt's own part, which is drawn uniformly up to twice that.
     pub own_tokens: u32,
     /// Tokens generated.
     pub output_tokens: u32,
     pub objective: Duration,
 }
 
-/// What became of a workspace's requests.
+/// Outcomes of a workspace's requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Outcomes {
     pub asked: u32,
     pub in_time: u32,
     pub late: u32,
-    /// Not served, also not when they came back.
+    /// Refused, and refused again on retry.
     pub refused: u32,
 }
 
 impl Outcomes {
-    /// Returns the part that was answered within its objective, from the first try on.
+    /// Returns the part answered within the objective, counted from the first attempt.
     pub fn in_time_ratio(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.asked.max(1))
     }
 }
 
-/// Plays a load; the seed draws when requests come and what they ask.
+/// Simulates a load; the seed determines the times of requests and their prompts.
 pub fn simulate(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Outcomes> {
     let mut it = Simulation::new(fleet, demands, seed);
     it.run();
     it.outcomes
 }
 
-/// Plays a load and returns what each workspace asked for and got in each second, in tokens; who
-/// comes back asks again.
+/// Simulates a load and returns the tokens that each workspace asked for and got in each second; a
+/// retry asks again.
 pub fn simulate_tokens(fleet: Fleet, demands: &[Demand], seed: u64) -> HashMap<u32, Vec<Tokens>> {
     let mut it = Simulation::new(fleet, demands, seed);
     it.run();
@@ -100,9 +100,9 @@
     pub granted: f64,
 }
 
-/// Returns the least part that a workspace got of the lesser of what it asked and what the best
-/// served one got, second by second, over all spans of `n_seconds`: the users call less than a half
-/// unfair.
+/// Returns the lowest ratio, over all spans of `n_seconds`, of the tokens that a workspace got to
+/// those that it was entitled to: in each second the lesser of what it asked for and what the best
+/// served workspace got. Users call less than a half unfair.
 pub fn min_fairness(tokens: &HashMap<u32, Vec<Tokens>>, workspace: u32, n_seconds: usize) -> f64 {
     let own = &tokens[&workspace];
     let ratio = |from: usize| {
@@ -116,7 +116,7 @@
     (0..=own.len() - n_seconds).map(ratio).fold(f64::INFINITY, f64::min)
 }
 
-/// A request of a caller, at one of its tries.
+/// One attempt at a caller's request.
 #[derive(Debug, Clone)]
 struct Attempt {
     request: PlacementRequest,
@@ -134,7 +134,7 @@
 
 #[derive(Debug, Default)]
 struct Engine {
-    /// When it has read all that it was sent.
+    /// When it will have read everything it was sent.
     idle_at: Duration,
     cached: HashSet<u64>,
 }
@@ -175,7 +175,7 @@
         res
     }
 
-    /// Draws the times of a workspace's requests, with exponential gaps.
+    /// Schedules a workspace's requests with exponentially distributed gaps.
     fn schedule(&mut self, demand: &Demand) {
         let mut at = START;
         loop {
@@ -263,7 +263,7 @@
         let n_seconds = self.fleet.duration.as_secs() as usize;
         let seconds = self.tokens.entry(attempt.request.workspace).or_default();
         seconds.resize(n_seconds, Tokens::default());
-        // What comes back after the load has ended counts nowhere.
+        // Retries after the end of the load are not counted.
         if let Some(it) = seconds.get_mut(now.saturating_sub(START).as_secs() as usize) {
             it.asked += tokens.asked;
             it.granted += tokens.granted;
@@ -302,7 +302,7 @@
 }
 
 impl Engine {
-    /// Returns when it has read a prompt that comes now.
+    /// Returns when a prompt that arrives now will have been read.
     fn read(&mut self, now: Duration, request: &PlacementRequest, tokens_per_ms: f64) -> Duration {
         let parts = request.prompt.iter().flat_map(|it| &it.parts);
         let uncached: u32 = parts.filter(|it| self.cached.insert(it.id)).map(|it| it.tokens).sum();
--- a/crates/portfield/tests/overload_simulation/mod.rs
+++ b/crates/portfield/tests/overload_simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Hosts whose processor time is rationed, the platform that sends callers to them, and one caller that keeps
-//! connections: a flood is played in virtual time with the governor that runs in the hosts.
+//! Discrete-event simulation of a traffic flood: hosts with a fraction of a core and the real load
+//! shedder, the platform that sends callers to them, and one caller that keeps connections open.
 //!
-//! A host does one thing after the other, each at its cost, in order of arrival. What it leaves out: engines, which
-//! have room for all, and hosts' own work beside requests.
+//! A host handles one piece of work after the other in order of arrival, each at a fixed cost. Not
+//! modelled: engines, which always have capacity, and the hosts' background work.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,59 +16,59 @@
 const CONNECTION_COST: Duration = Duration::from_micros(10);
 /// Processor time of reading and refusing a request.
 const REFUSAL_COST: Duration = Duration::from_micros(50);
-/// Processor time of placing a request and sending it on.
+/// Processor time of placing a request and sending it to an upstream.
 const PLACEMENT_COST: Duration = Duration::from_micros(300);
-/// Processor time of passing on one event.
+/// Processor time of relaying one event.
 const EVENT_COST: Duration = Duration::from_micros(40);
 /// Events of a stream, and the time between two of them.
 const N_EVENTS: u32 = 12;
 const EVENT_INTERVAL: Duration = Duration::from_millis(60);
-/// Messages that a request counts as, for the governor.
+/// Cost of a request for the load shedder, in messages.
 const REQUEST_WORK: f64 = 2.0 + N_EVENTS as f64;
-/// Time between two looks of a host at how late its timers fire.
+/// Time between two measurements of a host's timer lateness.
 const TIMER_PERIOD: Duration = Duration::from_millis(25);
-/// Time between two questions of the platform, and misses after which it sends nobody new.
+/// Period of the platform's probes, and failed probes after which it sends no new callers.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
 const MAX_FAILED_PROBES: u32 = 2;
-/// Time after which the platform takes a question for missed.
+/// Time after which the platform counts an unanswered probe as failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time to the first event that callers are content with; a host sends on nothing that has waited longer.
+/// Latency objective of the callers; a host does not place a request that has waited longer.
 const OBJECTIVE: Duration = Duration::from_secs(1);
-/// Time that callers wait for an answer; of what is left they wait a third at most before they come back.
+/// Time that callers wait for an answer; they retry within at most a third of what is left.
 const DEADLINE: Duration = Duration::from_secs(10);
-/// What the hosts' clocks show when the flood begins.
+/// Virtual time at which the flood begins.
 const START: Duration = Duration::from_secs(5);
 
-/// What one workspace's callers ask for.
+/// What the callers of one workspace ask for.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload {
-    /// Requests a second, those that come back apart.
+    /// Requests per second, retries not included.
     pub rate: f64,
     pub n_hosts: usize,
     pub seconds: u64,
 }
 
-/// What became of it, by second.
+/// Results by second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Outcomes {
-    /// Requests sent on to an upstream.
+    /// Requests sent to an upstream.
     pub served: Vec<u32>,
-    /// Refusals, also of what comes back.
+    /// Refusals, including those of retries.
     pub refused: Vec<u32>,
     /// Connections opened.
     pub connections: Vec<u32>,
-    /// Hosts to which the platform sends nobody new.
+    /// Hosts to which the platform sends no new callers.
     pub n_out_of_rotation: Vec<u32>,
 }
 
-/// Plays a flood; the seed draws when requests come and what the hosts draw.
+/// Simulates a flood; the seed determines the times of requests and the hosts' random numbers.
 pub fn simulate(workload: Workload, seed: u64) -> Outcomes {
     let mut it = Simulation::new(workload, seed);
     it.run();
     it.outcomes
 }
 
-/// A request of the caller, at one of its tries.
+/// One attempt at a request of the caller.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     first_sent: Duration,
@@ -76,7 +76,7 @@
     is_retry: bool,
 }
 
-/// What a host has to do.
+/// Work in a host's queue.
 #[derive(Debug, Clone, Copy)]
 enum Work {
     Request { attempt: Attempt, is_new: bool },
@@ -92,12 +92,12 @@
         host: usize,
         work: Work,
     },
-    /// The host has done one thing and looks for the next.
+    /// The host has finished a piece of work and takes the next.
     RunNext {
         host: usize,
     },
     ProbeAll,
-    /// The platform has waited long enough for an answer.
+    /// The platform stops waiting for the answer to a probe.
     ProbeTimeout {
         host: usize,
         number: u64,
@@ -111,9 +111,9 @@
     queue: VecDeque<Work>,
     is_running: bool,
     n_failed_probes: u32,
-    /// The platform sends it nobody new, as of its last question.
+    /// The platform sends it no new callers, as of its last probe.
     is_out_of_rotation: bool,
-    /// The question that the platform waits for.
+    /// The probe that the platform waits for.
     pending_probe: Option<u64>,
 }
 
@@ -123,7 +123,7 @@
     agenda: Agenda<Event>,
     n_probes: u64,
     rng: fastrand::Rng,
-    /// Hosts to which the caller has a connection that waits for its next request; it takes the one used last.
+    /// Hosts to which the caller has an idle connection; the one used last is taken first.
     idle: Vec<usize>,
     outcomes: Outcomes,
 }
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Sends a request: on a connection that waits, else on a new one to the first host of the caller's order that
-    /// the platform sends callers to. What comes back takes a new one.
+    /// Sends a request on an idle connection, or on a new one to the first host in rotation. A
+    /// retry takes a new connection.
     fn attempt(&mut self, now: Duration, attempt: Attempt) {
         let attempt = Attempt { sent: now, ..attempt };
         let idle = if attempt.is_retry { None } else { self.idle.pop() };
@@ -249,7 +249,7 @@
         self.agenda.push(now + cost.div_f64(CPU_SHARE), Event::RunNext { host });
     }
 
-    /// Reads a request and returns what that costs.
+    /// Handles a request and returns its processor time.
     fn handle_request(&mut self, now: Duration, host: usize, attempt: Attempt) -> Duration {
         let (shed_draw, retry_draw) = (self.rng.f64(), self.rng.f64());
         let shedder = &mut self.hosts[host].shedder;
