--- a/crates/portfield/tests/flood.rs
+++ b/crates/portfield/tests/flood.rs
@@ -1,16 +1,16 @@
 //! Overload of hosts that are short of CPU time: how much of it they still serve.
 
 mod event_queue;
-mod rationed;
+mod overload_simulation;
 
-use rationed::{Flood, Got, play};
+use overload_simulation::{Outcomes, Workload, simulate};
 
 /// Requests a second that a host relays if none is refused.
 const CAPACITY: f64 = 120.0;
 
 /// Returns the requests served per second, once the platform has had time to check the hosts.
 fn served_per_second(rate: f64, seed: u64) -> f64 {
-    let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
+    let Outcomes { served, .. } = simulate(Workload { rate, n_hosts: 60, seconds: 10 }, seed);
     let steady = &served[3..9];
     steady.iter().sum::<u32>() as f64 / steady.len() as f64
 }
@@ -52,7 +52,7 @@
 fn hosts_filled_by_an_overload_stay_out_of_rotation() {
     for seed in 1..=3 {
         let rate = 600.0;
-        let Got { served, .. } = play(Flood { rate, n_hosts: 60, seconds: 10 }, seed);
+        let Outcomes { served, .. } = simulate(Workload { rate, n_hosts: 60, seconds: 10 }, seed);
         // Less than half of the load counts as unfair to users.
         let least = served[6..].iter().min().expect("four seconds");
         assert!(rate / 2.0 <= f64::from(*least), "seed {seed}: {served:?}");
