--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -1,4 +1,4 @@
-//! Pages for the platform and for operators: readiness, metrics, refused requests.
+//! HTTP endpoints for the platform and operators: readiness, metrics, quarantine and evacuations.
 
 use http_types::{Method, Request, Response};
 use portfield::quarantine::Fingerprint;
@@ -12,12 +12,12 @@
 
 /// Path of the metrics.
 const METRICS: &str = "/metrics";
-/// Path of the requests that are refused because upstreams ended under them; below it, each by its fingerprint.
+/// Path of the quarantined requests; each one is below it, by fingerprint.
 const QUARANTINE: &str = "/quarantine";
-/// Path of the data centres that are to get nothing.
+/// Path of the evacuated data centres.
 const EVACUATIONS: &str = "/evacuations";
 
-/// Answers the platform's question whether callers may be sent here.
+/// Handles the platform's readiness check.
 pub(crate) fn readiness(host: &Host, request: &Request) -> Response {
     if request.url().path() != portfield_platform::READY_PATH {
         return http1::json(404, &"no such page");
@@ -27,7 +27,7 @@
     if is_ready { http1::json(200, &"ready") } else { http1::json(503, &"not ready") }
 }
 
-/// Answers operators.
+/// Handles a request of an operator.
 pub(crate) fn handle_operator(host: &Host, request: &Request) -> Response {
     let path = request.url().path();
     match (request.method(), path, path.strip_prefix("/quarantine/")) {
@@ -39,11 +39,11 @@
     }
 }
 
-/// A data centre that is to get nothing.
+/// An evacuated data centre.
 #[derive(Debug, Serialize)]
 struct EvacuatedDataCentre {
     data_centre: String,
-    /// Upstreams there that would else take requests.
+    /// Number of upstreams there that would otherwise take requests.
     n_upstreams: usize,
 }
 
@@ -56,13 +56,13 @@
     })
 }
 
-/// A request that is refused.
+/// A quarantined request.
 #[derive(Debug, Serialize)]
 struct QuarantinedRequest {
     fingerprint: String,
-    /// Its workspace, empty where the configuration has none of that hash.
+    /// Name of its workspace, empty if the configuration has none with that hash.
     workspace: String,
-    /// Upstreams that ended under it.
+    /// Number of upstreams that ended while running it.
     n_ends: usize,
     /// Seconds until it is tried again.
     left_s: u64,
@@ -84,7 +84,7 @@
     verdicts.iter().map(show).collect()
 }
 
-/// Lets a request run again, here and, by the next digests, at the other hosts.
+/// Lifts the quarantine of a request, here and, with the next digests, at the other hosts.
 fn lift(host: &Host, fingerprint: &str) -> Response {
     let Ok(fingerprint) = Fingerprint::from_str_radix(fingerprint, 16) else {
         return http1::json(400, &"name a fingerprint: up to 16 hexadecimal digits");
--- a/crates/portfield-host/src/atomic_instant.rs
+++ b/crates/portfield-host/src/atomic_instant.rs
@@ -1,4 +1,4 @@
-//! When something last happened.
+//! A point in time that tasks share without a lock.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -7,21 +7,21 @@
 
 use portfield_net::clock;
 
-/// When something last happened, if it did, shared by tasks; to the millisecond.
+/// The time at which something last happened, if ever, in whole milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct AtomicInstant {
-    /// Milliseconds since the start, at least one; zero for never.
+    /// Milliseconds since process start, at least one; zero for never.
     millis: AtomicU64,
 }
 
 impl AtomicInstant {
-    /// Notes that it happens now.
+    /// Sets the time to now.
     pub(crate) fn set_now(&self) {
         let now = clock::now().as_millis() as u64;
         self.millis.store(now.max(1), Ordering::Relaxed);
     }
 
-    /// Returns how long ago it happened, `None` if it never did.
+    /// Returns the time elapsed since then, `None` if it was never set.
     pub(crate) fn elapsed(&self) -> Option<Duration> {
         match self.millis.load(Ordering::Relaxed) {
             0 => None,
--- a/crates/portfield-host/src/evacuations.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! The operator's orders that a data centre gets nothing: how they come into force at this host.
+//! Evacuation orders of the operator: an evacuated data centre gets no requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,9 +11,8 @@
     table_read::{ReadScope, TableRead},
 };
 
-/// Takes rows of the operator's table.
-///
-/// The row's key is the order: one whose value cannot be read stands all the same.
+/// Applies rows of the operator's table.
+/// || The key alone makes the order: it stands even if its value cannot be decoded.
 pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
     let order = |it: &Row| {
         let data_centre = store::evacuated(&it.key)?.to_owned();
@@ -25,7 +24,8 @@
     }
     let TableRead { version, scope, source } = *reading;
     let source = match scope {
-        // Only a copy has lost what the operator wrote: a store that was merely away has not.
+        // Only a restore from a backup loses the operator's orders; an outage of the store does
+        // not.
         ReadScope::Restored => source,
         ReadScope::Changes | ReadScope::Full => Source::Current,
     };
@@ -36,13 +36,13 @@
     record_changes(host, &changes, "store");
 }
 
-/// Takes another host's orders, as of a version of the store.
+/// Merges another host's orders, as of a version of the store.
 pub(crate) fn merge_peer_orders(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
     let changes = host.update_list(|it| it.evacuations.learn(clock::now(), version, list));
     record_changes(host, &changes, "host");
 }
 
-/// Ends orders that the store has lost and the operator did not write again.
+/// Ends orders that the store lost and the operator did not write again.
 pub(crate) fn expire(host: &Arc<Host>, now: Duration) {
     if !host.with_list(|it| it.evacuations.has_late(now)) {
         return;
@@ -51,7 +51,7 @@
     record_changes(host, &changes, "lost by the store");
 }
 
-/// Tells what came into force, and has upstreams that may be used again start slowly.
+/// Logs and counts order changes, and treats upstreams in data centres that are used again as cold.
 fn record_changes(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
     let orders = host.with_list(|it| it.evacuations.version());
     for OrderChange { data_centre, is_lifted } in changes {
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -1,4 +1,4 @@
-//! The way of one request: sent until an upstream answers, and answered.
+//! Forwards one request to upstreams until one responds, and returns the response.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     state::Host,
 };
 
-/// Serves a request to its end.
+/// Serves a request until its response is complete or streaming.
 pub(crate) async fn serve_request(host: Arc<Host>, call: Call) -> Response<Body> {
     host.deposit_retry(call.job.service);
     let mut exchange = Exchange::new(host, call);
@@ -37,11 +37,11 @@
     }
 }
 
-/// Reads an answer whole before it is passed on, so that one that breaks never looks whole.
+/// Reads a response to its end before passing it on, so that a broken one never looks complete.
 ///
 /// # Errors
 ///
-/// The exchange, where the answer broke or is an error and the request may be sent again.
+/// The exchange, if the response broke or is a server error, and the request may be sent again.
 async fn buffer_response(
     mut exchange: Exchange,
     response: Box<UpstreamResponse>,
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -1,4 +1,4 @@
-//! The store's table of hosts: this host's address in it, and the others'.
+//! Registers this host in the store's table of hosts, and discovers the other hosts there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,16 +11,16 @@
     store_watch::{MAX_PAUSE, truncate_error},
 };
 
-/// Time between two looks of a host that follows the store at the table of hosts; hosts learn of new
-/// ones from digests before.
+/// Interval at which readers of the store read the table of hosts; new hosts are mostly known from
+/// digests earlier.
 const HOSTS_PERIOD: Duration = Duration::from_secs(15);
-/// Time between two looks whether the store has lost what this host wrote.
+/// Interval for checking whether the store was restored and lost this host's rows.
 const REREGISTER_PERIOD: Duration = Duration::from_millis(500);
-/// Time over which hosts write their rows again once the store went back: it takes 300 transactions a second, and
-/// has to take the upstreams' and the operator's first.
+/// Time over which hosts spread the rewriting of their rows after a restore: the store takes 300
+/// transactions per second, and the rows of upstreams and operator come first.
 const REREGISTER_SPREAD: Duration = Duration::from_secs(4);
 
-/// Writes this host's address to the store and reads the others', for ever.
+/// Registers this host and reads the other hosts' rows, forever.
 pub(crate) async fn run(host: Arc<Host>, store: Store) {
     register(&host, &store).await;
     host.rt.spawn(reregister(host.clone(), store.clone()));
@@ -54,7 +54,7 @@
     }
 }
 
-/// Writes this host's address to the store, until the store has it.
+/// Writes this host's row, retrying until the store has it.
 async fn register(host: &Host, store: &Store) {
     let own_address = host.settings().peers.to_string();
     let data_centre = host.settings().data_centre.clone();
@@ -65,7 +65,7 @@
     }
 }
 
-/// Writes again what this host wrote, each time that the store came back from a copy of itself.
+/// Writes this host's rows again after each restore of the store from a backup.
 async fn reregister(host: Arc<Host>, store: Store) {
     let mut written = host.store_era();
     loop {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Learns of a host by its row: its address, and the name of its data centre.
+/// Adds a host from its row: the key is its address, the value the name of its data centre.
 fn add_host(host: &Host, row: &Row) {
     let Ok(address) = row.key.parse() else {
         log::warn!(key = row.key; "no host's address");
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload and stop of the process.
+//! Start, reload and shutdown of the process.
 
 use std::{
     path::PathBuf,
@@ -20,11 +20,11 @@
     store_watch,
 };
 
-/// Time between two looks whether all requests are answered.
+/// Interval for checking whether all requests are finished during shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Time in which idle connections are closed at the end.
+/// Time-out for closing idle connections at the end of shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time before the end of the grace period at which the process ends whatever still runs.
+/// Margin before the end of the grace period at which requests still running are cut off.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 /// Runs the process until it is told to stop.
@@ -82,17 +82,17 @@
     Ok(())
 }
 
-/// Time between two looks at how late timers fire.
+/// Interval for measuring how late timers fire.
 const LOAD_PERIOD: Duration = Duration::from_millis(25);
 
-/// Tells the governor how late timers fire, and logs where callers are sent elsewhere.
+/// Feeds timer delays to the governor, and logs when the host becomes busy or idle again.
 async fn monitor_load(host: Arc<Host>) {
     let mut was_busy = false;
     let mut last_logged = clock::now();
     loop {
         let due = clock::now() + LOAD_PERIOD;
         clock::sleep(LOAD_PERIOD).await;
-        // Time that the host stood still is no load.
+        // A suspension delays timers too, but is no load.
         let was_suspended = host.check_suspension().is_some();
         let now = clock::now();
         let (is_busy, late) = {
@@ -113,10 +113,11 @@
     }
 }
 
-/// Time between two log lines that count what callers send to a host which refuses some of it.
+/// Interval of the log line with the counts of callers' connections and requests.
 const INGRESS_PERIOD: Duration = Duration::from_secs(1);
 
-/// Logs what callers sent of late, where some of it was refused for want of processor time, or callers are sent elsewhere.
+/// Logs the counts of the last interval if requests were refused for lack of processor time or the
+/// host is busy.
 fn log_ingress(host: &Host, late: f64, is_busy: bool) {
     let counts = host.ingress.take();
     let n_refused = counts.n_refused();
@@ -132,10 +133,10 @@
     );
 }
 
-/// Time that the last log lines get to be written.
+/// Time for the last log lines to be written.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
 
-/// Reads the settings again; those that cannot change while the process runs stay.
+/// Reloads the settings; those that need a restart keep their value.
 fn reload(host: &Arc<Host>, path: &std::path::Path) {
     match Settings::open(path) {
         Ok(new) => {
--- a/crates/portfield-host/src/main.rs
+++ b/crates/portfield-host/src/main.rs
@@ -1,7 +1,6 @@
-//! `portfield-host`: the router of one host on the users' platform.
-//!
-//! It takes callers' requests, places each on an upstream by its own decision, and relays the
-//! answer. What it knows comes from the platform's store and from the other hosts' digests.
+//! `portfield-host`: the router process of one host.
+//! || Accepts callers' requests, places each of them on an upstream without asking anyone, and
+//! relays the response. Its state comes from the platform's store and the other hosts' digests.
 
 mod active_probes;
 mod admin;
@@ -40,7 +39,7 @@
 
 use crate::settings::Settings;
 
-/// The router of one host on the users' platform.
+/// The router process of one host.
 #[derive(Debug, Parser)]
 #[command(name = "portfield-host", version)]
 struct Args {
--- a/crates/portfield-host/src/metrics.rs
+++ b/crates/portfield-host/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, as text in the Prometheus format.
+//! Counters and latency histograms, rendered in the Prometheus text format.
 
 use std::{
     collections::BTreeMap,
@@ -9,12 +9,12 @@
 
 use hdrhistogram::Histogram;
 
-/// Quantiles that are shown.
+/// Quantiles shown for each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
-/// Longest time that is told apart, in milliseconds: an hour.
+/// Highest recorded value in milliseconds, one hour; longer times count as this.
 const MAX_MILLIS: u64 = 3_600_000;
 
-/// Counters and histograms by name; a name may carry labels in braces.
+/// Counters and histograms by name; a name may end with labels in braces.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
     counters: Mutex<BTreeMap<String, u64>>,
@@ -22,13 +22,13 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub(crate) fn count(&self, name: &str) {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         count(&mut counters, name);
     }
 
-    /// Records a time.
+    /// Records a duration in a histogram.
     pub(crate) fn record_time(&self, name: &str, time: Duration) {
         let mut times = self.times.lock().unwrap_or_else(PoisonError::into_inner);
         let millis = (time.as_millis() as u64).clamp(1, MAX_MILLIS);
@@ -36,14 +36,14 @@
             it.saturating_record(millis);
             return;
         }
-        // The bounds are constants that are accepted.
+        // Cannot fail: the bounds are valid constants.
         if let Ok(mut it) = Histogram::new_with_bounds(1, MAX_MILLIS, 2) {
             it.saturating_record(millis);
             times.insert(name.to_owned(), it);
         }
     }
 
-    /// Writes everything, with gauges read at this moment.
+    /// Renders all metrics, with the given gauges.
     pub(crate) fn render(&self, gauges: &[(&str, f64)]) -> String {
         let mut res = String::new();
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Counts one more under a name, which is copied the first time only.
+/// Increments the counter of a name, which is copied only the first time.
 pub(crate) fn count(counts: &mut BTreeMap<String, u64>, name: &str) {
     match counts.get_mut(name) {
         Some(it) => *it += 1,
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -1,4 +1,4 @@
-//! What is newer at another host, fetched on request by gRPC.
+//! Fetches what another host knows in a newer version, and serves such requests, over gRPC.
 
 use std::{
     net::SocketAddr,
@@ -25,25 +25,25 @@
     upstream_list::UpstreamList,
 };
 
-/// Time in which another host tells its configuration: a second host is asked within the two
-/// seconds in which a change must be in force.
+/// Time-out for a configuration. Leaves time to ask a second host within the two seconds in which a
+/// change must be in force.
 const CONFIG_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time in which another host tells its whole list: 600 KB at 3,000 upstreams, from a quarter of a core.
+/// Time-out for a whole list: 600 KB for 3,000 upstreams, sent by a host with a quarter of a core.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which it tells what changed: a second host is asked within the two seconds after which no
-/// upstream that leaves may be sent requests.
+/// Time-out for list changes. Leaves time to ask a second host within the two seconds after which a
+/// draining upstream must get no more requests.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What another host is asked for, each by itself: a long list holds up no configuration.
+/// What to fetch from another host; fetched separately so that a long list delays no configuration.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Wanted {
     Config,
     List,
-    /// The operator's orders.
+    /// The operator's evacuation orders.
     Orders,
 }
 
-/// Fetches from another host, unless the same is being fetched.
+/// Starts to fetch from another host, unless such a fetch is already running.
 pub(super) fn start(
     host: &Arc<Host>,
     address: SocketAddr,
@@ -69,7 +69,7 @@
     });
 }
 
-/// Asks another host for what is newer there, and adopts it.
+/// Asks another host for newer versions and applies them.
 async fn fetch(host: &Arc<Host>, address: SocketAddr, wanted: Wanted) -> eyre::Result<()> {
     let stream = TcpStream::connect(address).await?;
     let channel = rpc::Channel::open(&host.rt, stream).await?;
@@ -86,8 +86,8 @@
     Ok(())
 }
 
-/// Asks for what is newer than this host knows; nothing is newer than the last version, so that the other parts are
-/// left out of the reply.
+/// Builds a request for versions newer than this host's. Parts that are not wanted carry the
+/// highest version, so that the reply leaves them out.
 fn request(host: &Host, wanted: Wanted) -> KnowledgeRequest {
     let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::LAST, StoreVersion::LAST);
     match wanted {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Takes another host's orders of the operator.
+/// Merges the evacuation orders in another host's reply.
 fn apply_orders(host: &Arc<Host>, reply: &mut KnowledgeReply) {
     let version = StoreVersion::new(reply.orders_era, reply.orders_version);
     if version == StoreVersion::default() {
@@ -124,7 +124,7 @@
     evacuations::merge_peer_orders(host, version, list);
 }
 
-/// Takes another host's list, or what changed in it.
+/// Applies another host's upstream list, or the changes in it.
 fn apply_reply(host: &Host, mut reply: KnowledgeReply) {
     let now = clock::now();
     host.with_list(|it| {
@@ -142,7 +142,7 @@
     });
     let gone = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
     let rows: Vec<ListRow> = set.chain(gone).collect();
-    // The other host tells which entries may only have lapsed.
+    // The entries that may only have expired are marked by the other host as held.
     let table_read = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
         scope: if reply.is_partial { ReadScope::Changes } else { ReadScope::Full },
@@ -155,14 +155,14 @@
     });
 }
 
-/// Answers the other hosts.
+/// gRPC service that tells other hosts what this one knows.
 #[derive(Debug, Clone)]
 pub(crate) struct PeersService {
     host: Arc<Host>,
 }
 
 impl PeersService {
-    /// Builds the service.
+    /// Creates the service.
     pub(crate) fn new(host: Arc<Host>) -> Self {
         Self { host }
     }
@@ -192,17 +192,18 @@
     }
 }
 
-/// Writes for how long something is still kept that the store lacks: zero where it does not lack it.
+/// Encodes how long an item that is missing from the store is still kept, in milliseconds; zero if
+/// the store has it.
 fn held_ms(left: Option<Duration>) -> u32 {
     left.map_or(0, |it| (it.as_millis() as u32).max(1))
 }
 
-/// Reads what [`held_ms`] wrote.
+/// Decodes a value of [`held_ms`].
 fn held_time(millis: u32) -> Option<Duration> {
     (0 < millis).then(|| Duration::from_millis(u64::from(millis)))
 }
 
-/// Tells the operator's orders to a host that knows an older version of them.
+/// Adds the evacuation orders to a reply, if the other host knows an older version.
 fn fill_orders(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.evacuations.version();
     if version <= known {
@@ -219,8 +220,9 @@
     reply.lifted = lifted.into_iter().map(|it| tell(it, None)).collect();
 }
 
-/// Tells the list to a host that knows an older version of it, or what changed since where that is
-/// known: one entry of some 200 bytes in place of 65 KB at 325 upstreams.
+/// Adds the upstream list to a reply, if the other host knows an older version. Sends only the
+/// changes where they are known: one entry takes some 200 bytes, the whole list 65 KB for 325
+/// upstreams.
 fn fill_list(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
     let version = listed.directory.version();
     (reply.list_version, reply.list_era) = (version.number, version.era);
--- a/crates/portfield-host/src/peers/mod.rs
+++ b/crates/portfield-host/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! What hosts tell each other: digests by UDP, and what is newer on request by gRPC.
+//! Communication between hosts: digests over UDP, and newer configurations, lists and orders
+//! fetched by gRPC.
 
 mod fetch;
 mod receive;
@@ -12,10 +13,10 @@
 
 use crate::state::Host;
 
-/// The socket for digests, bound to the address that names this host.
+/// UDP socket for digests, bound to the address by which other hosts know this one.
 type PeerSocket = Arc<Async<std::net::UdpSocket>>;
 
-/// Starts the tasks.
+/// Starts the tasks that send and receive digests.
 pub(crate) fn start(host: &Arc<Host>, socket: Async<std::net::UdpSocket>) {
     let socket = Arc::new(socket);
     host.rt.spawn(send::run(host.clone(), socket.clone()));
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! What this host hears from the others.
+//! Receives digests from other hosts.
 
 use std::{
     net::SocketAddr,
@@ -26,16 +26,16 @@
     upstream_signals,
 };
 
-/// Largest datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 60_000;
-/// Least time between two fetches of the list: it changes in quick succession.
+/// Minimum time between two fetches of the list, which often changes several times in a row.
 const LIST_FETCH_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for which another host's list may be newer before a host that follows the store itself
-/// takes it from there: its own call may hang on a connection that has fallen silent, which it
-/// notices after 2.2 s only, and an upstream that leaves may be sent requests for two seconds.
+/// Time for which another host's list must have been newer before a host that reads the store
+/// itself fetches it. The host's own call may hang on a dead connection, which it notices only
+/// after 2.2 s, while a draining upstream must get no more requests after two seconds.
 const LIST_FETCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Listens to the others for ever.
+/// Receives datagrams forever.
 pub(super) async fn run(host: Arc<Host>, socket: PeerSocket) {
     let mut buf = vec![0; MAX_DATAGRAM];
     let mut newer = NewerVersions::default();
@@ -50,7 +50,7 @@
         };
         let last_resumed = host.resumed_at();
         if last_resumed != resumed {
-            // What lies here was said while this host stood still.
+            // Datagrams that queued up while this host was suspended are outdated.
             resumed = last_resumed;
             while socket.get_ref().recv(&mut buf).is_ok() {}
             continue;
@@ -59,13 +59,13 @@
             host.metrics.count("digests_malformed");
             continue;
         };
-        // Who says it says it to all.
+        // A digest that makes its handler panic would reach, and end, every other host too.
         contain::call("digest", || handle_datagram(&host, &socket, address, digest, &mut newer));
         newer.fetch(&host);
     }
 }
 
-/// Takes a datagram: its sender's word, and what that passes on.
+/// Handles a datagram: the sender's own digest and the digests that it relays.
 fn handle_datagram(
     host: &Arc<Host>,
     socket: &PeerSocket,
@@ -78,7 +78,7 @@
         send::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
-        // An introduction tells nothing of what its sender did.
+        // An introduction carries no state of its sender.
         learn_hosts(host, &digest);
         return;
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Learns of hosts by another's word.
+/// Adds the hosts that an introduction lists.
 fn learn_hosts(host: &Host, digest: &Digest) {
     let mut others = host.peers();
     for it in &digest.hosts {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Takes one digest.
+/// Handles one digest, received directly or relayed.
 fn handle_digest(host: &Host, audience: &Audience, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
@@ -137,32 +137,32 @@
     }
 }
 
-/// The versions that this host knows, when a datagram comes.
+/// Versions known to this host when a datagram arrives.
 #[derive(Debug, Clone, Copy)]
 struct KnownVersions {
     config: u64,
     list: StoreVersion,
-    /// The operator's orders.
+    /// Version of the operator's evacuation orders.
     orders: StoreVersion,
 }
 
-/// What other hosts know that this one does not.
+/// Tracks what other hosts know in newer versions than this one.
 #[derive(Debug, Default)]
 struct NewerVersions {
     config: NewerPeer,
     list: NewerPeer,
     orders: NewerPeer,
-    /// For how long this host's list has been behind.
+    /// How long this host's list has been outdated.
     lag: Lag,
-    /// When the list may be fetched again.
+    /// Earliest time of the next list fetch.
     list_due: Duration,
     is_fetching_config: Arc<AtomicBool>,
     is_fetching_list: Arc<AtomicBool>,
     is_fetching_orders: Arc<AtomicBool>,
 }
 
-/// One of the hosts that know something newer, drawn by lot: a datagram tells of many, and all its
-/// receivers would ask the same one.
+/// A randomly chosen host that knows a newer version. A datagram reports many hosts, and all its
+/// receivers would otherwise ask the same one.
 #[derive(Debug, Default)]
 struct NewerPeer {
     from: Option<SocketAddr>,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Fetches what is newer.
+    /// Fetches the newer versions.
     fn fetch(&mut self, host: &Arc<Host>) {
         if let Some(from) = self.config.take() {
             fetch::start(host, from, Wanted::Config, &self.is_fetching_config);
@@ -222,15 +222,15 @@
     }
 }
 
-/// For how long a host's own list has been behind another's.
+/// Measures how long this host's list has been older than another host's.
 #[derive(Debug, Default)]
 struct Lag {
-    /// The version that is behind, and since when.
+    /// The outdated version, and since when it has been known to be outdated.
     since: Option<(StoreVersion, Duration)>,
 }
 
 impl Lag {
-    /// Returns for how long the list of this version has been known to be behind.
+    /// Returns how long the list has been known to be outdated in this version.
     fn grow(&mut self, now: Duration, version: StoreVersion) -> Duration {
         let since = match self.since {
             Some((same, since)) if same == version => since,
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -1,4 +1,4 @@
-//! What this host tells the others.
+//! Sends digests to the other hosts.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,13 +15,13 @@
     upstream_signals,
 };
 
-/// Bytes of other hosts' words in one datagram: half of the largest one, so that this host's own word
-/// has room beside them.
+/// Maximum bytes of relayed digests in a datagram: half of the largest datagram, which leaves room
+/// for this host's own digest.
 const MAX_RELAYED_BYTES: usize = 30_000;
-/// Time between two log lines that count the hosts heard.
+/// Interval of the log line with the number of hosts heard from.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells the others for ever what this host did.
+/// Sends this host's digests forever.
 pub(super) async fn run(host: Arc<Host>, socket: PeerSocket) {
     let mut sequence = 0;
     let mut last_logged = Duration::ZERO;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends a digest to some hosts.
+/// Sends a digest to the given addresses.
 pub(super) fn send(
     host: &Host,
     socket: &Async<std::net::UdpSocket>,
@@ -60,7 +60,7 @@
 ) {
     let bytes = digest.encode_to_vec();
     for address in addresses {
-        // A datagram that cannot be sent now is as good as lost; the next one tells all.
+        // A datagram that cannot be sent is treated as lost: the next digest repeats its content.
         if let Err(err) = socket.get_ref().send_to(&bytes, address)
             && err.kind() != io::ErrorKind::WouldBlock
         {
@@ -70,13 +70,13 @@
     }
 }
 
-/// Introduces the hosts that this one knows to one that knows none of its data centre.
+/// Sends the hosts that this one knows to a host that knows none in its data centre.
 pub(super) fn introduce(host: &Host, socket: &Async<std::net::UdpSocket>, to: SocketAddr) {
     let digest = Digest { hosts: host.peers().known(), ..header(host, 0) };
     send(host, socket, &digest, [to]);
 }
 
-/// Adds what this host did to its header.
+/// Adds this host's state to its digest header.
 fn own_digest(host: &Host, audience: &Audience, header: Digest) -> Digest {
     let mut res = header;
     res.seeks_hosts = !host.peers().knows_near();
@@ -86,7 +86,7 @@
     res
 }
 
-/// Tells who this host is and which versions it knows.
+/// Builds a digest with this host's identity and the versions that it knows.
 fn header(host: &Host, sequence: u64) -> Digest {
     let settings = host.settings();
     let (list, orders) = host.with_list(|it| (it.directory.version(), it.evacuations.version()));
@@ -106,7 +106,7 @@
     }
 }
 
-/// Adds what this host's data centre did to the host's header, in whose place the data centre stands.
+/// Builds the summary of this host's data centre; it replaces the host as the digest's sender.
 fn summary(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
     host.balancer().summarize(clock::now(), &mut res);
@@ -115,8 +115,8 @@
     res
 }
 
-/// Adds what others said, as several digests where it is too long for one datagram; each tells this
-/// host's own word, which counts once.
+/// Adds relayed digests, split over several datagrams if they are too long for one. Each datagram
+/// repeats this host's own digest, which receivers count once.
 fn split_relayed(own: Digest, relayed: Vec<Digest>) -> Vec<Digest> {
     let mut res = vec![own.clone()];
     let mut n_bytes = 0;
--- a/crates/portfield-host/src/pool.rs
+++ b/crates/portfield-host/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept between requests.
+//! Pool of idle connections to upstreams.
 
 use std::{
     collections::HashMap,
@@ -20,29 +20,28 @@
 };
 use socket2::{SockRef, TcpKeepalive};
 
-/// Time in which a connection is open or is given up; a live upstream takes some milliseconds.
+/// Time-out for opening a connection; a live upstream accepts within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which sent bytes may go unconfirmed before the connection counts as broken.
-///
-/// Longer than the first few retransmissions on a link with losses, shorter than the two seconds
-/// of silence after which callers of a stream leave.
+/// Time for which sent data may stay unacknowledged before the kernel closes the connection.
+/// || Longer than the first few retransmissions on a lossy link, shorter than the two seconds of
+/// silence after which callers abandon a stream.
 const USER_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Idle time after which the kernel asks whether the other end is still there.
+/// Idle time before, and interval between, TCP keepalive probes.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Longest idle time of a kept connection, where the upstream names none.
+/// Maximum idle time of a pooled connection.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
-/// Time before the upstream's own limit at which a kept connection is closed.
+/// Margin by which a pooled connection is closed before the upstream's own idle limit.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
-/// Idle connections kept for one upstream: bursts above this open new ones.
+/// Maximum number of idle connections per upstream; bursts above that open new ones.
 const MAX_IDLE_PER_UPSTREAM: usize = 24;
 
 /// A connection that serves one request at a time; dropping it closes it.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
-    /// It has served a request before.
+    /// Whether the connection has served a request before.
     pub reused: bool,
-    /// Looks for the caller of the next request when it is written.
+    /// Checks, when the next request is written, that its caller is still connected.
     pub guard: Guard,
     _driver: Task<()>,
 }
@@ -53,7 +52,7 @@
     until: Duration,
 }
 
-/// Idle connections by upstream.
+/// Idle connections by upstream number.
 #[derive(Debug)]
 pub(crate) struct Pool {
     rt: Runtime,
@@ -61,12 +60,12 @@
 }
 
 impl Pool {
-    /// Builds an empty pool.
+    /// Creates an empty pool.
     pub(crate) fn new(rt: Runtime) -> Self {
         Self { rt, idle: Mutex::default() }
     }
 
-    /// Takes the connection to an upstream that was used last, if one is open.
+    /// Takes the most recently used open connection to an upstream.
     pub(crate) fn take(&self, upstream: u32) -> Option<Connection> {
         let now = clock::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -80,7 +79,8 @@
         None
     }
 
-    /// Keeps a connection whose answer has ended; `limit` is the upstream's own idle limit.
+    /// Returns a connection to the pool after its response ended; `idle_limit` is the upstream's
+    /// own limit.
     pub(crate) fn put(&self, upstream: u32, mut it: Connection, idle_limit: Option<Duration>) {
         let time = idle_limit.map_or(MAX_IDLE_TIME, |it| it.saturating_sub(IDLE_MARGIN));
         it.reused = true;
@@ -103,16 +103,16 @@
         idle.retain(|_, list| !list.is_empty());
     }
 
-    /// Closes all idle connections, where descriptors have run out.
+    /// Closes all idle connections to free file descriptors.
     pub(crate) fn clear(&self) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
-    /// Opens a connection.
+    /// Opens a connection to an upstream.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says, or a time-out. Nothing of a request was sent then.
+    /// An error of the socket, or a time-out; nothing of a request was sent then.
     pub(crate) async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         let connect = Async::<std::net::TcpStream>::connect(address);
         let timed_out = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
@@ -122,8 +122,9 @@
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
         let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
         socket.set_tcp_keepalive(&keepalive)?;
-        // Closing discards what was not delivered: a request whose caller has left must not reach
-        // the upstream later, when a cut link heals. Without it a request came 1.7 s after.
+        // A zero linger time discards undelivered data on close: a request whose caller
+        // disconnected must not reach the upstream after a network partition heals. Without it, a
+        // request arrived 1.7 s later.
         socket.set_linger(Some(Duration::ZERO))?;
         let guard = Guard::default();
         let socket = Socket::guarded(stream, guard.clone());
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out, without a request, when an upstream that could not be reached can be again.
+//! Checks, without sending a request, whether an upstream is alive or reachable again.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -10,16 +10,19 @@
     state::Host,
 };
 
-/// Time before the first try; on a link that loses packets the next one mostly succeeds.
+/// Pause before the first attempt; on a link that loses packets, the next connection mostly
+/// succeeds.
 const INITIAL_PAUSE: Duration = Duration::from_millis(60);
-/// Longest time between two tries.
+/// Longest pause between two attempts.
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time for which a new connection has to stay open, where a run broke, to show that its upstream goes on.
+/// How long a new connection must stay open to show that an upstream is alive after a run broke
+/// there.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 
-/// Starts to try an upstream that could not be reached, unless it is being tried, until it is reached or
-/// gone; `err` is what the last try said.
+/// Starts connection attempts to an unreachable upstream, until it is reachable or no longer
+/// listed. `err` is the error of the last attempt. Does nothing if the upstream is being probed
+/// already.
 pub(crate) fn start_reconnect(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
     if !host.probes.begin(upstream.number()) {
         return;
@@ -33,10 +36,11 @@
     });
 }
 
-/// Starts to look whether an upstream at which a run broke is still there, unless it is being tried.
-///
-/// A run breaks with its connection or with its upstream; the one costs its callers one answer, the other all
-/// that ran there. A connection that can be opened takes the place of the broken one.
+/// Starts to check whether an upstream is alive after a run broke there, unless it is being probed
+/// already.
+/// || A run breaks with its connection, which affects one request, or with its upstream, which
+/// affects all requests there. A connection opened by the check replaces the broken one in the
+/// pool.
 pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
     if !host.probes.begin(upstream.number()) {
         return;
@@ -48,8 +52,8 @@
     });
 }
 
-/// Looks at an upstream, and once more where the new connection has ended too: one that ends may close its
-/// connections before it stops to listen.
+/// Checks an upstream, and again if the new connection is closed too: a terminating process may
+/// close its connections before its listening socket.
 async fn verify_with_retry(host: &Host, upstream: &Upstream) {
     for _ in 0..2 {
         match host.pool.connect(upstream.entry.address).await {
@@ -72,7 +76,7 @@
     }
 }
 
-/// Notes that no connection could be opened, and that the upstream ended where its address says so.
+/// Logs that no connection could be opened; a refused connection shows that the upstream ended.
 fn note_unreachable(host: &Host, upstream: &Upstream, err: &io::Error) {
     log::info!(upstream = upstream.entry.id, err:%; "upstream unreachable");
     if is_refused(err) {
@@ -80,19 +84,19 @@
     }
 }
 
-/// Returns whether nothing listens at an address any more.
+/// Returns whether the address refuses connections.
 fn is_refused(err: &io::Error) -> bool {
     err.kind() == io::ErrorKind::ConnectionRefused
 }
 
-/// Tries an upstream until it is reached or gone.
-///
-/// One at whose address nothing listened meanwhile may have started anew, before its entry says so.
+/// Attempts to connect to an upstream until it is reachable or no longer listed.
+/// || If its address refused connections meanwhile, it may have restarted before its list entry
+/// shows that.
 async fn probe_until_reachable(host: &Host, upstream: &Upstream, first: &io::Error) {
     let lost = clock::now();
     let mut has_ended = is_refused(first);
     let mut pause = INITIAL_PAUSE;
-    // One that started again under its id is another one.
+    // A restarted upstream with the same id has another hash.
     let is_listed = || host.with_list(|it| it.directory.all().any(|it| it.hash == upstream.hash));
     loop {
         clock::sleep(pause).await;
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -1,5 +1,5 @@
-//! Keeps in the store which requests are refused because upstreams ended under them: no host has a disk, and all
-//! of them may be killed at once.
+//! Persists quarantine verdicts in the store: hosts have no disk, and all of them may be killed at
+//! once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,28 +15,28 @@
     state::Host,
 };
 
-/// Pause after a call that failed; it doubles up to [`MAX_PAUSE`].
+/// Pause after a failed call; doubles up to [`MAX_PAUSE`].
 const INITIAL_PAUSE: Duration = Duration::from_millis(600);
-/// Longest such pause: what is kept matters after a loss of all hosts only, and a store that is down is not to be
-/// asked by each of them all the time.
+/// Longest such pause: the stored verdicts matter only after a loss of all hosts, and a store that
+/// is down must not be flooded with calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
-/// Time between two looks at the table while a data centre cannot be heard: what it knows of a lethal request is to be
-/// known here within three seconds.
+/// Interval for reading the table while a data centre is unreachable: a lethal request known there
+/// must be known here within three seconds.
 const PARTITION_POLL: Duration = Duration::from_millis(1500);
-/// Hosts of a data centre that read the table at their start: all of a small one, and in a large one a few, of which
-/// some may be gone.
+/// Number of hosts per data centre that read the table at their start: all hosts of a small one,
+/// and enough in a large one that some may be gone.
 const N_LOADERS: usize = 4;
-/// Rows for each workspace: a later verdict replaces one in the same place.
+/// Number of rows per workspace; a later verdict overwrites one in the same row.
 const ROWS_PER_WORKSPACE: u64 = 16;
-/// Rows removed in one call.
+/// Maximum number of rows deleted in one call.
 const MAX_DELETED: usize = 100;
 
-/// Reads what the store keeps: once, and while a data centre cannot be heard that may know more. Called when the
-/// other hosts are known.
-///
-/// In a data centre of many hosts the first ones by hash read it before they are ready, and whoever follows the store
-/// after that; the others hear it from them. On a day of 295 hosts all calls to the store were 4,122 where each read it
-/// at its start, 3,984 where these do (one play each), 3,839 without it.
+/// Reads the stored verdicts at start, and repeatedly while a data centre is unreachable that may
+/// know more. Must be called when the other hosts are known.
+/// || In a large data centre, the first hosts by hash read the table before they are ready, and the
+/// readers of the store afterwards; the others learn the verdicts from digests. On a day with 295
+/// hosts, the store got 4,122 calls in total with every host reading at its start, 3,984 with this
+/// rule and 3,839 with no reads at all (one run each).
 pub(crate) async fn load(host: Arc<Host>, store: Store) {
     let mut has_read = false;
     if host.peers().is_among_first(N_LOADERS) {
@@ -56,18 +56,18 @@
     }
 }
 
-/// Returns whether a data centre cannot be heard that may know of what is suspected here.
+/// Returns whether an unreachable data centre may know more about a request suspected here.
 fn peers_may_know_more(host: &Host) -> bool {
     let is_partitioned = host.peers().misses_centre(clock::now());
     is_partitioned && 0 < host.quarantine().n_suspects()
 }
 
-/// Reads what the store keeps; returns whether it told.
+/// Reads the stored verdicts once; returns whether that succeeded.
 async fn load_once(host: &Host, store: &Store) -> bool {
     let rows = match store.read(store::QUARANTINE).await {
         Ok(it) => it.rows,
         Err(err) => {
-            // Other hosts may tell it; callers do not wait for a store that is down.
+            // Callers do not wait for a store that is down; other hosts may report the verdicts.
             host.mark_quarantine_loaded();
             log::warn!(err:%; "quarantine not read");
             return false;
@@ -90,20 +90,21 @@
     true
 }
 
-/// Has the store keep all that this host refuses: it has lost what it kept.
+/// Queues all verdicts of this host to be written again, after the store lost them.
 pub(crate) fn persist_all(host: &Host) {
     let verdicts = host.quarantine().verdicts(clock::now());
     verdicts.iter().for_each(|it| host.persist_verdict(it.request));
 }
 
-/// Writes the requests that come in.
+/// Writes the verdicts of the queued requests.
 pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
     while let Ok(request) = requests.recv().await {
         write_verdict(&host, &store, request).await;
     }
 }
 
-/// Writes what is known against a request by then, until the store has it.
+/// Writes what is known about a request, retrying until the store has it or nothing is known any
+/// more.
 async fn write_verdict(host: &Host, store: &Store, request: Request) {
     let mut pause = INITIAL_PAUSE;
     loop {
@@ -123,17 +124,17 @@
     format!("{:08x}-{:x}", request.workspace, request.fingerprint % ROWS_PER_WORKSPACE)
 }
 
-/// Reads a row, with ages up to now.
+/// Decodes a row and adds the time since it was written to its ages.
 ///
 /// # Errors
 ///
-/// The key of a row that says nothing that still matters, or cannot be read.
+/// The key of a row that is outdated or cannot be decoded.
 fn decode_row(row: Row) -> Result<Suspect, String> {
     let stored = row.value.and_then(|it| StoredSuspect::decode(it.as_slice()).ok());
     let Some(StoredSuspect { suspect: Some(mut suspect), written }) = stored else {
         return Err(row.key);
     };
-    // A clock of another host may be ahead: what it wrote is then as of now.
+    // The clock of the writing host may be ahead; its row then counts as written now.
     let age = clock::life().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
     suspect.ends.iter_mut().for_each(|it| it.age = it.age.saturating_add(age));
     suspect.cleared = suspect.cleared.map(|it| it.saturating_add(age));
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -1,4 +1,4 @@
-//! A stream of events on its way to the caller.
+//! Relays a stream of events to the caller.
 
 use std::{io, time::Duration};
 
@@ -17,17 +17,17 @@
     response::Body,
 };
 
-/// Silence after which a stream that another upstream may go on with is moved there, as a
-/// multiple of the pause that its route allows.
+/// Factor on the route's expected gap between events that gives the silence after which a resumable
+/// stream moves to another upstream.
 const SILENCE_FACTOR: u32 = 3;
-/// The same where the route names no pause.
+/// That silence for routes without an expected gap.
 const DEFAULT_MAX_SILENCE: Duration = Duration::from_secs(2);
 
-/// Starts to relay a stream once its first event has come.
+/// Starts to relay a stream after its first event arrived.
 ///
 /// # Errors
 ///
-/// The exchange, where the stream broke before its first event and may be sent again.
+/// The exchange, if the stream broke before its first event and may be sent again.
 pub(crate) async fn relay_stream(
     exchange: Exchange,
     response: Box<UpstreamResponse>,
@@ -68,16 +68,17 @@
     response: Option<Box<UpstreamResponse>>,
     events: Events,
     first_event: Option<Duration>,
-    /// When the wait for the next piece ends.
+    /// Time-out of the current read.
     timeout: Option<clock::Alarm>,
 }
 
 impl Relay {
-    /// Returns the next whole events, `None` at the stream's end.
+    /// Returns the next complete events, `None` at the end of the stream.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let read_timeout = self.read_timeout();
-            // Only a stream that may be moved has a limit for each pause; all else one for all.
+            // A resumable stream has a time-out per read; any other has a single one for the whole
+            // response.
             if self.timeout.is_none() || read_timeout < self.exchange.call.remaining() {
                 self.timeout = Some(clock::alarm(read_timeout));
             }
@@ -103,7 +104,8 @@
                 None if self.exchange.call.remaining().is_zero() => {
                     "the route's time was up".to_owned()
                 }
-                // An engine that ran out of memory reads a prompt again: better late than cut.
+                // No alternative: an engine that ran out of memory processes the prompt again, and
+                // a late event is better than a broken stream.
                 None if self.first_event.is_some() && !self.exchange.has_alternative() => {
                     self.timeout = None;
                     continue;
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Returns how long the next piece is waited for.
+    /// Returns the time-out for the next chunk.
     fn read_timeout(&self) -> Duration {
         let left = self.exchange.call.remaining();
         if !self.exchange.may_retry() {
@@ -122,12 +124,12 @@
         }
         let route = &self.exchange.call.route;
         let pause = route.gap.map_or(DEFAULT_MAX_SILENCE, |it| it * SILENCE_FACTOR);
-        // Before the first event the engine may still be reading for others.
+        // Before the first event, the engine may still be processing the prompts of other requests.
         let pause = if self.first_event.is_none() { pause + route.objective } else { pause };
         left.min(pause)
     }
 
-    /// Notes that whole events came.
+    /// Records that complete events arrived.
     fn record_events(&mut self) {
         if self.first_event.is_none() {
             self.first_event = Some(clock::now());
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Notes the stream's whole end and keeps its connection.
+    /// Records the complete end of the stream and returns its connection to the pool.
     fn finish(&mut self) {
         let Some(response) = self.response.take() else { return };
         let UpstreamResponse { head, connection, mut run, upstream, .. } = *response;
@@ -150,11 +152,11 @@
         }
     }
 
-    /// Goes on at another upstream after the last event passed on.
+    /// Resumes the stream at another upstream, after the last event passed on.
     ///
     /// # Errors
     ///
-    /// Where that is not allowed or not possible: the caller's connection must break too.
+    /// If resuming is not allowed or fails; the caller's connection must be broken off too.
     async fn resume(&mut self, cause: String) -> io::Result<()> {
         if let Some(mut response) = self.response.take() {
             let timed_out = self.exchange.call.remaining().is_zero();
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers that the host gives by itself.
+//! Responses that the host generates itself.
 
 use std::time::Duration;
 
@@ -9,26 +9,27 @@
 use portfield_platform::request::ATTEMPT_ID;
 use serde::Serialize;
 
-/// What a caller that has left is told; nobody reads it.
+/// Error text after the caller disconnected; nobody reads it.
 pub(crate) const CALLER_LEFT: &str = "the caller has left";
-/// When it is told to come back.
+/// Retry delay of that response.
 pub(crate) const CALLER_LEFT_RETRY: Duration = Duration::ZERO;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub(crate) type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A request that is not answered by an upstream, and why.
+/// Why a request got no response from an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Failure {
-    /// Status of the answer.
+    /// Status code of the response.
     pub status: StatusCode,
-    /// The header or part that is wrong; empty if none is.
+    /// Name of the invalid header or part of the request, empty if none is.
     pub field: &'static str,
-    /// What went wrong, for logs and the caller.
+    /// Error text for the logs and the caller.
     pub reason: String,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry: Option<Duration>,
-    /// Whether it is for want of processor time, which decides what becomes of the connection.
+    /// Whether the request was refused for lack of processor time; decides whether the connection
+    /// is closed.
     pub answered: Answered,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl Failure {
-    /// Builds the rejection of a bad request.
+    /// Creates the rejection of an invalid request.
     pub(crate) fn rejected(
         status: StatusCode,
         field: &'static str,
@@ -51,28 +52,28 @@
         Self { status, field, reason: reason.into(), retry: None, answered: Answered::Served }
     }
 
-    /// Builds the refusal of a request that did not run and will not.
+    /// Creates the refusal of a request that did not run and will not.
     pub(crate) fn unavailable(reason: impl Into<String>, retry: Duration) -> Self {
         Self { retry: Some(retry), ..Self::rejected(StatusCode::SERVICE_UNAVAILABLE, "", reason) }
     }
 
-    /// Builds the refusal of a request that this host has no processor time for.
+    /// Creates the refusal of a request for lack of processor time.
     pub(crate) fn overloaded(retry: Duration) -> Self {
         Self { answered: Answered::Refused, ..Self::unavailable("this host is overloaded", retry) }
     }
 
-    /// Builds the end of a request that may have run.
+    /// Creates the failure of a request that may have run.
     pub(crate) fn outcome_unknown(status: StatusCode, reason: impl Into<String>) -> Self {
         Self::rejected(status, "", reason)
     }
 
-    /// Builds the answer.
+    /// Builds the HTTP response; `id` is the request's id.
     pub(crate) fn to_response(&self, id: &str) -> Response<Body> {
         let may_have_run =
             matches!(self.status, StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT);
         let outcome = if may_have_run { "unknown" } else { "not-run" };
         let body = ErrorBody { error: &self.reason, field: self.field, outcome };
-        // A struct of texts always becomes JSON.
+        // Serializing a struct of strings cannot fail.
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let body = Full::new(Bytes::from(body)).map_err(|it| match it {});
         let mut res = Response::new(body.boxed_unsync());
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -1,4 +1,4 @@
-//! The side towards callers.
+//! HTTP server for callers.
 
 use std::{
     convert::Infallible,
@@ -29,14 +29,15 @@
     state::Host,
 };
 
-/// Time that a connection may be idle before a configuration says so.
+/// Idle time allowed on a connection before a configuration sets it.
 const DEFAULT_IDLE: Duration = Duration::from_secs(30);
-/// Idle time allowed above the configuration's, as a factor: callers use connections up to
-/// that limit, and a request must not cross the close.
+/// Factor on the configured idle time: callers use connections up to that limit, and a request must
+/// not cross with the close.
 const IDLE_FACTOR: f64 = 1.5;
-/// Time to wait after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Largest head read, where the configuration names a smaller one; hyper's own least is 8 KB.
+/// Maximum size of a request head in bytes, even if the configuration sets a lower one; hyper's
+/// minimum is 8 KB.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Serves callers until `stop` closes, then until every connection has ended.
@@ -54,7 +55,8 @@
                 let (task, stop, open_guard) = (host.clone(), stop.clone(), open_guard.clone());
                 host.ingress.record_accepted();
                 host.rt.spawn(async move {
-                    // Else a request that ends this host would go to the next one.
+                    // Contains panics: a request that crashes this host would otherwise be retried
+                    // at, and crash, the next one.
                     let served = serve_connection(task.clone(), stream, stop);
                     contain::run("caller's connection", served).await;
                     task.ingress.record_closed();
@@ -64,7 +66,7 @@
         }
     }
     drop((listener, open_guard));
-    // Ends with an error: nobody sends, and the last connection has dropped its sender.
+    // Returns an error once the last connection dropped its sender; nothing is ever sent.
     let _ = all_closed.recv().await;
 }
 
@@ -137,15 +139,15 @@
     res
 }
 
-/// Reads a request whose caller still waits for an answer.
-///
-/// A request may have waited in the socket longer than its caller: while the process stood still, or had no
-/// descriptor left to accept the connection. hyper sees the end only after the request is on its way:
-/// requests reach upstreams up to 10 s after their callers have left.
+/// Reads a request, unless its caller has disconnected.
+/// || A request may have waited in the socket for longer than its caller did: while the process was
+/// suspended, or out of file descriptors to accept the connection with. hyper notices the
+/// disconnect only after the request was forwarded; such requests reached upstreams up to 10 s
+/// after their callers left.
 ///
 /// # Errors
 ///
-/// The answer to a request that is not to be passed on.
+/// The response to a request that must not be forwarded.
 async fn read_request(
     host: &Host,
     caller: &Arc<Async<std::net::TcpStream>>,
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -1,63 +1,64 @@
-//! Settings of a host's router on the platform.
+//! Settings of a host's router.
 
 use std::{collections::HashMap, net::SocketAddr, path::Path, time::Duration};
 
 use portfield::balance::StorePace;
 use portfield_net::settings::{Error, Reader};
 
-/// What the process is told at its start and on each reload.
+/// Settings read at start and on each reload.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Settings {
-    /// The host's name, for logs.
+    /// Name of the host, for logs.
     pub name: String,
-    /// Name of its data centre.
+    /// Name of the host's data centre.
     pub data_centre: String,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address on which the platform asks for readiness.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
     /// Address for the other hosts, TCP and UDP.
     pub peers: SocketAddr,
-    /// Address of the metrics.
+    /// Address of the metrics and operator endpoints.
     pub metrics: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Other hosts to begin with; some may be gone.
+    /// Addresses of other hosts to contact first; some may be gone.
     pub seeds: Vec<SocketAddr>,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// Part of a service's requests that may be repeated.
+    /// Retries allowed per request of a service, as a fraction.
     pub retry_ratio: f64,
-    /// Repeats allowed beside that, over the fleet and a window.
+    /// Retries allowed in addition, for the whole fleet within a window.
     pub retry_extra: f64,
-    /// The window of the retry budget.
+    /// Length of the retry budget's window.
     pub retry_window: Duration,
-    /// Time over which workspaces' shares are kept.
+    /// Time over which the usage of workspaces is averaged.
     pub share_window: Duration,
-    /// Most requests at once; each takes some 100 KB.
+    /// Maximum number of concurrent requests; each takes some 100 KB.
     pub active_limit: usize,
-    /// Most other hosts that each tell every other one what they did; above that, data centres are
-    /// summed up. Sums earned 0.06 more on one deployment of 58 hosts and 0.015 less on another.
+    /// Maximum number of other hosts up to which every host sends its digest to every other one;
+    /// above that, data centres exchange summaries. Summaries scored 0.06 higher on one deployment
+    /// of 58 hosts and 0.015 lower on another.
     pub direct_hosts: usize,
-    /// Most log lines a second.
+    /// Maximum number of log lines per second.
     pub log_lines: u64,
-    /// How the store is followed.
+    /// Timing of calls to the store.
     pub pace: StorePace,
-    /// What all hosts together may send to a cold upstream in a second, as a multiple of the rate that its service
-    /// names.
+    /// Requests per second that all hosts together may send to a cold upstream, as a multiple of
+    /// the rate that its service sets.
     pub cold_overrun: f64,
-    /// Requests allowed beside that.
+    /// Requests per second allowed in addition.
     pub cold_slack: f64,
-    /// Region of each data centre, by its name.
+    /// Region of each data centre, by name.
     pub regions: HashMap<String, String>,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`Error`] names every mistake with its key.
+    /// [`Error`] lists every invalid key.
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         let mut it = Reader::open(path);
         let res = Self {
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -1,4 +1,4 @@
-//! What one host knows and decides with, shared by its tasks.
+//! State of one host, shared by its tasks.
 
 use std::{
     collections::HashMap,
@@ -30,25 +30,25 @@
     upstream_list::UpstreamList,
 };
 
-/// Time after a connection could not be accepted for which callers are sent elsewhere: the platform
-/// asks once a second, and descriptors are freed as answers end.
+/// Time without readiness after a failed accept: the platform checks readiness once per second, and
+/// file descriptors are freed as responses end.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Time for which a host that ends still takes streams: the platform needs two misses, a second
-/// apart, to send callers elsewhere.
+/// Time after shutdown began in which new streams are still accepted: the platform stops sending
+/// callers after two failed readiness checks, one second apart.
 pub(crate) const STREAM_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 
-/// Verdicts that may wait to be written while the store is down; other hosts know them too.
+/// Maximum number of verdicts queued for the store while it is down; other hosts know them too.
 const MAX_PENDING_VERDICTS: usize = 256;
 
-/// A configuration and the bytes that it was read from.
+/// A configuration with the bytes that it was decoded from.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveConfig {
     pub catalog: Arc<Catalog>,
     pub bytes: Bytes,
 }
 
-/// One router process.
+/// One host's router process.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub rt: Runtime,
@@ -70,28 +70,27 @@
     broken_runs: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
     suspension: Mutex<Waking>,
-    /// Requests whose verdict the store is to keep.
+    /// Requests whose verdict is to be written to the store.
     verdict_queue: Sender<Request>,
-    /// When the store was first asked which requests are refused.
+    /// When the quarantine was first read from the store, or the attempt failed.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
     hosts_loaded: AtomicInstant,
-    /// How often the store came back from a copy of itself, as far as this host has heard.
+    /// Number of restores of the store from a backup, as far as this host knows.
     store_era: AtomicU64,
-    /// When the process was told to stop.
+    /// When shutdown began.
     stopping: AtomicInstant,
-    /// Held by every request that is not answered yet.
+    /// Cloned into every request in progress; the reference count is their number.
     active: Arc<()>,
-    /// When the store last answered.
+    /// When the store last responded.
     store_response: AtomicInstant,
-    /// When a connection could last not be accepted.
+    /// When accepting or opening a connection last failed.
     accept_failure: AtomicInstant,
 }
 
 impl Host {
-    /// Builds the state of a process that knows nothing yet.
-    ///
-    /// Returns with it the requests whose verdict the store is to keep, as they come.
+    /// Creates the state of a process that knows nothing yet.
+    /// || Also returns the receiver of the requests whose verdict is to be written to the store.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
         let place = Place {
             host: host_hash(settings.peers),
@@ -135,23 +134,23 @@
         (res, pending)
     }
 
-    /// Returns the settings in force.
+    /// Returns the current settings.
     pub(crate) fn settings(&self) -> Arc<Settings> {
         self.settings.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub(crate) fn active_config(&self) -> Option<ActiveConfig> {
         self.active_config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the version of the configuration in force, zero before there is one.
+    /// Returns the version of the active configuration, zero if there is none yet.
     pub(crate) fn config_version(&self) -> u64 {
         self.active_config().map_or(0, |it| it.catalog.version())
     }
 
-    /// Puts a configuration in force, unless one as new is already; `source` says where it came
-    /// from.
+    /// Activates a configuration if it is newer than the active one; `source` names its origin in
+    /// logs.
     pub(crate) fn apply_config(&self, bytes: Bytes, source: &str) {
         let decode = || portfield_platform::config::decode(&bytes);
         let Some(decoded) = contain::call("configuration", decode) else { return };
@@ -176,23 +175,23 @@
         self.metrics.count("config_changes");
     }
 
-    /// Returns the decision state.
+    /// Returns the balancer.
     pub(crate) fn balancer(&self) -> MutexGuard<'_, Balancer> {
         self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request towards a service's retry budget.
+    /// Adds a request to the retry budget of its service.
     pub(crate) fn deposit_retry(&self, service: u32) {
         self.with_budget(service, |it, _| it.earn(clock::now()));
     }
 
-    /// Pays for sending a request a second time, if the budget allows it.
+    /// Takes one retry from the budget of a service; returns `false` if none is left.
     pub(crate) fn withdraw_retry(&self, service: u32) -> bool {
         self.with_budget(service, |it, n_hosts| it.spend(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
-        // Hosts that fell silent may still repeat requests behind a cut.
+        // Hosts behind a network partition may be retrying requests too.
         let n_hosts = 1 + self.peers().n_known();
         let it = self.settings();
         let new = || RetryBudget::new(it.retry_ratio, it.retry_extra, it.retry_window);
@@ -200,37 +199,37 @@
         f(budgets.entry(service).or_insert_with(new), n_hosts)
     }
 
-    /// Returns the other hosts.
+    /// Returns the state of the other hosts.
     pub(crate) fn peers(&self) -> MutexGuard<'_, Others> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns this host's own load.
+    /// Returns the governor of this host's own load.
     pub(crate) fn governor(&self) -> MutexGuard<'_, Governor> {
         self.governor.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the runs that broke of late.
+    /// Returns the runs that recently broke.
     pub(crate) fn broken_runs(&self) -> MutexGuard<'_, Breaks> {
         self.broken_runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether this host has stood still, and what it has heard since.
+    /// Returns the tracker of suspensions of this host.
     pub(crate) fn suspension(&self) -> MutexGuard<'_, Waking> {
         self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the requests that something is known against.
+    /// Returns the requests that are suspected or quarantined.
     pub(crate) fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the store has told which requests are refused, or cannot.
+    /// Records that the quarantine was read from the store, or could not be.
     pub(crate) fn mark_quarantine_loaded(&self) {
         self.quarantine_loaded.set_now();
     }
 
-    /// Notes that the table of hosts was read.
+    /// Records that the table of hosts was read.
     pub(crate) fn mark_hosts_loaded(&self) {
         self.hosts_loaded.set_now();
     }
@@ -240,12 +239,12 @@
         self.hosts_loaded.elapsed().is_some()
     }
 
-    /// Returns how often the store came back from a copy of itself, as far as this host has heard.
+    /// Returns how often the store was restored from a backup, as far as this host knows.
     pub(crate) fn store_era(&self) -> u64 {
         self.store_era.load(Ordering::Relaxed)
     }
 
-    /// Notes the era of the store; `source` says where it was heard.
+    /// Records the era of the store; `source` names its origin in logs.
     pub(crate) fn update_store_era(&self, era: u64, source: &str) {
         let before = self.store_era.fetch_max(era, Ordering::Relaxed);
         if before < era {
@@ -253,7 +252,7 @@
         }
     }
 
-    /// Has the store keep what is known against a request.
+    /// Queues the verdict on a request to be written to the store.
     pub(crate) fn persist_verdict(&self, request: Request) {
         if self.verdict_queue.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
@@ -261,43 +260,43 @@
         }
     }
 
-    /// Returns whether a caller's connection is to be closed after an answer.
+    /// Returns whether to close a caller's connection after a response.
     pub(crate) fn should_close(&self, answered: Answered) -> bool {
         self.is_stopping() || self.governor().closes(answered) || !self.can_accept()
     }
 
-    /// Looks anew at whom to tell what this host did.
+    /// Recomputes which hosts this host's digests go to, and returns them.
     pub(crate) fn refresh_audience(&self) -> Audience {
         self.peers().look(clock::now())
     }
 
-    /// Returns whom to tell what this host did, as of the last look.
+    /// Returns which hosts this host's digests go to, as of the last refresh.
     pub(crate) fn audience(&self) -> Audience {
         self.peers().audience()
     }
 
-    /// Returns the hash that names this host among the others.
+    /// Returns the hash that identifies this host among the others.
     pub(crate) fn own_hash(&self) -> u64 {
         self.host_hash
     }
 
-    /// Notes what another host said of itself.
+    /// Records how current another host's view of the store is.
     pub(crate) fn record_follower(&self, it: Follower) {
         self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
     }
 
-    /// Notes that another host heard the store at a time.
+    /// Records that another host was in contact with the store at a time.
     pub(crate) fn record_store_contact(&self, at: Duration) {
         self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).note(at);
     }
 
-    /// Returns whether others have heard the store from a time on until now.
+    /// Returns whether other hosts were in contact with the store from a time until now.
     pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
         let witness = self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner);
         witness.covers(from, clock::now())
     }
 
-    /// Returns whether this host is to follow the store itself.
+    /// Returns whether this host is one of those that read the store themselves.
     pub(crate) fn is_store_reader(&self) -> bool {
         let data_centre = hash_name(&self.settings().data_centre);
         let now = clock::now();
@@ -306,22 +305,22 @@
         readers.is_reader(now, self.host_hash, data_centre, n_others)
     }
 
-    /// Notes that the store answered.
+    /// Records a response of the store.
     pub(crate) fn record_store_response(&self) {
         self.store_response.set_now();
     }
 
-    /// Returns how long ago the store last answered; for ever if it never did.
+    /// Returns the time since the store last responded, [`Duration::MAX`] if it never did.
     pub(crate) fn store_age(&self) -> Duration {
         self.store_response.elapsed().unwrap_or(Duration::MAX)
     }
 
-    /// Returns whether the list of upstreams is to be taken from other hosts.
+    /// Returns whether this host is to take the upstream list from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
         self.settings().pace.silent < self.store_age() || !self.is_store_reader()
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether the host is ready for callers.
     pub(crate) fn is_ready(&self) -> bool {
         let has_state =
             self.active_config().is_some() && !self.with_list(|it| it.directory.is_empty());
@@ -334,8 +333,8 @@
             && self.can_accept()
     }
 
-    /// Notes that a connection could not be opened or accepted for want of descriptors, and frees some:
-    /// kept connections now, callers' with their next answers.
+    /// Handles a lack of file descriptors: closes the pooled connections now, and callers'
+    /// connections after their next response.
     pub(crate) fn handle_fd_exhaustion(&self, err: &io::Error) {
         if self.can_accept() {
             log::warn!(err:%, active = self.n_active(); "connection not accepted");
@@ -345,44 +344,44 @@
         self.pool.clear();
     }
 
-    /// Returns whether connections could be accepted of late.
+    /// Returns whether no connection failed for lack of descriptors recently.
     fn can_accept(&self) -> bool {
         self.accept_failure.elapsed().is_none_or(|it| ACCEPT_BACKOFF < it)
     }
 
-    /// Returns whether the process was told to stop.
+    /// Returns whether shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.elapsed().is_some()
     }
 
-    /// Returns how long ago the process was told to stop.
+    /// Returns the time since shutdown began.
     pub(crate) fn stopping_elapsed(&self) -> Option<Duration> {
         self.stopping.elapsed()
     }
 
-    /// Returns whether new streams are taken: a host that was told to stop takes them only until callers
-    /// are sent elsewhere.
+    /// Returns whether new streams are accepted: during shutdown only until the platform has
+    /// stopped sending callers here.
     pub(crate) fn accepts_streams(&self) -> bool {
         self.stopping_elapsed().is_none_or(|it| it <= STREAM_ACCEPT_TIME)
     }
 
-    /// Turns readiness off for good.
+    /// Begins shutdown; the host stays not ready from now on.
     pub(crate) fn begin_shutdown(&self) {
         self.stopping.set_now();
     }
 
-    /// Returns what a request holds until it is answered.
+    /// Returns a guard that counts a request as active until it is dropped.
     pub(crate) fn track_request(&self) -> Arc<()> {
         self.active.clone()
     }
 
-    /// Returns how many requests are not answered yet.
+    /// Returns the number of requests in progress.
     pub(crate) fn n_active(&self) -> usize {
         Arc::strong_count(&self.active) - 1
     }
 }
 
-/// Returns the number of a name among the hosts.
+/// Returns the hash that stands for a name in messages between hosts.
 pub(crate) fn hash_name(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store: what the operator wrote, and the upstreams.
+//! Follows two tables of the store: the operator's settings and the upstreams.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,29 +20,30 @@
     upstream_signals,
 };
 
-/// Pause after a call that failed; grows by half of itself up to [`MAX_PAUSE`].
+/// Pause after a failed call; grows by half each time, up to [`MAX_PAUSE`].
 const INITIAL_PAUSE: Duration = Duration::from_millis(150);
-/// Longest such pause: a change must be in force two seconds after it was acknowledged.
+/// Longest such pause: a change must be in force two seconds after the store acknowledged it.
 pub(crate) const MAX_PAUSE: Duration = Duration::from_millis(600);
-/// Least time between the beginnings of two calls for what the operator wrote.
+/// Minimum time between the starts of two calls for the operator's table.
 const OPERATOR_INTERVAL: Duration = Duration::from_millis(100);
-/// The same for the list of upstreams: those that come, go or warm up one after the other are told together, and who
-/// leaves must get nothing more two seconds later.
+/// The same for the upstream list: consecutive changes are read together, while a draining upstream
+/// must get no more requests after two seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(300);
-/// Time after the first look at a table before its changes are followed: by then a host knows
-/// how many there are, and whether it is one that follows.
+/// Time between the first read of a table and the first call for its changes. By then the host
+/// knows how many others there are, and whether it is one of the store's readers.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(1000);
-/// Silence of the store after which upstreams' entries may have lapsed: shorter than the three
-/// heartbeats of 1.2 s after which the platform removes one, and longer than it holds a call.
+/// Time without a response of the store after which entries of upstreams may have expired: shorter
+/// than the three heartbeats of 1.2 s after which the platform removes one, and longer than the
+/// store holds a call.
 pub(crate) const OUTAGE_THRESHOLD: Duration = Duration::from_millis(3200);
-/// Characters of an error that are logged.
+/// Maximum length of a logged error, in characters.
 const MAX_ERROR_CHARS: usize = 200;
-/// Time between two looks whether this host is to follow the store.
+/// Interval for checking whether this host has become a reader of the store.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
-/// Time between two looks for entries that did not come back.
+/// Interval for removing expired entries.
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Starts the tasks.
+/// Starts the tasks that read from and write to the store.
 pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
     let store = Store::new(host.settings().store, CALL_TIMEOUT);
     let operator = WatchedTable {
@@ -64,35 +65,35 @@
     host.rt.spawn(run_expiry(host.clone()));
 }
 
-/// A table that is followed.
+/// A table to follow.
 #[derive(Debug, Clone, Copy)]
 struct WatchedTable {
     table: &'static str,
     knowledge: Knowledge,
-    /// Least time between the beginnings of two calls.
+    /// Minimum time between the starts of two calls.
     interval: Duration,
     apply: fn(&Arc<Host>, TableUpdate),
 }
 
-/// What came from the store.
+/// Rows read from the store.
 #[derive(Debug)]
 struct TableUpdate {
     rows: Vec<Row>,
     table_read: TableRead,
 }
 
-/// A table as this host follows it.
+/// Follows one table.
 struct TableWatcher {
     host: Arc<Host>,
     store: Store,
     watched: WatchedTable,
-    /// Changes after this version are news; `None` where the whole table is to be read.
+    /// Version after which changes are requested; `None` to read the whole table.
     version: Option<StoreVersion>,
-    /// The era of the last answer that was taken.
+    /// Era of the last response that was applied.
     era: Option<u64>,
     pause: Duration,
     last_response: Duration,
-    /// When the store last answered again after an outage.
+    /// When the store last responded again after an outage.
     recovered: Option<Duration>,
     is_unreachable: bool,
     next_interval: Duration,
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Follows the table for ever.
+    /// Follows the table forever.
     async fn run(mut self) {
         loop {
             if self.version.is_some() && !self.host.is_store_reader() {
-                // What changed meanwhile is told from this version on, or read anew.
+                // Missed changes are read from this version on, or with the whole table.
                 clock::sleep(IDLE_PERIOD).await;
                 self.last_response = clock::now();
                 continue;
@@ -131,7 +132,8 @@
                     self.back_off().await;
                 }
                 Ok(it) if self.version.is_some_and(|last| last.era != it.version.era) => {
-                    // The same number may be of another change now: only the whole table tells.
+                    // In a new era the same version number may stand for another change: read the
+                    // whole table.
                     self.host.update_store_era(it.version.era, "store");
                     self.version = None;
                 }
@@ -145,7 +147,8 @@
         let table = self.watched.table;
         match self.version {
             None => self.store.read(table).await,
-            // A host that stood still does not wait for the next change to know the last one.
+            // After a suspension, the current changes are needed at once: do not wait for the next
+            // one.
             Some(it) if !self.host.has_fresh_state() => {
                 self.store.changes(table, it, Duration::ZERO).await
             }
@@ -159,13 +162,14 @@
         if std::mem::take(&mut self.is_unreachable) {
             log::info!(table, silent_ms = silent.as_millis() as u64; "store regained");
         }
-        // Where others heard the store all the while, only the way to it was cut: what it lacks is gone.
+        // If other hosts reached the store all the time, only this host was cut off, and missing
+        // entries were really deleted.
         if OUTAGE_THRESHOLD < silent && !self.host.peers_reached_store(self.last_response) {
             self.recovered = Some(now);
         }
         self.last_response = now;
-        // A host that has only looked once follows nothing yet: others that do must not stop
-        // for it.
+        // After a first read only, this host does not follow the table yet, and must not look like
+        // a reader of the store to the others.
         if self.version.is_some() {
             self.host.record_store_response();
         }
@@ -214,7 +218,7 @@
     }
 }
 
-/// Writes an error shortened: an answer's body may be long.
+/// Formats an error, truncated: it may contain a long response body.
 pub(crate) fn truncate_error(err: &Error) -> String {
     err.to_string().chars().take(MAX_ERROR_CHARS).collect()
 }
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -1,4 +1,4 @@
-//! Whether this host stood still, and trusts what it knows of the fleet.
+//! Detection of suspensions of this host, and whether its state is fresh after one.
 
 use std::time::Duration;
 
@@ -7,9 +7,8 @@
 use crate::state::Host;
 
 impl Host {
-    /// Looks at the clock: whether this host stood still, and for how long if it has just gone on.
-    ///
-    /// Called often, and before anything that relies on what the host knows.
+    /// Checks the clock for a suspension; returns its length if the host has just resumed.
+    /// || Called often, and before any use of state that a suspension makes outdated.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
         let length = self.suspension().look(clock::now())?;
         log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host stood still");
@@ -20,13 +19,13 @@
         Some(length)
     }
 
-    /// Returns whether what this host knows of the fleet may be used.
+    /// Returns whether this host's state of the fleet is fresh enough to be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
         self.suspension().trusts(clock::now())
     }
 
-    /// Returns when this host last went on after it had stood still, if it ever did.
+    /// Returns when this host last resumed from a suspension, if ever.
     pub(crate) fn resumed_at(&self) -> Option<Duration> {
         self.check_suspension();
         self.suspension().woke_at()
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -1,4 +1,4 @@
-//! What a reading of the list of upstreams says, and how it is taken.
+//! Results of reading the upstream table, and how they are applied to the list.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,11 +9,11 @@
 
 use crate::upstream_list::UpstreamList;
 
-/// Upstreams that changed together, up to which each has a log line: a fleet of several hundred hosts
-/// that starts would else write a line for each upstream and host.
+/// Number of changed upstreams up to which each gets its own log line: when a fleet of several
+/// hundred hosts starts, every host would log a line for every upstream.
 const MAX_LOG_LINES: usize = 16;
 
-/// As of when a table was read, and what that says of rows that are missing.
+/// Version and completeness of a table read, which decide how missing rows are treated.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TableRead {
     pub version: StoreVersion,
@@ -21,30 +21,30 @@
     pub source: Source,
 }
 
-/// How much of a table was read.
+/// Which part of a table was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadScope {
-    /// What changed since the last reading.
+    /// The changes since the last read.
     Changes,
-    /// All of it.
+    /// The whole table.
     Full,
-    /// All of it, from a store that came back from a copy of itself: what it has lost may be missing, and what was over
-    /// may be there.
+    /// The whole table of a store restored from a backup: recent rows may be missing, and deleted
+    /// ones may be back.
     Restored,
 }
 
-/// One row of the list, as the store or another host tells it.
+/// One row of the upstream list, from the store or another host.
 #[derive(Debug)]
 pub(crate) struct ListRow {
     pub id: String,
-    /// The entry as the store holds it, `None` where it is gone.
+    /// The entry as stored, `None` if it was deleted.
     pub entry: Option<Vec<u8>>,
-    /// Version of the row, zero if that is not known.
+    /// Version of the row, zero if unknown.
     pub version: u64,
 }
 
 impl ListRow {
-    /// Reads the row; one of another writer names no upstream.
+    /// Decodes the row; one that cannot be decoded belongs to another writer.
     fn to_change(&self) -> Change {
         let Some(entry) = &self.entry else { return Change::Gone(self.id.clone()) };
         let decoded = contain::call("entry", || upstreams::decode(&self.id, entry));
@@ -59,22 +59,24 @@
     }
 }
 
-/// Changes the list, with a log line for each upstream that changed, or one for many; returns whether it is not older
-/// than what is known.
+/// Applies rows to the list and logs the changes; returns `false` if the read is older than the
+/// list.
 pub(crate) fn apply_list(
     list: &mut UpstreamList,
     rows: Vec<ListRow>,
     table_read: &TableRead,
 ) -> bool {
     let TableRead { version, scope, source } = *table_read;
-    // What is told on goes with the list's own version: older bytes would be taken for newer ones.
+    // Rows are passed on to other hosts with the version of the list: older rows would pass for
+    // newer ones.
     if version < list.directory.version() {
         log::info!(list:% = list.directory.version(), read:% = version; "older list passed over");
         return false;
     }
     let read: Vec<Change> = rows.iter().map(ListRow::to_change).collect();
     let directory = &mut list.directory;
-    // Who tells a list of a later era may have begun with the copy, and not know what is over.
+    // A host with a list of a later era may have started from the restored backup and not know what
+    // was deleted.
     let is_later_era = !directory.is_empty() && directory.version().era < version.era;
     let (accepted, unmodified_ids) = if scope == ReadScope::Restored || is_later_era {
         let versions = rows.iter().map(|it| it.version);
@@ -89,7 +91,7 @@
         ReadScope::Full | ReadScope::Restored => directory.replace(version, accepted, source),
     };
     rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
-    // The bytes of what was not taken as it was read are not told on.
+    // Raw bytes are passed on only for rows that were applied unmodified.
     let is_taken = |it: &ListRow| unmodified_ids.as_ref().is_none_or(|ids| ids.contains(&it.id));
     let taken = rows.into_iter().filter(is_taken);
     let bytes = taken.filter_map(|it| Some((it.id, Bytes::from(it.entry?))));
@@ -101,14 +103,15 @@
     true
 }
 
-/// Returns the ids of the changes that stand in both lists.
+/// Returns the ids of the changes that are equal in both lists.
 fn ids_in_both(read: &[Change], accepted: &[Change]) -> HashSet<String> {
     let accepted: HashMap<&str, &Change> = accepted.iter().map(|it| (it.id(), it)).collect();
     let is_accepted = |it: &&Change| accepted.get(it.id()) == Some(it);
     read.iter().filter(is_accepted).map(|it| it.id().to_owned()).collect()
 }
 
-/// Logs the entries that say `ready` of upstreams which said of themselves that they drain: these go on draining.
+/// Logs list entries that say `ready` for upstreams that announced draining in a response; they
+/// stay draining.
 fn log_draining_conflicts(directory: &Directory, changed: &[Changed], list: StoreVersion) {
     let is_draining = |id: &str| directory.drains_unlisted().any(|it| it.entry.id == id);
     for it in changed.iter().filter(|it| it.state == Some(State::Ready)) {
--- a/crates/portfield-host/src/upstream_list.rs
+++ b/crates/portfield-host/src/upstream_list.rs
@@ -1,4 +1,4 @@
-//! The upstreams that this host knows, as requests are placed on them.
+//! The list of known upstreams, indexed for placement.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -12,22 +12,23 @@
     catalog::{Directory, Evacuations, Upstream},
 };
 
-/// Upstreams and the entries they were read from, by id.
+/// Upstreams and the encoded entries they were decoded from, by id.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamList {
     pub directory: Directory,
     pub entries: HashMap<String, Bytes>,
-    /// Data centres that are to get nothing.
+    /// Evacuated data centres.
     pub evacuations: Evacuations,
-    /// By service, made anew with each change: every request reads it.
+    /// Upstreams that take requests, by service; rebuilt on each change because every request reads
+    /// it.
     pub ready: HashMap<String, Arc<ReadyUpstreams>>,
-    /// Hashes of all of them.
+    /// Hashes of all upstreams in `ready`.
     offered: HashSet<u64>,
-    /// How long upstreams said that they stay cold, by hash; those that said so.
+    /// Cold times reported by upstreams, by hash; only non-zero ones.
     reported_cold: HashMap<u64, Duration>,
 }
 
-/// The upstreams of a service that take new requests, both lists in the same order.
+/// The upstreams of a service that take new requests; both vectors have the same order.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyUpstreams {
     pub upstreams: Vec<Arc<Upstream>>,
@@ -35,7 +36,7 @@
 }
 
 impl ReadyUpstreams {
-    /// Returns those of some data centres.
+    /// Returns the upstreams in the data centres that `is_allowed` accepts.
     pub(crate) fn in_data_centres(&self, is_allowed: impl Fn(&str) -> bool) -> Self {
         let all = self.upstreams.iter().zip(&self.candidates);
         let some = all.filter(|it| is_allowed(&it.0.entry.data_centre));
@@ -50,12 +51,13 @@
         self.offered.contains(&upstream.hash)
     }
 
-    /// Has all upstreams tell again how long they stay cold: their services may be treated otherwise now.
+    /// Forgets the reported cold times, so that all of them are applied again under a new
+    /// configuration.
     pub(crate) fn reset_cold(&mut self) {
         self.reported_cold.clear();
     }
 
-    /// Returns the upstreams that say something else than before of how long they stay cold.
+    /// Returns the upstreams whose reported cold time has changed since the last call.
     pub(crate) fn take_cold_changes(&mut self) -> Vec<Arc<Upstream>> {
         let last_reported =
             |it: &Arc<Upstream>| self.reported_cold.get(&it.hash).copied().unwrap_or_default();
@@ -66,7 +68,7 @@
         res
     }
 
-    /// Makes the lists by service anew; `here` is this host's data centre.
+    /// Rebuilds the lists by service; upstreams in `own_data_centre` are marked as near.
     pub(crate) fn rebuild_ready(&mut self, own_data_centre: &str) {
         let mut ready: HashMap<String, ReadyUpstreams> = HashMap::new();
         let is_open = |it: &&Arc<Upstream>| !self.evacuations.covers(&it.entry.data_centre);
