--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -205,7 +205,7 @@
         if is_fd_limit(&err) {
             // Not the upstream's fault: when it was blamed, a host out of file descriptors stopped
             // using one healthy upstream after another.
-            host.handle_fd_exhaustion(&err);
+            host.handle_accept_failure(&err);
             return ConnectError { ending: Ending::Cancelled, text };
         }
         probe::start_reconnect(host, upstream, &err);
--- a/crates/portfield-host/src/evacuations.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -12,7 +12,8 @@
 };
 
 /// Applies rows of the operator's table.
-/// || The key alone makes the order: it stands even if its value cannot be decoded.
+///
+/// The key alone makes the order: it stands even if its value cannot be decoded.
 pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
     let order = |it: &Row| {
         let data_centre = store::evacuated(&it.key)?.to_owned();
@@ -57,7 +58,7 @@
     for OrderChange { data_centre, is_lifted } in changes {
         let store_age_ms = host.store_age().as_millis() as u64;
         if *is_lifted {
-            log::warn!(data_centre, orders:%, source, store_age_ms; "evacuation over");
+            log::warn!(data_centre, orders:%, source, store_age_ms; "evacuation ended");
             host.presume_cold_in(data_centre);
         } else {
             log::warn!(data_centre, orders:%, source, store_age_ms; "data centre evacuated");
@@ -65,7 +66,7 @@
         host.metrics.count("evacuation_changes");
         let regions = &host.settings().regions;
         if !regions.is_empty() && !regions.contains_key(data_centre) {
-            log::warn!(data_centre; "an order names no data centre");
+            log::warn!(data_centre; "evacuation order names an unknown data centre");
         }
     }
 }
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -259,8 +259,8 @@
         Ok(())
     }
 
-    /// Checks that what this host knows may be used; a stream that has begun waits for it, since its caller has part
-    /// of the answer.
+    /// Checks that this host's state is fresh; a stream that has begun waits for it, since its caller
+    /// already has a part of the response.
     async fn wait_for_fresh_state(&mut self) -> Result<(), Failure> {
         while !self.host.has_fresh_state() {
             if self.call.job.stage == Stage::New {
@@ -271,7 +271,7 @@
         Ok(())
     }
 
-    /// Checks that no upstreams ended under the request, at every send: the first, a repeat, a stream that goes on.
+    /// Checks, before every attempt, that the request is not in quarantine.
     fn check_quarantine(&self) -> Result<(), Failure> {
         let verdict = self.host.quarantine().verdict(clock::now(), self.call.quarantine_key());
         let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
@@ -296,7 +296,7 @@
         Failure::unavailable(reason, retry)
     }
 
-    /// Returns how long the next upstream is waited for.
+    /// Returns how long to wait for the next upstream's response.
     fn attempt_timeout(&self, estimate: Duration) -> Duration {
         let left = self.call.remaining();
         if self.call.route.max_attempts <= self.n_run + 1 {
@@ -309,13 +309,13 @@
         }
     }
 
-    /// Returns the final answer where no upstream gave one that counts.
+    /// Returns the final response after no upstream gave a usable one.
     pub(crate) fn into_failure_response(mut self, failure: Failure) -> Response<Body> {
         self.is_finished = true;
         if let Some(res) = self.error.take() {
             log::info!(
                 request = self.call.id, status = res.status().as_u16(), reason = failure.reason;
-                "error passed on"
+                "upstream error returned"
             );
             self.host.metrics.count("errors_passed_on");
             return res;
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -52,7 +52,7 @@
         broken => {
             let cause = match broken {
                 Some(Err(err)) => attempt::error_chain(&err),
-                _ => "the answer did not end in time".to_owned(),
+                _ => "the response did not end in time".to_owned(),
             };
             run.end(Ending::Broken);
             exchange.record_broken_response(&upstream, &cause);
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -45,7 +45,7 @@
             Err(err) => {
                 // Callers do not wait for a store that is down.
                 host.mark_quarantine_loaded();
-                log::warn!(err:% = truncate_error(&err); "hosts not read");
+                log::warn!(err:% = truncate_error(&err); "table of hosts not read");
                 clock::sleep(MAX_PAUSE).await;
                 continue;
             }
@@ -60,7 +60,7 @@
     let data_centre = host.settings().data_centre.clone();
     while let Err(err) = store.write(store::HOSTS, &own_address, data_centre.as_bytes()).await {
         host.mark_quarantine_loaded();
-        log::warn!(err:% = truncate_error(&err); "own address not written");
+        log::warn!(err:% = truncate_error(&err); "registration in the store failed");
         clock::sleep(MAX_PAUSE).await;
     }
 }
@@ -86,7 +86,7 @@
 /// Adds a host from its row: the key is its address, the value the name of its data centre.
 fn add_host(host: &Host, row: &Row) {
     let Ok(address) = row.key.parse() else {
-        log::warn!(key = row.key; "no host's address");
+        log::warn!(key = row.key; "invalid address in the table of hosts");
         return;
     };
     let name = row.value.as_deref().and_then(|it| std::str::from_utf8(it).ok());
--- a/crates/portfield-host/src/ingress.rs
+++ b/crates/portfield-host/src/ingress.rs
@@ -1,8 +1,9 @@
 //! Per-second counts of callers' connections and requests, and of requests refused for lack of
 //! processor time.
-//! || Each refusal is logged, but the log rate limit drops most lines of a host that refuses
-//! thousands per second. One summary line per second shows whether callers keep or reopen
-//! connections, and which workspaces send the requests.
+//!
+//! Each refusal is logged, but the log rate limit drops most lines of a host that refuses thousands
+//! per second. One summary line per second shows whether callers keep or reopen connections, and
+//! which workspaces send the requests.
 
 use std::{
     collections::BTreeMap,
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -44,7 +44,7 @@
         version = env!("CARGO_PKG_VERSION"); "started"
     );
     if !clock::counts_sleep() {
-        log::warn!(name = host.settings().name; "no clock counts the time asleep");
+        log::warn!(name = host.settings().name; "no clock counts time in system sleep");
     }
     let state = host.clone();
     let answer = http1::at_once(move |it| admin::readiness(&state, it));
@@ -104,7 +104,7 @@
         };
         if is_busy != was_busy {
             was_busy = is_busy;
-            log::warn!(is_busy, late_ms = late, active = host.n_active(); "own load");
+            log::warn!(is_busy, late_ms = late, active = host.n_active(); "load state changed");
         }
         if last_logged + INGRESS_PERIOD <= now {
             last_logged = now;
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -60,11 +60,11 @@
             Wanted::List if task.with_list(|it| it.directory.is_empty()) => LIST_TIMEOUT,
             Wanted::List => CHANGES_TIMEOUT,
         };
-        let timed_out = || Err(eyre::eyre!("no answer in time"));
+        let timed_out = || Err(eyre::eyre!("no response in time"));
         let res = clock::timeout(time, fetch(&task, address, wanted)).await;
         is_fetching.store(false, Ordering::Relaxed);
         if let Err(err) = res.unwrap_or_else(timed_out) {
-            log::info!(host:% = address, wanted:?, err:%; "knowledge not fetched");
+            log::info!(host:% = address, wanted:?, err:%; "fetch from host failed");
         }
     });
 }
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -18,7 +18,7 @@
 /// Maximum bytes of relayed digests in a datagram: half of the largest datagram, which leaves room
 /// for this host's own digest.
 const MAX_RELAYED_BYTES: usize = 30_000;
-/// Interval of the log line with the number of hosts heard from.
+/// Interval of the log line with the number of hosts that joined or returned.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends this host's digests forever.
@@ -46,7 +46,7 @@
         }
         if last_logged + LOG_INTERVAL <= clock::now() {
             last_logged = clock::now();
-            log_hosts_heard(&host);
+            log_hosts_joined(&host);
         }
     }
 }
@@ -133,9 +133,9 @@
     res
 }
 
-fn log_hosts_heard(host: &Host) {
+fn log_hosts_joined(host: &Host) {
     let n = host.peers().take_heard();
     if 0 < n {
-        log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts heard");
+        log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts joined or returned");
     }
 }
--- a/crates/portfield-host/src/pool.rs
+++ b/crates/portfield-host/src/pool.rs
@@ -23,7 +23,8 @@
 /// Time-out for opening a connection; a live upstream accepts within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent data may stay unacknowledged before the kernel closes the connection.
-/// || Longer than the first few retransmissions on a lossy link, shorter than the two seconds of
+///
+/// Longer than the first few retransmissions on a lossy link, shorter than the two seconds of
 /// silence after which callers abandon a stream.
 const USER_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Idle time before, and interval between, TCP keepalive probes.
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -38,9 +38,9 @@
 
 /// Starts to check whether an upstream is alive after a run broke there, unless it is being probed
 /// already.
-/// || A run breaks with its connection, which affects one request, or with its upstream, which
-/// affects all requests there. A connection opened by the check replaces the broken one in the
-/// pool.
+///
+/// A run breaks with its connection, which affects one request, or with its upstream, which affects
+/// all requests there. A connection opened by the check replaces the broken one in the pool.
 pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
     if !host.probes.begin(upstream.number()) {
         return;
@@ -69,7 +69,7 @@
                 return probe_until_reachable(host, upstream, &err).await;
             }
             Err(err) => {
-                log::debug!(upstream = upstream.entry.id, err:%; "upstream not looked at");
+                log::debug!(upstream = upstream.entry.id, err:%; "upstream check failed");
                 return;
             }
         }
@@ -90,8 +90,9 @@
 }
 
 /// Attempts to connect to an upstream until it is reachable or no longer listed.
-/// || If its address refused connections meanwhile, it may have restarted before its list entry
-/// shows that.
+///
+/// If its address refused connections meanwhile, it may have restarted before its list entry shows
+/// that.
 async fn probe_until_reachable(host: &Host, upstream: &Upstream, first: &io::Error) {
     let lost = clock::now();
     let mut has_ended = is_refused(first);
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -16,11 +16,9 @@
 const MAX_LOGGED: usize = 20;
 
 /// How it was noticed that an upstream ended.
-/// || A missing list entry is no evidence: the entries of a partitioned data centre expire too,
-/// while its upstreams keep running.
 ///
-/// That its entry is gone shows nothing: those of a data centre that is cut off go too, and the upstreams there
-/// go on.
+/// A missing list entry is no evidence: the entries of a partitioned data centre expire too, while
+/// its upstreams keep running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndEvidence {
     /// Its address refuses connections.
@@ -85,7 +83,7 @@
     if host.quarantine().clear(clock::now(), call.quarantine_key()) {
         log::info!(
             request = call.id, fingerprint = call.quarantine_key().fingerprint_text();
-            "nothing against the request any more"
+            "request cleared of suspicion"
         );
     }
 }
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -33,7 +33,8 @@
 
 /// Reads the stored verdicts at start, and repeatedly while a data centre is unreachable that may
 /// know more. Must be called when the other hosts are known.
-/// || In a large data centre, the first hosts by hash read the table before they are ready, and the
+///
+/// In a large data centre, the first hosts by hash read the table before they are ready, and the
 /// readers of the store afterwards; the others learn the verdicts from digests. On a day with 295
 /// hosts, the store got 4,122 calls in total with every host reading at its start, 3,984 with this
 /// rule and 3,839 with no reads at all (one run each).
@@ -85,7 +86,7 @@
     if !keys.is_empty()
         && let Err(err) = store.remove(store::QUARANTINE, &keys).await
     {
-        log::warn!(err:%; "quarantine not cleaned");
+        log::warn!(err:%; "expired quarantine rows not deleted");
     }
     true
 }
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -175,7 +175,7 @@
         }
         log::info!(
             request = self.exchange.call.id, upstream = response.upstream.entry.id,
-            last_event = last.as_deref().unwrap_or(""); "stream goes on"
+            last_event = last.as_deref().unwrap_or(""); "stream resumed"
         );
         self.exchange.host.metrics.count("streams_resumed");
         self.response = Some(response);
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -48,7 +48,7 @@
         match future::or(wait_for_stop(&stop), accept).await {
             None => break,
             Some(Err(err)) => {
-                host.handle_fd_exhaustion(&err);
+                host.handle_accept_failure(&err);
                 clock::sleep(ACCEPT_PAUSE).await;
             }
             Some(Ok((stream, _))) => {
@@ -77,7 +77,7 @@
 
 async fn serve_connection(host: Arc<Host>, stream: TcpStream, stop: Receiver<()>) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!(err:%; "option not set");
+        log::debug!(err:%; "TCP_NODELAY not set");
     }
     let idle = host.active_config().map_or(DEFAULT_IDLE, |it| it.catalog.limits().idle_time);
     let stream = Arc::<Async<std::net::TcpStream>>::from(stream);
@@ -140,7 +140,8 @@
 }
 
 /// Reads a request, unless its caller has disconnected.
-/// || A request may have waited in the socket for longer than its caller did: while the process was
+///
+/// A request may have waited in the socket for longer than its caller did: while the process was
 /// suspended, or out of file descriptors to accept the connection with. hyper notices the
 /// disconnect only after the request was forwarded; such requests reached upstreams up to 10 s
 /// after their callers left.
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -90,7 +90,8 @@
 
 impl Host {
     /// Creates the state of a process that knows nothing yet.
-    /// || Also returns the receiver of the requests whose verdict is to be written to the store.
+    ///
+    /// Also returns the receiver of the requests whose verdict is to be written to the store.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
         let place = Place {
             host: host_hash(settings.peers),
@@ -157,7 +158,7 @@
         let catalog = match decoded {
             Ok(it) => it,
             Err(err) => {
-                log::error!(err:%, source; "configuration not readable");
+                log::error!(err:%, source; "configuration cannot be decoded");
                 return;
             }
         };
@@ -248,7 +249,7 @@
     pub(crate) fn update_store_era(&self, era: u64, source: &str) {
         let before = self.store_era.fetch_max(era, Ordering::Relaxed);
         if before < era {
-            log::warn!(era, before, source; "store went back");
+            log::warn!(era, before, source; "store restored from a backup");
         }
     }
 
@@ -256,7 +257,7 @@
     pub(crate) fn persist_verdict(&self, request: Request) {
         if self.verdict_queue.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_text(); "verdict not kept");
+            log::warn!(fingerprint = request.fingerprint_text(); "verdict not queued for the store");
         }
     }
 
@@ -333,9 +334,9 @@
             && self.can_accept()
     }
 
-    /// Handles a lack of file descriptors: closes the pooled connections now, and callers'
-    /// connections after their next response.
-    pub(crate) fn handle_fd_exhaustion(&self, err: &io::Error) {
+    /// Handles a failure to accept a connection, or to open one for lack of file descriptors: closes
+    /// the pooled connections now, and callers' connections after their next response.
+    pub(crate) fn handle_accept_failure(&self, err: &io::Error) {
         if self.can_accept() {
             log::warn!(err:%, active = self.n_active(); "connection not accepted");
         }
@@ -344,7 +345,7 @@
         self.pool.clear();
     }
 
-    /// Returns whether no connection failed for lack of descriptors recently.
+    /// Returns whether accepting a connection has not failed recently.
     fn can_accept(&self) -> bool {
         self.accept_failure.elapsed().is_none_or(|it| ACCEPT_BACKOFF < it)
     }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -128,7 +128,7 @@
             match self.read_next().await {
                 Ok(it) if it.version.era < self.host.store_era() => {
                     let era = it.version.era;
-                    log::warn!(table = self.watched.table, era; "answer of an earlier store passed over");
+                    log::warn!(table = self.watched.table, era; "response of an earlier store era ignored");
                     self.back_off().await;
                 }
                 Ok(it) if self.version.is_some_and(|last| last.era != it.version.era) => {
@@ -160,7 +160,7 @@
         let (now, table) = (clock::now(), self.watched.table);
         let silent = now - self.last_response;
         if std::mem::take(&mut self.is_unreachable) {
-            log::info!(table, silent_ms = silent.as_millis() as u64; "store regained");
+            log::info!(table, silent_ms = silent.as_millis() as u64; "store available again");
         }
         // If other hosts reached the store all the time, only this host was cut off, and missing
         // entries were really deleted.
@@ -200,13 +200,13 @@
         let table = self.watched.table;
         if store::is_history_gone(err) {
             let after = self.version.unwrap_or_default();
-            log::info!(table, after:% = after; "history gone, reading the whole table");
+            log::info!(table, after:% = after; "change history expired, reading the whole table");
             self.version = None;
             return;
         }
         self.host.metrics.count(&format!("store_failed{{table=\"{table}\"}}"));
         if !std::mem::replace(&mut self.is_unreachable, true) {
-            log::warn!(table, err:% = truncate_error(err); "store lost");
+            log::warn!(table, err:% = truncate_error(err); "store unavailable");
         }
         self.back_off().await;
     }
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -8,10 +8,11 @@
 
 impl Host {
     /// Checks the clock for a suspension; returns its length if the host has just resumed.
-    /// || Called often, and before any use of state that a suspension makes outdated.
+    ///
+    /// Called often, and before any use of state that a suspension makes outdated.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
         let length = self.suspension().look(clock::now())?;
-        log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host stood still");
+        log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host was suspended");
         self.metrics.count("stood_still");
         clock::woke();
         self.balancer().stood_still(length);
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -52,7 +52,7 @@
         match decoded {
             Ok(it) => Change::Set(it),
             Err(err) => {
-                log::warn!(upstream = self.id, err:%; "entry not readable");
+                log::warn!(upstream = self.id, err:%; "entry cannot be decoded");
                 Change::Foreign(self.id.clone())
             }
         }
@@ -70,7 +70,7 @@
     // Rows are passed on to other hosts with the version of the list: older rows would pass for
     // newer ones.
     if version < list.directory.version() {
-        log::info!(list:% = list.directory.version(), read:% = version; "older list passed over");
+        log::info!(list:% = list.directory.version(), read:% = version; "older list ignored");
         return false;
     }
     let read: Vec<Change> = rows.iter().map(ListRow::to_change).collect();
@@ -116,7 +116,7 @@
     let is_draining = |id: &str| directory.drains_unlisted().any(|it| it.entry.id == id);
     for it in changed.iter().filter(|it| it.state == Some(State::Ready)) {
         if is_draining(&it.id) {
-            log::warn!(upstream = it.id, list:%; "entry says ready, its upstream said that it drains");
+            log::warn!(upstream = it.id, list:%; "entry says ready, but the upstream announced draining");
         }
     }
 }
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -15,10 +15,8 @@
 const MAX_LOG_LINES: usize = 16;
 
 /// Handles the signals in the head of a response, whatever happens to the response itself.
-/// || A response to another request still came over this upstream's connection, so its signals
-/// count.
 ///
-/// An answer that names another request came on this upstream's connection all the same, and is its own.
+/// A response to another request still came over this upstream's connection, so its signals count.
 pub(crate) fn handle_response_head(
     host: &Host,
     call: &Call,
@@ -35,7 +33,7 @@
     let Some(upstream) = responding_upstream(host, asked, head) else {
         log::info!(
             request = call.id, asked = asked.entry.id, upstream = head.other;
-            "an unknown upstream says something of itself"
+            "signal of an unlisted upstream ignored"
         );
         return;
     };
@@ -78,11 +76,11 @@
         }
     });
     if MAX_LOG_LINES < newly_draining.len() {
-        log::info!(n = newly_draining.len(), source = "host", host = digest.address; "upstreams drain");
+        log::info!(n = newly_draining.len(), source = "host", host = digest.address; "upstreams draining");
         return;
     }
     for number in newly_draining {
-        log::info!(upstream = upstream_id(host, number), number, source = "host", host = digest.address; "upstream drains");
+        log::info!(upstream = upstream_id(host, number), number, source = "host", host = digest.address; "upstream draining");
     }
 }
 
@@ -116,7 +114,7 @@
     log::info!(
         request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.sent,
         backoff_ms = asked.time.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
-        left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asks to be left alone"
+        left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asked for back-off"
     );
 }
 
@@ -124,7 +122,7 @@
 pub(crate) fn log_expired_backoffs(host: &Host) {
     let over = host.balancer().take_backoffs_over(clock::now());
     for number in over {
-        log::info!(upstream = upstream_id(host, number), number; "upstream may be asked again");
+        log::info!(upstream = upstream_id(host, number), number; "back-off from upstream ended");
     }
 }
 
@@ -154,15 +152,14 @@
         request = call.id, upstream = upstream.entry.id, source = "answer",
         status = status.as_u16(), entry_state:? = upstream.entry.state,
         list:% = host.with_list(|it| it.directory.version()),
-        store_age_ms = host.store_age().as_millis() as u64; "upstream drains"
+        store_age_ms = host.store_age().as_millis() as u64; "upstream draining"
     );
 }
 
 /// Marks an upstream as draining; returns whether it was not marked before.
-/// || The lists by service are rebuilt only on a change: a draining upstream says so in every
-/// response.
 ///
-/// The lists by service are made anew only then: every answer of one that drains says so.
+/// The lists by service are rebuilt only on a change: a draining upstream says so in every
+/// response.
 fn mark_draining(host: &Host, upstream: &Upstream) -> bool {
     let number = upstream.number();
     let is_known = host.with_list(|it| it.directory.is_said_to_drain(number));
--- a/crates/portfield-host/tests/knowledge.rs
+++ b/crates/portfield-host/tests/knowledge.rs
@@ -60,7 +60,7 @@
         let host = fleet.host();
         fleet.store.set_fault(fault);
         until("the loss is logged", || {
-            fault == StoreFault::Slow(900) || !host.logged("store lost").is_empty()
+            fault == StoreFault::Slow(900) || !host.logged("store unavailable").is_empty()
         });
         assert_eq!(host.send(&request("order", "r1")).status, 200, "{fault:?}");
         assert!(host.is_ready(), "{fault:?}");
@@ -75,7 +75,7 @@
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.host();
     fleet.store.set_fault(StoreFault::Busy);
-    until("the loss is logged", || !host.logged("store lost").is_empty());
+    until("the loss is logged", || !host.logged("store unavailable").is_empty());
     fleet.store.remove("servers", "plain-0");
     fleet.store.forget_history();
     fleet.store.set_fault(StoreFault::None);
@@ -195,7 +195,7 @@
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.host();
     fleet.store.set_fault(StoreFault::Silent);
-    until("the loss is logged", || !host.logged("store lost").is_empty());
+    until("the loss is logged", || !host.logged("store unavailable").is_empty());
     let config = config(NEWER).to_string().into_bytes();
     let socket = serve_peer(&fleet, FakePeer { config, list: Vec::new() });
     let mut sequence = 0;
@@ -224,7 +224,7 @@
         socket.send_to(&newer_list(sequence).encode_to_vec(), host.peers).unwrap();
         host.send(&request("check", &format!("r{sequence}"))).status == 503
     });
-    assert!(host.logged("store lost").is_empty());
+    assert!(host.logged("store unavailable").is_empty());
 }
 
 /// Asks a host for its list.
@@ -319,7 +319,7 @@
     fleet.store.put("servers", "foreign-2", &entry("slots", json!("many")));
     fleet.store.put("servers", "foreign-3", &json!([1, 2]));
     fleet.store.put("servers", "plain-0", &entry("zone", json!(null)));
-    until("the rows are seen", || 4 <= host.logged("entry not readable").len());
+    until("the rows are seen", || 4 <= host.logged("entry cannot be decoded").len());
     for n in 0..8 {
         let answer = host.send(&request("order", &format!("r{n}")));
         assert_eq!((answer.status, answer.text().as_str()), (200, "from plain-1"));
@@ -385,7 +385,7 @@
     // Longer than the silence after which entries may have lapsed.
     thread::sleep(Duration::from_millis(3800));
     proxy.set(Harm::None);
-    until("it hears the store again", || !cut.logged("store regained").is_empty());
+    until("it hears the store again", || !cut.logged("store available again").is_empty());
     // What it is told next comes from the store.
     first.signal("-STOP");
     fleet.store.remove("servers", "plain-0");
--- a/crates/portfield-host/tests/restore.rs
+++ b/crates/portfield-host/tests/restore.rs
@@ -37,7 +37,7 @@
     until("the change is known", || {
         host.logged("upstream changed").iter().any(|it| it["state"] == "Draining")
     });
-    assert!(!host.logged("store went back").is_empty());
+    assert!(!host.logged("store restored from a backup").is_empty());
     assert_eq!(host.send(&request("order", "r1")).text(), "from plain-1");
 }
 
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -52,7 +52,7 @@
         };
         until("the host knows", || {
             send();
-            !host.logged("upstream drains").is_empty()
+            !host.logged("upstream draining").is_empty()
         });
         let n_seen = upstream.seen().len();
         (0..20).for_each(|_| assert_eq!(send().text(), "from plain-1"));
@@ -83,7 +83,7 @@
     }
     assert_eq!((n_seen, fleet.plains[0].seen().len()), (1, 1));
     let sources = |host: &Host| -> Vec<String> {
-        let lines = host.logged("upstream drains");
+        let lines = host.logged("upstream draining");
         lines.iter().map(|it| it["source"].as_str().unwrap().to_owned()).collect()
     };
     assert_eq!(sources(&hosts[0]), ["answer"]);
@@ -116,13 +116,13 @@
     (0..40).for_each(|_| assert_eq!(send().status, 200));
     assert_eq!(n_to_former(), 1, "it is asked no more");
     assert_eq!(host.logged("upstream replaced").len(), 1);
-    assert!(host.logged("upstream drains").is_empty());
+    assert!(host.logged("upstream draining").is_empty());
     fleet.plains[0].set_draining(true);
     until("the host knows", || {
         send();
-        !host.logged("upstream drains").is_empty()
+        !host.logged("upstream draining").is_empty()
     });
-    assert_eq!(host.logged("upstream drains")[0]["upstream"], "plain-0");
+    assert_eq!(host.logged("upstream draining")[0]["upstream"], "plain-0");
 }
 
 #[test]
@@ -150,8 +150,8 @@
         host.send(&request("order", &format!("r{n}")));
         host.metric("portfield_draining_unlisted") == 2.0
     });
-    until("it is logged", || !host.logged("upstream drains").is_empty());
-    assert_eq!(host.logged("upstream drains")[0]["upstream"], "plain-0");
+    until("it is logged", || !host.logged("upstream draining").is_empty());
+    assert_eq!(host.logged("upstream draining")[0]["upstream"], "plain-0");
     let n_run = fleet.plains[0].n_run();
     assert_eq!(fleet.plains[0].seen().len(), 1 + n_run, "asked once for itself at most");
     assert!(n_run <= 1, "{n_run}");
@@ -208,7 +208,7 @@
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.host();
     fleet.store.set_fault(StoreFault::Silent);
-    until("the store is lost", || !host.logged("store lost").is_empty());
+    until("the store is lost", || !host.logged("store unavailable").is_empty());
     let upstream = &fleet.plains[0];
     let mut entry = upstream.entry("desk", "ready");
     entry["born"] = serde_json::json!(5);
--- a/crates/portfield-host/tests/standstill.rs
+++ b/crates/portfield-host/tests/standstill.rs
@@ -93,5 +93,5 @@
     until("it is ready", || host.is_ready());
     assert!(woke.elapsed() < Duration::from_secs(4));
     assert_eq!(host.send(&request("order", "r2")).status, 200);
-    assert_eq!(host.logged("host stood still").len(), 1);
+    assert_eq!(host.logged("host was suspended").len(), 1);
 }
