--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -123,7 +123,7 @@
     timeout: Duration,
 ) -> AttemptResult {
     let mut run = RunGuard::start(host, call, placed);
-    let sent = clock::now();
+    let started = clock::now();
     let pooled = host.pool.take(upstream.number());
     let mut connection = match pooled {
         Some(it) => it,
@@ -149,7 +149,7 @@
         return match res {
             None => {
                 // A time-out that spans a suspension of this host says nothing about the upstream.
-                let suspended = host.resumed_at().is_some_and(|it| sent <= it);
+                let suspended = host.resumed_at().is_some_and(|it| started <= it);
                 run.end(if suspended { Ending::Cancelled } else { Ending::Broken });
                 AttemptResult::Failed(Outcome::TimedOut, "no response in time".to_owned())
             }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -88,8 +88,8 @@
         let engine = catalog.service(&service).and_then(|it| it.engine);
         let workspace_hash = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
         let n_messages = message_count(head.prompt.as_ref(), engine);
-        let draw = fastrand::f64();
-        let overload = host.governor().refuses(arrived, workspace_hash, n_messages, draw);
+        let random = fastrand::f64();
+        let overload = host.governor().refuses(arrived, workspace_hash, n_messages, random);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
             let tokens = head.prompt.as_ref().map_or(0.0, Prompt::cost);
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// The response to give if none does.
-    pub(crate) async fn next_answer(
+    pub(crate) async fn next_response(
         &mut self,
         last_event: Option<&str>,
     ) -> Result<Box<UpstreamResponse>, Failure> {
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -21,7 +21,7 @@
     host.deposit_retry(call.job.service);
     let mut exchange = Exchange::new(host, call);
     loop {
-        let response = match exchange.next_answer(None).await {
+        let response = match exchange.next_response(None).await {
             Ok(it) => it,
             Err(failure) => return exchange.into_failure_response(failure),
         };
--- a/crates/portfield-host/src/ingress.rs
+++ b/crates/portfield-host/src/ingress.rs
@@ -35,8 +35,8 @@
 
     /// Returns the workspace with the most refused requests, and their number.
     pub(crate) fn most_refused(&self) -> (&str, u64) {
-        let most = self.refused.iter().max_by_key(|it| *it.1);
-        most.map_or(("", 0), |(name, n)| (name, *n))
+        let max = self.refused.iter().max_by_key(|it| *it.1);
+        max.map_or(("", 0), |(name, n)| (name, *n))
     }
 }
 
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -47,11 +47,11 @@
         log::warn!(name = host.settings().name; "no clock counts time in system sleep");
     }
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::readiness(&state, it));
-    rt.spawn(http1::serve(rt.clone(), ready, answer));
+    let handler = http1::at_once(move |it| admin::readiness(&state, it));
+    rt.spawn(http1::serve(rt.clone(), ready, handler));
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::handle_operator(&state, it));
-    rt.spawn(http1::serve(rt.clone(), metrics, answer));
+    let handler = http1::at_once(move |it| admin::handle_operator(&state, it));
+    rt.spawn(http1::serve(rt.clone(), metrics, handler));
     rt.spawn(rpc::serve(
         rt.clone(),
         peers_listener,
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -135,13 +135,13 @@
         .iter()
         .filter_map(|it| Some((it.id.clone(), now + held_time(it.held)?)))
         .collect();
-    let set = reply.list.into_iter().map(|it| ListRow {
+    let updated = reply.list.into_iter().map(|it| ListRow {
         id: it.id,
         entry: Some(it.entry),
         version: it.row,
     });
-    let gone = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
-    let rows: Vec<ListRow> = set.chain(gone).collect();
+    let removed = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
+    let rows: Vec<ListRow> = updated.chain(removed).collect();
     // The entries that may only have expired are marked by the other host as held.
     let table_read = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
@@ -211,13 +211,13 @@
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
     let OrderList { standing, lifted } = listed.evacuations.list(clock::now());
-    let tell = |it: Order, left: Option<Duration>| EvacuationOrder {
+    let encode = |it: Order, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
         row: it.row,
         held: held_ms(left),
     };
-    reply.evacuations = standing.into_iter().map(|(it, left)| tell(it, left)).collect();
-    reply.lifted = lifted.into_iter().map(|it| tell(it, None)).collect();
+    reply.evacuations = standing.into_iter().map(|(it, left)| encode(it, left)).collect();
+    reply.lifted = lifted.into_iter().map(|it| encode(it, None)).collect();
 }
 
 /// Adds the upstream list to a reply, if the other host knows an older version. Sends only the
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -93,8 +93,8 @@
         if digest.host != host.own_hash() {
             newer.record(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let passed = host.peers().pass_on(digest, way);
-        if let Some((speaker, digest)) = passed {
+        let forwarded = host.peers().pass_on(digest, way);
+        if let Some((speaker, digest)) = forwarded {
             send::send(host, socket, &digest, [speaker]);
         }
     }
@@ -184,7 +184,7 @@
 
 impl NewerVersions {
     fn record(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
-        let hears_store =
+        let has_store_contact =
             Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.fresh;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
         if known.orders < orders {
@@ -192,13 +192,13 @@
         }
         if known.config < digest.config_version {
             self.config.offer(address);
-        } else if hears_store && orders <= known.orders {
+        } else if has_store_contact && orders <= known.orders {
             host.suspension().heard_host(Knowledge::Config);
         }
         host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.offer(address);
-        } else if hears_store {
+        } else if has_store_contact {
             host.suspension().heard_host(Knowledge::Upstreams);
         }
     }
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -168,7 +168,7 @@
             return Err(io::Error::other(cause));
         }
         let last = self.events.last_id().map(str::to_owned);
-        let response = self.exchange.next_answer(last.as_deref()).await;
+        let response = self.exchange.next_response(last.as_deref()).await;
         let response = response.map_err(|it| io::Error::other(it.reason))?;
         if !response.parts.status.is_success() {
             return Err(io::Error::other("another upstream would not go on with the stream"));
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -92,9 +92,9 @@
     };
     rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
     // Raw bytes are passed on only for rows that were applied unmodified.
-    let is_taken = |it: &ListRow| unmodified_ids.as_ref().is_none_or(|ids| ids.contains(&it.id));
-    let taken = rows.into_iter().filter(is_taken);
-    let bytes = taken.filter_map(|it| Some((it.id, Bytes::from(it.entry?))));
+    let is_applied = |it: &ListRow| unmodified_ids.as_ref().is_none_or(|ids| ids.contains(&it.id));
+    let applied = rows.into_iter().filter(is_applied);
+    let bytes = applied.filter_map(|it| Some((it.id, Bytes::from(it.entry?))));
     list.entries.extend(bytes);
     let known: HashSet<&str> = list.directory.all().map(|it| it.entry.id.as_str()).collect();
     list.entries.retain(|id, _| known.contains(id.as_str()));
