--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -21,7 +21,7 @@
 };
 
 /// Rejections by upstreams allowed in addition to the attempts of the route.
-const MAX_REJECTIONS: u32 = 2;
+const MAX_NOT_RUN: u32 = 2;
 /// Retry delay given to a caller after upstreams were unreachable or full.
 const RETRY: Duration = Duration::from_millis(300);
 /// Part of the remaining time that a safe request waits for an upstream while it may still be
@@ -38,7 +38,7 @@
     pub call: Call,
     tried: Vec<u32>,
     n_run: u32,
-    n_rejections: u32,
+    n_not_run: u32,
     /// Whether an upstream may have run the request.
     may_have_run: bool,
     /// Error response of an upstream, returned if no later attempt succeeds.
@@ -55,7 +55,7 @@
             call,
             tried: Vec::new(),
             n_run: 0,
-            n_rejections: 0,
+            n_not_run: 0,
             may_have_run: false,
             error: None,
             is_finished: false,
@@ -163,15 +163,15 @@
             self.record_run();
             self.record_break(upstream);
         } else {
-            self.n_rejections += 1;
+            self.n_not_run += 1;
         }
-        let word = outcome.as_str();
+        let label = outcome.as_str();
         log::warn!(
-            request = self.call.id, upstream = upstream.entry.id, outcome = word, cause,
+            request = self.call.id, upstream = upstream.entry.id, outcome = label, cause,
             fingerprint = self.call.quarantine_key().fingerprint_text(),
             left_ms = self.call.remaining().as_millis() as u64; "attempt failed"
         );
-        self.host.metrics.count(&format!("attempts_failed{{outcome=\"{word}\"}}"));
+        self.host.metrics.count(&format!("attempts_failed{{outcome=\"{label}\"}}"));
         if outcome == Outcome::Abandoned {
             return Err(self.failure(CALLER_LEFT.to_owned(), CALLER_LEFT_RETRY));
         }
@@ -253,7 +253,7 @@
             return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
         let max = self.call.route.max_attempts;
-        if max <= self.n_run || max + MAX_REJECTIONS <= self.n_run + self.n_rejections {
+        if max <= self.n_run || max + MAX_NOT_RUN <= self.n_run + self.n_not_run {
             return Err(self.failure("no attempts are left".to_owned(), RETRY));
         }
         Ok(())
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -204,13 +204,13 @@
 }
 
 /// Adds the evacuation orders to a reply, if the other host knows an older version.
-fn fill_orders(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
-    let version = listed.evacuations.version();
+fn fill_orders(list: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
+    let version = list.evacuations.version();
     if version <= known {
         return;
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
-    let OrderList { standing, lifted } = listed.evacuations.list(clock::now());
+    let OrderList { standing, lifted } = list.evacuations.list(clock::now());
     let encode = |it: Order, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
         row: it.row,
@@ -223,25 +223,25 @@
 /// Adds the upstream list to a reply, if the other host knows an older version. Sends only the
 /// changes where they are known: one entry takes some 200 bytes, the whole list 65 KB for 325
 /// upstreams.
-fn fill_list(listed: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
-    let version = listed.directory.version();
+fn fill_list(list: &UpstreamList, known: StoreVersion, reply: &mut KnowledgeReply) {
+    let version = list.directory.version();
     (reply.list_version, reply.list_era) = (version.number, version.era);
     if version <= known {
         return;
     }
     let now = clock::now();
     let entry = |id: &String| {
-        let held = listed.directory.held_until(id);
+        let held = list.directory.held_until(id);
         let held = held_ms(held.map(|it| it.saturating_sub(now)));
-        let entry = listed.entries.get(id)?.to_vec();
-        Some(ListedUpstream { id: id.clone(), entry, held, row: listed.directory.row(id) })
+        let entry = list.entries.get(id)?.to_vec();
+        Some(ListedUpstream { id: id.clone(), entry, held, row: list.directory.row(id) })
     };
-    match listed.directory.since(known) {
+    match list.directory.since(known) {
         Some(difference) => {
             reply.is_partial = true;
             reply.list = difference.set.iter().filter_map(entry).collect();
             reply.gone = difference.gone;
         }
-        None => reply.list = listed.entries.keys().filter_map(entry).collect(),
+        None => reply.list = list.entries.keys().filter_map(entry).collect(),
     }
 }
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -79,7 +79,7 @@
     }
     if !digest.hosts.is_empty() {
         // An introduction carries no state of its sender.
-        learn_hosts(host, &digest);
+        add_hosts(host, &digest);
         return;
     }
     let known = host.with_list(|it| KnownVersions {
@@ -101,11 +101,11 @@
 }
 
 /// Adds the hosts that an introduction lists.
-fn learn_hosts(host: &Host, digest: &Digest) {
-    let mut others = host.peers();
+fn add_hosts(host: &Host, digest: &Digest) {
+    let mut peers = host.peers();
     for it in &digest.hosts {
         match it.address.parse() {
-            Ok(address) => others.learn(address, Some(it.data_centre)),
+            Ok(address) => peers.learn(address, Some(it.data_centre)),
             Err(_) => host.metrics.count("digests_malformed"),
         }
     }
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -33,8 +33,8 @@
         let header = header(&host, sequence);
         let digest = own_digest(&host, &audience, header.clone());
         let (targets, relayed) = {
-            let mut others = host.peers();
-            (others.told(sequence), others.take_passing())
+            let mut peers = host.peers();
+            (peers.told(sequence), peers.take_passing())
         };
         if audience.speaks() {
             let summary = summary(&host, header);
--- a/crates/portfield-host/src/placement.rs
+++ b/crates/portfield-host/src/placement.rs
@@ -45,15 +45,15 @@
     /// them.
     pub(crate) fn update_list<T>(&self, f: impl FnOnce(&mut UpstreamList) -> T) -> T {
         let own_data_centre = self.settings().data_centre.clone();
-        let mut listed = self.listed.write().unwrap_or_else(PoisonError::into_inner);
-        let before: Vec<Arc<Upstream>> = listed.directory.ready().cloned().collect();
-        let res = f(&mut listed);
-        listed.rebuild_ready(&own_data_centre);
-        let cold = listed.take_cold_changes();
-        let ids: HashSet<u32> = listed.directory.all().map(|it| it.number()).collect();
-        let is_reborn = |it: &&Arc<Upstream>| listed.directory.is_reborn(it);
+        let mut list = self.upstream_list.write().unwrap_or_else(PoisonError::into_inner);
+        let before: Vec<Arc<Upstream>> = list.directory.ready().cloned().collect();
+        let res = f(&mut list);
+        list.rebuild_ready(&own_data_centre);
+        let cold = list.take_cold_changes();
+        let ids: HashSet<u32> = list.directory.all().map(|it| it.number()).collect();
+        let is_reborn = |it: &&Arc<Upstream>| list.directory.is_reborn(it);
         let reborn: Vec<Arc<Upstream>> = before.iter().filter(is_reborn).cloned().collect();
-        drop(listed);
+        drop(list);
         self.balancer().retain(|id| ids.contains(&id));
         self.update_cold(&cold);
         reborn.iter().for_each(|it| quarantine::record_upstream_end(self, it, EndEvidence::Reborn));
@@ -62,13 +62,13 @@
 
     /// Reads the upstream list with `f`.
     pub(crate) fn with_list<T>(&self, f: impl FnOnce(&UpstreamList) -> T) -> T {
-        f(&self.listed.read().unwrap_or_else(PoisonError::into_inner))
+        f(&self.upstream_list.read().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Returns whether a request that was placed on an upstream may still be sent to it.
     pub(crate) fn may_send_to(&self, upstream: &Upstream) -> bool {
         let backs_off = self.balancer().backs_off_until(clock::now(), upstream.number()).is_some();
-        !backs_off && self.with_list(|it| it.is_offered(upstream))
+        !backs_off && self.with_list(|it| it.accepts_requests(upstream))
     }
 
     /// Returns the upstreams of the request's service in the regions that both its route and its
--- a/crates/portfield-host/src/upstream_list.rs
+++ b/crates/portfield-host/src/upstream_list.rs
@@ -23,7 +23,7 @@
     /// it.
     pub ready: HashMap<String, Arc<ReadyUpstreams>>,
     /// Hashes of all upstreams in `ready`.
-    offered: HashSet<u64>,
+    accepting: HashSet<u64>,
     /// Cold times reported by upstreams, by hash; only non-zero ones.
     reported_cold: HashMap<u64, Duration>,
 }
@@ -47,8 +47,8 @@
 
 impl UpstreamList {
     /// Returns whether an upstream may be sent new requests.
-    pub(crate) fn is_offered(&self, upstream: &Upstream) -> bool {
-        self.offered.contains(&upstream.hash)
+    pub(crate) fn accepts_requests(&self, upstream: &Upstream) -> bool {
+        self.accepting.contains(&upstream.hash)
     }
 
     /// Forgets the reported cold times, so that all of them are applied again under a new
@@ -72,7 +72,7 @@
     pub(crate) fn rebuild_ready(&mut self, own_data_centre: &str) {
         let mut ready: HashMap<String, ReadyUpstreams> = HashMap::new();
         let is_open = |it: &&Arc<Upstream>| !self.evacuations.covers(&it.entry.data_centre);
-        self.offered = self.directory.ready().filter(is_open).map(|it| it.hash).collect();
+        self.accepting = self.directory.ready().filter(is_open).map(|it| it.hash).collect();
         for it in self.directory.ready().filter(is_open) {
             let group = ready.entry(it.entry.service.clone()).or_default();
             group.upstreams.push(it.clone());
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -54,8 +54,8 @@
     if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
         return;
     }
-    let mut listed = host.listed.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = listed.directory.report_draining(audience.telling(digest.sequence));
+    let mut list = host.upstream_list.write().unwrap_or_else(PoisonError::into_inner);
+    digest.draining = list.directory.report_draining(audience.telling(digest.sequence));
 }
 
 /// Adds the same upstreams to the summary of this host's data centre.
