--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -20,7 +20,7 @@
     state::Host,
 };
 
-/// Rejections by upstreams allowed in addition to the attempts of the route.
+/// Attempts that certainly did not run, allowed in addition to the attempts of the route.
 const MAX_NOT_RUN: u32 = 2;
 /// Retry delay given to a caller after upstreams were unreachable or full.
 const RETRY: Duration = Duration::from_millis(300);
@@ -90,7 +90,7 @@
                     return Ok(response);
                 }
                 AttemptResult::Failed(outcome, cause) => {
-                    self.record_failure(&upstream, outcome, cause)?
+                    self.record_failure(&upstream, outcome, cause)?;
                 }
             }
         }
@@ -271,7 +271,8 @@
         Ok(())
     }
 
-    /// Checks, before every attempt, that the request is not in quarantine.
+    /// Checks that the request is not in quarantine; called before every attempt, also before a retry
+    /// and before a stream is resumed.
     fn check_quarantine(&self) -> Result<(), Failure> {
         let verdict = self.host.quarantine().verdict(clock::now(), self.call.quarantine_key());
         let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
--- a/crates/portfield-host/src/placement.rs
+++ b/crates/portfield-host/src/placement.rs
@@ -34,7 +34,7 @@
     pub reason: Refusal,
     /// Time after which the caller may retry.
     pub retry: Duration,
-    /// Estimated time to the first response byte, on which the refusal is based.
+    /// Estimated time to the first event, on which the refusal is based.
     pub estimate: Duration,
     /// Recent usage of the workspace, as a multiple of its fair share.
     pub share: f64,
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -116,7 +116,7 @@
     digest.suspects = host.quarantine().summarize(clock::now());
 }
 
-/// Rounds a time up to whole seconds, as reported to callers.
+/// Returns the next whole number of seconds after `time`, as reported to callers.
 pub(crate) fn whole_seconds(time: Duration) -> Duration {
     Duration::from_secs(time.as_secs() + 1)
 }
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -17,10 +17,10 @@
     response::Body,
 };
 
-/// Factor on the route's expected gap between events that gives the silence after which a resumable
-/// stream moves to another upstream.
+/// Multiple of the gap between events that the route allows: after this silence, a resumable stream
+/// moves to another upstream.
 const SILENCE_FACTOR: u32 = 3;
-/// That silence for routes without an expected gap.
+/// That silence for routes that set no gap.
 const DEFAULT_MAX_SILENCE: Duration = Duration::from_secs(2);
 
 /// Starts to relay a stream after its first event arrived.
@@ -102,7 +102,7 @@
                 }
                 Some(Some(Err(err))) => error_chain(&err),
                 None if self.exchange.call.remaining().is_zero() => {
-                    "the route's time was up".to_owned()
+                    "the deadline of the request has passed".to_owned()
                 }
                 // No alternative: an engine that ran out of memory processes the prompt again, and
                 // a late event is better than a broken stream.
@@ -110,7 +110,7 @@
                     self.timeout = None;
                     continue;
                 }
-                None => "the upstream fell silent".to_owned(),
+                None => "no event from the upstream in time".to_owned(),
             };
             self.resume(cause).await?;
         }
@@ -171,7 +171,7 @@
         let response = self.exchange.next_response(last.as_deref()).await;
         let response = response.map_err(|it| io::Error::other(it.reason))?;
         if !response.parts.status.is_success() {
-            return Err(io::Error::other("another upstream would not go on with the stream"));
+            return Err(io::Error::other("another upstream refused to resume the stream"));
         }
         log::info!(
             request = self.exchange.call.id, upstream = response.upstream.entry.id,
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 /// Error text after the caller disconnected; nobody reads it.
-pub(crate) const CALLER_LEFT: &str = "the caller has left";
+pub(crate) const CALLER_LEFT: &str = "the caller has disconnected";
 /// Retry delay of that response.
 pub(crate) const CALLER_LEFT_RETRY: Duration = Duration::ZERO;
 
@@ -43,7 +43,7 @@
 }
 
 impl Failure {
-    /// Creates the rejection of an invalid request.
+    /// Creates a failure without a retry delay, such as the rejection of an invalid request.
     pub(crate) fn rejected(
         status: StatusCode,
         field: &'static str,
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -72,7 +72,7 @@
     suspension: Mutex<Waking>,
     /// Requests whose verdict is to be written to the store.
     verdict_queue: Sender<Request>,
-    /// When the quarantine was first read from the store, or the attempt failed.
+    /// Set once the quarantine was read from the store, could not be read or need not be.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
     hosts_loaded: AtomicInstant,
@@ -225,7 +225,7 @@
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that the quarantine was read from the store, or could not be.
+    /// Records that readiness need not wait for the quarantine in the store any longer.
     pub(crate) fn mark_quarantine_loaded(&self) {
         self.quarantine_loaded.set_now();
     }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows two tables of the store: the operator's settings and the upstreams.
+//! Follows two tables of the store: the operator's configuration and orders, and the upstreams.
 
 use std::{sync::Arc, time::Duration};
 
