--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -23,7 +23,7 @@
         return http1::json(404, &"no such page");
     }
     let is_ready = host.is_ready();
-    host.governor().asked(is_ready);
+    host.load_shedder().asked(is_ready);
     if is_ready { http1::json(200, &"ready") } else { http1::json(503, &"not ready") }
 }
 
@@ -120,7 +120,7 @@
         ("store_age_ms", host.store_age().as_millis() as f64),
         ("hosts", n_hosts),
         ("least_part", least_part),
-        ("late_ms", host.governor().late()),
+        ("late_ms", host.load_shedder().late()),
         ("active", host.n_active() as f64),
         ("quarantine_suspects", n_suspects as f64),
         ("quarantine_refused", n_refused as f64),
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -89,14 +89,14 @@
         let workspace_hash = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
         let n_messages = message_count(head.prompt.as_ref(), engine);
         let random = fastrand::f64();
-        let overload = host.governor().refuses(arrived, workspace_hash, n_messages, random);
+        let overload = host.load_shedder().refuses(arrived, workspace_hash, n_messages, random);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
             let tokens = head.prompt.as_ref().map_or(0.0, Prompt::cost);
             host.balancer().refused(arrived, workspace_hash, tokens);
             let refused = Overloaded { workspace_hash, tokens, overload };
             log_overload(host, &head, &route, workspace.as_deref(), refused);
-            return Err(Failure::overloaded(host.governor().retry(fastrand::f64())));
+            return Err(Failure::overloaded(host.load_shedder().retry(fastrand::f64())));
         }
         let timeout = head.patience.unwrap_or(route.timeout).min(route.timeout);
         let body_read = read_body(body, catalog.limits().body_bytes);
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -183,7 +183,7 @@
 
     /// Records that a run broke, and checks whether its upstream is still alive.
     fn record_break(&self, upstream: &Arc<Upstream>) {
-        if quarantine::record_broken_run(&self.host, &self.call, upstream) {
+        if quarantine::record_broken_attempt(&self.host, &self.call, upstream) {
             probe::verify_alive(&self.host, upstream);
         }
     }
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -26,7 +26,7 @@
     host.rt.spawn(reregister(host.clone(), store.clone()));
     let mut is_first = true;
     loop {
-        if !is_first && !host.is_store_reader() {
+        if !is_first && !host.is_store_watcher() {
             clock::sleep(HOSTS_PERIOD).await;
             continue;
         }
@@ -76,7 +76,7 @@
         }
         clock::sleep(REREGISTER_SPREAD.mul_f64(fastrand::f64())).await;
         register(&host, &store).await;
-        if host.is_store_reader() {
+        if host.is_store_watcher() {
             quarantine_store::persist_all(&host);
         }
         written = era;
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -96,11 +96,11 @@
         let was_suspended = host.check_suspension().is_some();
         let now = clock::now();
         let (is_busy, late) = {
-            let mut governor = host.governor();
+            let mut shedder = host.load_shedder();
             if !was_suspended {
-                governor.observe(now, now.saturating_sub(due));
+                shedder.observe(now, now.saturating_sub(due));
             }
-            (governor.is_busy(), governor.late())
+            (shedder.is_busy(), shedder.late())
         };
         if is_busy != was_busy {
             was_busy = is_busy;
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -21,7 +21,7 @@
     send,
 };
 use crate::{
-    quarantine::{self, VerdictSource},
+    quarantine::{self, QuarantineSource},
     state::Host,
     upstream_signals,
 };
@@ -73,8 +73,8 @@
     mut digest: Digest,
     newer: &mut NewerVersions,
 ) {
-    let audience = host.audience();
-    if digest.seeks_hosts && audience.is_large() {
+    let topology = host.topology();
+    if digest.seeks_hosts && topology.is_large() {
         send::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
@@ -89,7 +89,7 @@
     });
     let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Way::Relayed));
     for (digest, way) in std::iter::once((digest, Way::Direct)).chain(relayed) {
-        handle_digest(host, &audience, from, &digest);
+        handle_digest(host, &topology, from, &digest);
         if digest.host != host.own_hash() {
             newer.record(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
@@ -112,7 +112,7 @@
 }
 
 /// Handles one digest, received directly or relayed.
-fn handle_digest(host: &Host, audience: &Audience, from: SocketAddr, digest: &Digest) {
+fn handle_digest(host: &Host, topology: &Audience, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
     }
@@ -121,7 +121,7 @@
     if digest.n_summed == 0 {
         let store_age = Duration::from_millis(u64::from(digest.store_age));
         host.record_store_contact(now.saturating_sub(store_age));
-        host.record_follower(Follower {
+        host.record_watcher(Follower {
             host: digest.host,
             data_centre: digest.data_centre,
             store_age,
@@ -130,9 +130,9 @@
     } else {
         host.metrics.count("sums");
     }
-    quarantine::merge_suspects(host, &digest.suspects, VerdictSource::Host);
+    quarantine::merge_suspects(host, &digest.suspects, QuarantineSource::Host);
     upstream_signals::merge_digest(host, digest);
-    if audience.counts(digest) {
+    if topology.counts(digest) {
         host.balancer().merge(now, digest);
     }
 }
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -25,18 +25,18 @@
 pub(super) async fn run(host: Arc<Host>, socket: PeerSocket) {
     let mut sequence = 0;
     let mut last_logged = Duration::ZERO;
-    let mut audience = host.refresh_audience();
+    let mut topology = host.refresh_topology();
     loop {
-        clock::sleep(audience.period()).await;
+        clock::sleep(topology.period()).await;
         sequence += 1;
-        audience = host.refresh_audience();
+        topology = host.refresh_topology();
         let header = header(&host, sequence);
-        let digest = own_digest(&host, &audience, header.clone());
+        let digest = own_digest(&host, &topology, header.clone());
         let (targets, relayed) = {
             let mut peers = host.peers();
             (peers.told(sequence), peers.take_passing())
         };
-        if audience.speaks() {
+        if topology.speaks() {
             let summary = summary(&host, header);
             let targets = host.peers().told_sum(clock::now(), sequence);
             send(&host, &socket, &summary, targets);
@@ -77,12 +77,12 @@
 }
 
 /// Adds this host's state to its digest header.
-fn own_digest(host: &Host, audience: &Audience, header: Digest) -> Digest {
+fn own_digest(host: &Host, topology: &Audience, header: Digest) -> Digest {
     let mut res = header;
     res.seeks_hosts = !host.peers().knows_near();
     host.balancer().report(clock::now(), &mut res);
-    quarantine::fill_digest(host, audience, &mut res);
-    upstream_signals::fill_digest(host, audience, &mut res);
+    quarantine::fill_digest(host, topology, &mut res);
+    upstream_signals::fill_digest(host, topology, &mut res);
     res
 }
 
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -31,7 +31,7 @@
 
 /// Origin of a quarantine verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum VerdictSource {
+pub(crate) enum QuarantineSource {
     /// This host observed the last of the upstream ends that led to it.
     Own,
     /// Another host's digest.
@@ -42,7 +42,7 @@
 
 /// Records that a run of a request broke; returns whether to check that its upstream is still
 /// alive.
-pub(crate) fn record_broken_run(host: &Host, call: &Call, upstream: &Upstream) -> bool {
+pub(crate) fn record_broken_attempt(host: &Host, call: &Call, upstream: &Upstream) -> bool {
     // A draining upstream may end with requests still running, and a host that was suspended may
     // not know that it drains.
     if !host.has_fresh_state()
@@ -50,7 +50,8 @@
     {
         return false;
     }
-    let has_ended = host.broken_runs().note(clock::now(), call.quarantine_key(), upstream.number());
+    let has_ended =
+        host.broken_attempts().note(clock::now(), call.quarantine_key(), upstream.number());
     if has_ended {
         add_suspects(host, &[call.quarantine_key()], upstream);
     }
@@ -59,7 +60,7 @@
 
 /// Records that an upstream ended.
 pub(crate) fn record_upstream_end(host: &Host, upstream: &Upstream, how: EndEvidence) {
-    let requests = host.broken_runs().ended(clock::now(), upstream.number());
+    let requests = host.broken_attempts().ended(clock::now(), upstream.number());
     if requests.is_empty() {
         return;
     }
@@ -75,7 +76,7 @@
 /// Records that an upstream ended while it ran some requests.
 fn add_suspects(host: &Host, requests: &[Request], upstream: &Upstream) {
     let verdicts = host.quarantine().ended(clock::now(), requests, upstream.number());
-    verdicts.iter().for_each(|it| record_verdict(host, it, VerdictSource::Own));
+    verdicts.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
 }
 
 /// Records that a request got a complete response, which clears it of suspicion.
@@ -93,22 +94,22 @@
     let lifted = host.quarantine().lift(clock::now(), fingerprint);
     let Some(request) = lifted else { return false };
     log::warn!(fingerprint = request.fingerprint_text(); "quarantine lifted");
-    host.persist_verdict(request);
+    host.persist_quarantine(request);
     true
 }
 
 /// Merges suspects reported by another host or the store.
-pub(crate) fn merge_suspects(host: &Host, suspects: &[Suspect], source: VerdictSource) {
+pub(crate) fn merge_suspects(host: &Host, suspects: &[Suspect], source: QuarantineSource) {
     if suspects.is_empty() {
         return;
     }
     let verdicts = host.quarantine().take(clock::now(), suspects);
-    verdicts.iter().for_each(|it| record_verdict(host, it, source));
+    verdicts.iter().for_each(|it| record_quarantine(host, it, source));
 }
 
 /// Adds this host's suspects to its own digest.
-pub(crate) fn fill_digest(host: &Host, audience: &Audience, digest: &mut Digest) {
-    digest.suspects = host.quarantine().report(clock::now(), audience, digest.sequence);
+pub(crate) fn fill_digest(host: &Host, topology: &Audience, digest: &mut Digest) {
+    digest.suspects = host.quarantine().report(clock::now(), topology, digest.sequence);
 }
 
 /// Adds the suspects known in this data centre to its summary.
@@ -121,13 +122,13 @@
     Duration::from_secs(time.as_secs() + 1)
 }
 
-fn record_verdict(host: &Host, it: &Verdict, source: VerdictSource) {
+fn record_quarantine(host: &Host, it: &Verdict, source: QuarantineSource) {
     log::warn!(
         fingerprint = it.request.fingerprint_text(), workspace_hash = it.request.workspace,
         n_ends = it.n_ends, left_s = it.left.as_secs(), source:?; "request quarantined"
     );
     host.metrics.count("requests_quarantined");
     if it.is_own {
-        host.persist_verdict(it.request);
+        host.persist_quarantine(it.request);
     }
 }
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 
 use crate::{
-    quarantine::{VerdictSource, merge_suspects},
+    quarantine::{QuarantineSource, merge_suspects},
     state::Host,
 };
 
@@ -51,7 +51,7 @@
     host.mark_quarantine_loaded();
     loop {
         clock::sleep(PARTITION_POLL).await;
-        if host.is_store_reader() && (!has_read || peers_may_know_more(&host)) {
+        if host.is_store_watcher() && (!has_read || peers_may_know_more(&host)) {
             has_read |= load_once(&host, &store).await;
         }
     }
@@ -80,7 +80,7 @@
     if !suspects.is_empty() {
         log::info!(n = suspects.len(); "quarantine read");
     }
-    merge_suspects(host, &suspects, VerdictSource::Store);
+    merge_suspects(host, &suspects, QuarantineSource::Store);
     host.mark_quarantine_loaded();
     let keys: Vec<String> = expired.into_iter().filter_map(Result::err).take(MAX_DELETED).collect();
     if !keys.is_empty()
@@ -94,19 +94,19 @@
 /// Queues all verdicts of this host to be written again, after the store lost them.
 pub(crate) fn persist_all(host: &Host) {
     let verdicts = host.quarantine().verdicts(clock::now());
-    verdicts.iter().for_each(|it| host.persist_verdict(it.request));
+    verdicts.iter().for_each(|it| host.persist_quarantine(it.request));
 }
 
 /// Writes the verdicts of the queued requests.
 pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
     while let Ok(request) = requests.recv().await {
-        write_verdict(&host, &store, request).await;
+        write_row(&host, &store, request).await;
     }
 }
 
 /// Writes what is known about a request, retrying until the store has it or nothing is known any
 /// more.
-async fn write_verdict(host: &Host, store: &Store, request: Request) {
+async fn write_row(host: &Host, store: &Store, request: Request) {
     let mut pause = INITIAL_PAUSE;
     loop {
         let known = host.quarantine().record(clock::now(), request);
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -39,7 +39,7 @@
 pub(crate) const STREAM_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 
 /// Maximum number of verdicts queued for the store while it is down; other hosts know them too.
-const MAX_PENDING_VERDICTS: usize = 256;
+const MAX_PENDING_WRITES: usize = 256;
 
 /// A configuration with the bytes that it was decoded from.
 #[derive(Debug, Clone)]
@@ -64,14 +64,14 @@
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
     peers: Mutex<Others>,
-    store_readers: Mutex<Readers>,
-    store_contacts: Mutex<Witness>,
-    governor: Mutex<Governor>,
-    broken_runs: Mutex<Breaks>,
+    store_watchers: Mutex<Readers>,
+    store_availability: Mutex<Witness>,
+    load_shedder: Mutex<Governor>,
+    broken_attempts: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
     suspension: Mutex<Waking>,
     /// Requests whose verdict is to be written to the store.
-    verdict_queue: Sender<Request>,
+    pending_writes: Sender<Request>,
     /// Set once the quarantine was read from the store, could not be read or need not be.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
@@ -102,7 +102,7 @@
         let mut balancer = Balancer::new(settings.share_window);
         balancer.seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
-        let (verdict_queue, pending) = async_channel::bounded(MAX_PENDING_VERDICTS);
+        let (pending_writes, pending) = async_channel::bounded(MAX_PENDING_WRITES);
         let res = Arc::new(Self {
             pool: Pool::new(rt.clone()),
             probes: ActiveProbes::default(),
@@ -116,13 +116,13 @@
             budgets: Mutex::default(),
             peers: Mutex::new(Others::new(place, seeds)),
             host_hash: place.host,
-            store_readers: Mutex::new(Readers::new(settings.pace)),
-            store_contacts: Mutex::new(Witness::new(OUTAGE_THRESHOLD)),
-            governor: Mutex::default(),
-            broken_runs: Mutex::default(),
+            store_watchers: Mutex::new(Readers::new(settings.pace)),
+            store_availability: Mutex::new(Witness::new(OUTAGE_THRESHOLD)),
+            load_shedder: Mutex::default(),
+            broken_attempts: Mutex::default(),
             quarantine: Mutex::default(),
             suspension: Mutex::default(),
-            verdict_queue,
+            pending_writes,
             quarantine_loaded: AtomicInstant::default(),
             hosts_loaded: AtomicInstant::default(),
             store_era: AtomicU64::new(0),
@@ -206,13 +206,13 @@
     }
 
     /// Returns the governor of this host's own load.
-    pub(crate) fn governor(&self) -> MutexGuard<'_, Governor> {
-        self.governor.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn load_shedder(&self) -> MutexGuard<'_, Governor> {
+        self.load_shedder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the runs that recently broke.
-    pub(crate) fn broken_runs(&self) -> MutexGuard<'_, Breaks> {
-        self.broken_runs.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn broken_attempts(&self) -> MutexGuard<'_, Breaks> {
+        self.broken_attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the tracker of suspensions of this host.
@@ -254,8 +254,8 @@
     }
 
     /// Queues the verdict on a request to be written to the store.
-    pub(crate) fn persist_verdict(&self, request: Request) {
-        if self.verdict_queue.try_send(request).is_err() {
+    pub(crate) fn persist_quarantine(&self, request: Request) {
+        if self.pending_writes.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
             log::warn!(fingerprint = request.fingerprint_text(); "verdict not queued for the store");
         }
@@ -263,16 +263,16 @@
 
     /// Returns whether to close a caller's connection after a response.
     pub(crate) fn should_close(&self, answered: Answered) -> bool {
-        self.is_stopping() || self.governor().closes(answered) || !self.can_accept()
+        self.is_stopping() || self.load_shedder().closes(answered) || !self.can_accept()
     }
 
     /// Recomputes which hosts this host's digests go to, and returns them.
-    pub(crate) fn refresh_audience(&self) -> Audience {
+    pub(crate) fn refresh_topology(&self) -> Audience {
         self.peers().look(clock::now())
     }
 
     /// Returns which hosts this host's digests go to, as of the last refresh.
-    pub(crate) fn audience(&self) -> Audience {
+    pub(crate) fn topology(&self) -> Audience {
         self.peers().audience()
     }
 
@@ -282,28 +282,28 @@
     }
 
     /// Records how current another host's view of the store is.
-    pub(crate) fn record_follower(&self, it: Follower) {
-        self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
+    pub(crate) fn record_watcher(&self, it: Follower) {
+        self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
     }
 
     /// Records that another host was in contact with the store at a time.
     pub(crate) fn record_store_contact(&self, at: Duration) {
-        self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).note(at);
+        self.store_availability.lock().unwrap_or_else(PoisonError::into_inner).note(at);
     }
 
     /// Returns whether other hosts were in contact with the store from a time until now.
     pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
-        let witness = self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner);
-        witness.covers(from, clock::now())
+        let availability = self.store_availability.lock().unwrap_or_else(PoisonError::into_inner);
+        availability.covers(from, clock::now())
     }
 
     /// Returns whether this host is one of those that read the store themselves.
-    pub(crate) fn is_store_reader(&self) -> bool {
+    pub(crate) fn is_store_watcher(&self) -> bool {
         let data_centre = hash_name(&self.settings().data_centre);
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
-        let readers = self.store_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        readers.is_reader(now, self.host_hash, data_centre, n_others)
+        let watchers = self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner);
+        watchers.is_reader(now, self.host_hash, data_centre, n_others)
     }
 
     /// Records a response of the store.
@@ -318,7 +318,7 @@
 
     /// Returns whether this host is to take the upstream list from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
-        self.settings().pace.silent < self.store_age() || !self.is_store_reader()
+        self.settings().pace.silent < self.store_age() || !self.is_store_watcher()
     }
 
     /// Returns whether the host is ready for callers.
@@ -330,7 +330,7 @@
             && quarantine_known
             && self.has_fresh_state()
             && !self.is_stopping()
-            && !self.governor().is_busy()
+            && !self.load_shedder().is_busy()
             && self.can_accept()
     }
 
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -118,7 +118,7 @@
     /// Follows the table forever.
     async fn run(mut self) {
         loop {
-            if self.version.is_some() && !self.host.is_store_reader() {
+            if self.version.is_some() && !self.host.is_store_watcher() {
                 // Missed changes are read from this version on, or with the whole table.
                 clock::sleep(IDLE_PERIOD).await;
                 self.last_response = clock::now();
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -48,14 +48,14 @@
 }
 
 /// Adds the upstreams that announced draining in a response to this host's digest.
-pub(crate) fn fill_digest(host: &Host, audience: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, topology: &Audience, digest: &mut Digest) {
     // Checked under a read lock first: every request reads the list, and usually no upstream
     // drains.
     if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
         return;
     }
     let mut list = host.upstream_list.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = list.directory.report_draining(audience.telling(digest.sequence));
+    digest.draining = list.directory.report_draining(topology.telling(digest.sequence));
 }
 
 /// Adds the same upstreams to the summary of this host's data centre.
