--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -181,7 +181,7 @@
         Ok(())
     }
 
-    /// Records that a run broke, and checks whether its upstream is still alive.
+    /// Records that an attempt broke, and checks whether its upstream is still alive.
     fn record_break(&self, upstream: &Arc<Upstream>) {
         if quarantine::record_broken_attempt(&self.host, &self.call, upstream) {
             probe::verify_alive(&self.host, upstream);
@@ -259,8 +259,8 @@
         Ok(())
     }
 
-    /// Checks that this host's state is fresh; a stream that has begun waits for it, since its caller
-    /// already has a part of the response.
+    /// Checks that this host's state is fresh; a stream that has begun waits for it, since its
+    /// caller already has a part of the response.
     async fn wait_for_fresh_state(&mut self) -> Result<(), Failure> {
         while !self.host.has_fresh_state() {
             if self.call.job.stage == Stage::New {
@@ -271,8 +271,8 @@
         Ok(())
     }
 
-    /// Checks that the request is not in quarantine; called before every attempt, also before a retry
-    /// and before a stream is resumed.
+    /// Checks that the request is not in quarantine; called before every attempt, also before a
+    /// retry and before a stream is resumed.
     fn check_quarantine(&self) -> Result<(), Failure> {
         let verdict = self.host.quarantine().verdict(clock::now(), self.call.quarantine_key());
         let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -11,7 +11,7 @@
     store_watch::{MAX_PAUSE, truncate_error},
 };
 
-/// Interval at which readers of the store read the table of hosts; new hosts are mostly known from
+/// Interval at which watchers of the store read the table of hosts; new hosts are mostly known from
 /// digests earlier.
 const HOSTS_PERIOD: Duration = Duration::from_secs(15);
 /// Interval for checking whether the store was restored and lost this host's rows.
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -85,7 +85,7 @@
 /// Interval for measuring how late timers fire.
 const LOAD_PERIOD: Duration = Duration::from_millis(25);
 
-/// Feeds timer delays to the governor, and logs when the host becomes busy or idle again.
+/// Feeds timer delays to the load shedder, and logs when the host becomes busy or idle again.
 async fn monitor_load(host: Arc<Host>) {
     let mut was_busy = false;
     let mut last_logged = clock::now();
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -30,7 +30,7 @@
 const MAX_DATAGRAM: usize = 60_000;
 /// Minimum time between two fetches of the list, which often changes several times in a row.
 const LIST_FETCH_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for which another host's list must have been newer before a host that reads the store
+/// Time for which another host's list must have been newer before a host that watches the store
 /// itself fetches it. The host's own call may hang on a dead connection, which it notices only
 /// after 2.2 s, while a draining upstream must get no more requests after two seconds.
 const LIST_FETCH_DELAY: Duration = Duration::from_millis(250);
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -16,8 +16,8 @@
 /// Longest pause between two attempts.
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long a new connection must stay open to show that an upstream is alive after a run broke
-/// there.
+/// How long a new connection must stay open to show that an upstream is alive after an attempt
+/// broke there.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 
 /// Starts connection attempts to an unreachable upstream, until it is reachable or no longer
@@ -36,11 +36,12 @@
     });
 }
 
-/// Starts to check whether an upstream is alive after a run broke there, unless it is being probed
-/// already.
+/// Starts to check whether an upstream is alive after an attempt broke there, unless it is being
+/// probed already.
 ///
-/// A run breaks with its connection, which affects one request, or with its upstream, which affects
-/// all requests there. A connection opened by the check replaces the broken one in the pool.
+/// An attempt breaks with its connection, which affects one request, or with its upstream, which
+/// affects all requests there. A connection opened by the check replaces the broken one in the
+/// pool.
 pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
     if !host.probes.begin(upstream.number()) {
         return;
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -29,7 +29,7 @@
     Reborn,
 }
 
-/// Origin of a quarantine verdict.
+/// Origin of a quarantine entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuarantineSource {
     /// This host observed the last of the upstream ends that led to it.
@@ -40,7 +40,7 @@
     Store,
 }
 
-/// Records that a run of a request broke; returns whether to check that its upstream is still
+/// Records that an attempt of a request broke; returns whether to check that its upstream is still
 /// alive.
 pub(crate) fn record_broken_attempt(host: &Host, call: &Call, upstream: &Upstream) -> bool {
     // A draining upstream may end with requests still running, and a host that was suspended may
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -1,4 +1,4 @@
-//! Persists quarantine verdicts in the store: hosts have no disk, and all of them may be killed at
+//! Persists quarantine entries in the store: hosts have no disk, and all of them may be killed at
 //! once.
 
 use std::{sync::Arc, time::Duration};
@@ -17,7 +17,7 @@
 
 /// Pause after a failed call; doubles up to [`MAX_PAUSE`].
 const INITIAL_PAUSE: Duration = Duration::from_millis(600);
-/// Longest such pause: the stored verdicts matter only after a loss of all hosts, and a store that
+/// Longest such pause: the stored entries matter only after a loss of all hosts, and a store that
 /// is down must not be flooded with calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 /// Interval for reading the table while a data centre is unreachable: a lethal request known there
@@ -26,16 +26,16 @@
 /// Number of hosts per data centre that read the table at their start: all hosts of a small one,
 /// and enough in a large one that some may be gone.
 const N_LOADERS: usize = 4;
-/// Number of rows per workspace; a later verdict overwrites one in the same row.
+/// Number of rows per workspace; a later entry overwrites one in the same row.
 const ROWS_PER_WORKSPACE: u64 = 16;
 /// Maximum number of rows deleted in one call.
 const MAX_DELETED: usize = 100;
 
-/// Reads the stored verdicts at start, and repeatedly while a data centre is unreachable that may
+/// Reads the stored entries at start, and repeatedly while a data centre is unreachable that may
 /// know more. Must be called when the other hosts are known.
 ///
 /// In a large data centre, the first hosts by hash read the table before they are ready, and the
-/// readers of the store afterwards; the others learn the verdicts from digests. On a day with 295
+/// watchers of the store afterwards; the others learn the entries from digests. On a day with 295
 /// hosts, the store got 4,122 calls in total with every host reading at its start, 3,984 with this
 /// rule and 3,839 with no reads at all (one run each).
 pub(crate) async fn load(host: Arc<Host>, store: Store) {
@@ -63,12 +63,12 @@
     is_partitioned && 0 < host.quarantine().n_suspects()
 }
 
-/// Reads the stored verdicts once; returns whether that succeeded.
+/// Reads the stored entries once; returns whether that succeeded.
 async fn load_once(host: &Host, store: &Store) -> bool {
     let rows = match store.read(store::QUARANTINE).await {
         Ok(it) => it.rows,
         Err(err) => {
-            // Callers do not wait for a store that is down; other hosts may report the verdicts.
+            // Callers do not wait for a store that is down; other hosts may report the entries.
             host.mark_quarantine_loaded();
             log::warn!(err:%; "quarantine not read");
             return false;
@@ -91,13 +91,13 @@
     true
 }
 
-/// Queues all verdicts of this host to be written again, after the store lost them.
+/// Queues all entries of this host to be written again, after the store lost them.
 pub(crate) fn persist_all(host: &Host) {
     let verdicts = host.quarantine().verdicts(clock::now());
     verdicts.iter().for_each(|it| host.persist_quarantine(it.request));
 }
 
-/// Writes the verdicts of the queued requests.
+/// Writes the entries of the queued requests.
 pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
     while let Ok(request) = requests.recv().await {
         write_row(&host, &store, request).await;
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -38,7 +38,8 @@
 /// callers after two failed readiness checks, one second apart.
 pub(crate) const STREAM_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 
-/// Maximum number of verdicts queued for the store while it is down; other hosts know them too.
+/// Maximum number of quarantine entries queued for the store while it is down; other hosts know
+/// them too.
 const MAX_PENDING_WRITES: usize = 256;
 
 /// A configuration with the bytes that it was decoded from.
@@ -70,7 +71,7 @@
     broken_attempts: Mutex<Breaks>,
     quarantine: Mutex<Quarantine>,
     suspension: Mutex<Waking>,
-    /// Requests whose verdict is to be written to the store.
+    /// Requests whose quarantine entry is to be written to the store.
     pending_writes: Sender<Request>,
     /// Set once the quarantine was read from the store, could not be read or need not be.
     quarantine_loaded: AtomicInstant,
@@ -91,7 +92,8 @@
 impl Host {
     /// Creates the state of a process that knows nothing yet.
     ///
-    /// Also returns the receiver of the requests whose verdict is to be written to the store.
+    /// Also returns the receiver of the requests whose quarantine entry is to be written to the
+    /// store.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
         let place = Place {
             host: host_hash(settings.peers),
@@ -205,12 +207,12 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the governor of this host's own load.
+    /// Returns the load shedder of this host.
     pub(crate) fn load_shedder(&self) -> MutexGuard<'_, Governor> {
         self.load_shedder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the runs that recently broke.
+    /// Returns the attempts that recently broke.
     pub(crate) fn broken_attempts(&self) -> MutexGuard<'_, Breaks> {
         self.broken_attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -253,11 +255,11 @@
         }
     }
 
-    /// Queues the verdict on a request to be written to the store.
+    /// Queues the quarantine entry of a request to be written to the store.
     pub(crate) fn persist_quarantine(&self, request: Request) {
         if self.pending_writes.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_text(); "verdict not queued for the store");
+            log::warn!(fingerprint = request.fingerprint_text(); "quarantine entry not queued");
         }
     }
 
@@ -297,7 +299,7 @@
         availability.covers(from, clock::now())
     }
 
-    /// Returns whether this host is one of those that read the store themselves.
+    /// Returns whether this host is one of those that watch the store themselves.
     pub(crate) fn is_store_watcher(&self) -> bool {
         let data_centre = hash_name(&self.settings().data_centre);
         let now = clock::now();
@@ -334,8 +336,8 @@
             && self.can_accept()
     }
 
-    /// Handles a failure to accept a connection, or to open one for lack of file descriptors: closes
-    /// the pooled connections now, and callers' connections after their next response.
+    /// Handles a failure to accept a connection, or to open one for lack of file descriptors:
+    /// closes the pooled connections now, and callers' connections after their next response.
     pub(crate) fn handle_accept_failure(&self, err: &io::Error) {
         if self.can_accept() {
             log::warn!(err:%, active = self.n_active(); "connection not accepted");
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -30,7 +30,7 @@
 /// must get no more requests after two seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between the first read of a table and the first call for its changes. By then the host
-/// knows how many others there are, and whether it is one of the store's readers.
+/// knows how many others there are, and whether it is one that watches the store.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(1000);
 /// Time without a response of the store after which entries of upstreams may have expired: shorter
 /// than the three heartbeats of 1.2 s after which the platform removes one, and longer than the
@@ -38,7 +38,7 @@
 pub(crate) const OUTAGE_THRESHOLD: Duration = Duration::from_millis(3200);
 /// Maximum length of a logged error, in characters.
 const MAX_ERROR_CHARS: usize = 200;
-/// Interval for checking whether this host has become a reader of the store.
+/// Interval for checking whether this host is to watch the store now.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
 /// Interval for removing expired entries.
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
@@ -169,7 +169,7 @@
         }
         self.last_response = now;
         // After a first read only, this host does not follow the table yet, and must not look like
-        // a reader of the store to the others.
+        // a watcher of the store to the others.
         if self.version.is_some() {
             self.host.record_store_response();
         }
