--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -23,7 +23,7 @@
         return http1::json(404, &"no such page");
     }
     let is_ready = host.is_ready();
-    host.load_shedder().asked(is_ready);
+    host.load_shedder().record_probe(is_ready);
     if is_ready { http1::json(200, &"ready") } else { http1::json(503, &"not ready") }
 }
 
@@ -74,12 +74,12 @@
         let mut all = catalog.iter().flat_map(|it| it.workspaces());
         all.find(|it| hash_name(&it.name) == number).map_or(String::new(), |it| it.name.clone())
     };
-    let verdicts = host.quarantine().verdicts(clock::now());
-    let show = |it: &portfield::quarantine::Verdict| QuarantinedRequest {
-        fingerprint: it.request.fingerprint_text(),
+    let verdicts = host.quarantine().entries(clock::now());
+    let show = |it: &portfield::quarantine::QuarantineEntry| QuarantinedRequest {
+        fingerprint: it.request.fingerprint_hex(),
         workspace: name(it.request.workspace),
-        n_ends: it.n_ends,
-        left_s: it.left.as_secs(),
+        n_ends: it.n_crashes,
+        left_s: it.remaining.as_secs(),
     };
     verdicts.iter().map(show).collect()
 }
@@ -100,15 +100,15 @@
     let (n_hosts, least_part, n_backing_off) = {
         let (mut balancer, now) = (host.balancer(), clock::now());
         let n_backing_off = balancer.n_backing_off(now);
-        (balancer.n_hosts(now) as f64, balancer.least_part(now), n_backing_off)
+        (balancer.n_hosts(now) as f64, balancer.min_fairness(now), n_backing_off)
     };
     let (list, n_evacuated, n_draining) = host.with_list(|it| {
-        let n_draining = it.directory.drains_unlisted().count();
+        let n_draining = it.directory.draining_unlisted().count();
         (it.directory.version(), it.evacuations.data_centres().count(), n_draining)
     });
     let (n_suspects, n_refused) = {
         let quarantine = host.quarantine();
-        (quarantine.n_suspects(), quarantine.verdicts(clock::now()).len())
+        (quarantine.n_suspects(), quarantine.entries(clock::now()).len())
     };
     let gauges = [
         ("config_version", host.config_version() as f64),
@@ -120,7 +120,7 @@
         ("store_age_ms", host.store_age().as_millis() as f64),
         ("hosts", n_hosts),
         ("least_part", least_part),
-        ("late_ms", host.load_shedder().late()),
+        ("late_ms", host.load_shedder().lateness()),
         ("active", host.n_active() as f64),
         ("quarantine_suspects", n_suspects as f64),
         ("quarantine_refused", n_refused as f64),
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -7,14 +7,11 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Ending, Placed, RunId},
+    balance::{Assignment, Completion, RunId},
     catalog::Upstream,
 };
 use portfield_net::clock;
-use portfield_platform::{
-    answer::{self, Head},
-    request,
-};
+use portfield_platform::{request, response::ResponseHead};
 
 use crate::{
     call::Call,
@@ -73,7 +70,7 @@
 pub(crate) struct UpstreamResponse {
     pub parts: response::Parts,
     pub body: Incoming,
-    pub head: Head,
+    pub head: ResponseHead,
     pub connection: Connection,
     pub run: RunGuard,
     pub upstream: Arc<Upstream>,
@@ -88,28 +85,28 @@
 }
 
 impl RunGuard {
-    fn start(host: &Arc<Host>, call: &Call, placed: &Placed) -> Self {
-        let id = host.balancer().start(clock::now(), &call.job, placed);
+    fn start(host: &Arc<Host>, call: &Call, placed: &Assignment) -> Self {
+        let id = host.balancer().record_start(clock::now(), &call.job, placed);
         Self { host: host.clone(), id, is_finished: false }
     }
 
     /// Records the first event of a stream, or a complete response.
     pub(crate) fn record_first(&self) {
-        self.host.balancer().first(clock::now(), self.id);
+        self.host.balancer().record_first_event(clock::now(), self.id);
     }
 
     /// Records how the run ended; only the first call counts.
-    pub(crate) fn end(&mut self, ending: Ending) {
+    pub(crate) fn end(&mut self, ending: Completion) {
         if !self.is_finished {
             self.is_finished = true;
-            self.host.balancer().end(clock::now(), self.id, ending);
+            self.host.balancer().record_end(clock::now(), self.id, ending);
         }
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.end(Completion::Cancelled);
     }
 }
 
@@ -118,13 +115,13 @@
     host: &Arc<Host>,
     call: &Call,
     upstream: &Arc<Upstream>,
-    placed: &Placed,
+    placed: &Assignment,
     last_event: Option<&str>,
     timeout: Duration,
 ) -> AttemptResult {
     let mut run = RunGuard::start(host, call, placed);
     let started = clock::now();
-    let pooled = host.pool.take(upstream.number());
+    let pooled = host.pool.take(upstream.wire_id());
     let mut connection = match pooled {
         Some(it) => it,
         None => match connect(host, upstream).await {
@@ -139,7 +136,7 @@
         // Connecting takes time: since placement, the upstream may have started to drain, been
         // evacuated or asked this host to back off.
         if !host.may_send_to(upstream) {
-            run.end(Ending::Cancelled);
+            run.end(Completion::Cancelled);
             let text = "the upstream no longer accepts requests";
             return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
@@ -150,23 +147,23 @@
             None => {
                 // A time-out that spans a suspension of this host says nothing about the upstream.
                 let suspended = host.resumed_at().is_some_and(|it| started <= it);
-                run.end(if suspended { Ending::Cancelled } else { Ending::Broken });
+                run.end(if suspended { Completion::Cancelled } else { Completion::Broken });
                 AttemptResult::Failed(Outcome::TimedOut, "no response in time".to_owned())
             }
             Some(Ok(response)) => check_response(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
-                run.end(Ending::Cancelled);
+                run.end(Completion::Cancelled);
                 AttemptResult::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
             Some(Err(mut err)) => {
                 if err.take_message().is_none() {
-                    run.end(Ending::Broken);
+                    run.end(Completion::Broken);
                     return AttemptResult::Failed(Outcome::Unknown, error_chain(err.error()));
                 }
                 // Nothing was sent: a pooled connection may have been closed since its last
                 // response.
                 if !connection.reused {
-                    run.end(Ending::Unreachable);
+                    run.end(Completion::Unreachable);
                     let text = "the connection closed before the request was sent";
                     return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
                 }
@@ -193,7 +190,7 @@
 #[derive(Debug)]
 struct ConnectError {
     /// What the failure means for the upstream's health.
-    ending: Ending,
+    ending: Completion,
     text: String,
 }
 
@@ -206,10 +203,10 @@
             // Not the upstream's fault: when it was blamed, a host out of file descriptors stopped
             // using one healthy upstream after another.
             host.handle_accept_failure(&err);
-            return ConnectError { ending: Ending::Cancelled, text };
+            return ConnectError { ending: Completion::Cancelled, text };
         }
         probe::start_reconnect(host, upstream, &err);
-        ConnectError { ending: Ending::Unreachable, text }
+        ConnectError { ending: Completion::Unreachable, text }
     })
 }
 
@@ -225,13 +222,13 @@
     upstream: &Upstream,
     last_event: Option<&str>,
 ) -> Request<Full<Bytes>> {
-    let headers = request::encode(
+    let headers = request::rewrite_headers(
         &call.headers,
-        &request::Upstream {
-            patience: call.remaining(),
-            expected: &upstream.entry.id,
+        &request::UpstreamHeaders {
+            timeout: call.remaining(),
+            incarnation: &upstream.entry.id,
             workspace: call.workspace.as_ref().map(|it| it.name.as_str()),
-            last_event,
+            last_event_id: last_event,
         },
     );
     let mut res = Request::new(Full::new(call.body.clone()));
@@ -251,25 +248,25 @@
     mut run: RunGuard,
 ) -> AttemptResult {
     let (parts, body) = response.into_parts();
-    let head = answer::decode(parts.status, &parts.headers, &call.id);
+    let head = portfield_platform::response::decode(parts.status, &parts.headers, &call.id);
     upstream_signals::handle_response_head(host, call, upstream, parts.status, &head);
-    if !head.belongs {
-        run.end(Ending::Broken);
+    if !head.id_matches {
+        run.end(Completion::Broken);
         let text = "the response belongs to another request";
         return AttemptResult::Failed(Outcome::Unknown, text.to_owned());
     }
-    if head.in_place_of(&upstream.entry.id).is_some() {
+    if head.replacement_of(&upstream.entry.id).is_some() {
         quarantine::record_upstream_end(host, upstream, EndEvidence::Replaced);
     }
     if head.not_run {
         let has_backoff =
-            head.backoff.as_ref().and_then(|it| it.time).is_some_and(|it| !it.is_zero());
-        run.end(if has_backoff { Ending::BackedOff } else { Ending::Rejected });
+            head.retry_after.as_ref().and_then(|it| it.delay).is_some_and(|it| !it.is_zero());
+        run.end(if has_backoff { Completion::BackoffRequested } else { Completion::Rejected });
         let text = format!("rejected with {}", parts.status.as_u16());
         return AttemptResult::Failed(Outcome::NotRun, text);
     }
-    if parts.status.is_success() && !head.signed {
-        run.end(Ending::Broken);
+    if parts.status.is_success() && !head.is_signed {
+        run.end(Completion::Broken);
         return AttemptResult::Failed(Outcome::Unknown, "the response is not signed".to_owned());
     }
     let upstream = upstream.clone();
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -8,9 +8,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use portfield::{
-    balance::{Job, Overload, Prompt, Stage},
-    catalog::{Access, Catalog, EngineSpec, Kind, Route, Workspace},
-    quarantine::{self, Fingerprint, Identity},
+    balance::{Overload, PlacementRequest, Prompt, Stage},
+    catalog::{Access, Catalog, EngineSpec, Route, RouteKind, Workspace},
+    quarantine::{self, Fingerprint, RequestIdentity},
 };
 use portfield_net::clock;
 use portfield_platform::request;
@@ -48,7 +48,7 @@
     pub service: String,
     pub workspace: Option<Arc<Workspace>>,
     pub config_version: u64,
-    pub job: Job,
+    pub job: PlacementRequest,
     /// Fingerprint of the request, the same for every attempt.
     pub fingerprint: Fingerprint,
     _active: Arc<()>,
@@ -83,22 +83,22 @@
         if route.kind.is_stream() && !host.accepts_streams() {
             return Err(Failure::unavailable("this host is shutting down", STOPPING_RETRY));
         }
-        let workspace = authorize(&catalog, &route, head.key.as_deref())?;
-        let service = route.pick(fastrand::f64()).unwrap_or_default().to_owned();
+        let workspace = authorize(&catalog, &route, head.api_key.as_deref())?;
+        let service = route.pick_service(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
         let workspace_hash = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
         let n_messages = message_count(head.prompt.as_ref(), engine);
         let random = fastrand::f64();
-        let overload = host.load_shedder().refuses(arrived, workspace_hash, n_messages, random);
+        let overload = host.load_shedder().shed(arrived, workspace_hash, n_messages, random);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
-            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::cost);
-            host.balancer().refused(arrived, workspace_hash, tokens);
+            let tokens = head.prompt.as_ref().map_or(0.0, Prompt::token_cost);
+            host.balancer().record_refusal(arrived, workspace_hash, tokens);
             let refused = Overloaded { workspace_hash, tokens, overload };
             log_overload(host, &head, &route, workspace.as_deref(), refused);
-            return Err(Failure::overloaded(host.load_shedder().retry(fastrand::f64())));
+            return Err(Failure::overloaded(host.load_shedder().retry_after(fastrand::f64())));
         }
-        let timeout = head.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let body_read = read_body(body, catalog.limits().body_bytes);
         let timed_out = || {
             Err(Failure::rejected(
@@ -108,16 +108,16 @@
             ))
         };
         let body = clock::timeout(timeout, body_read).await.unwrap_or_else(timed_out)?;
-        let job = Job {
+        let job = PlacementRequest {
             workspace: workspace_hash,
             service: hash_name(&service),
             prompt: head.prompt,
-            objective: route.objective,
+            objective: route.latency_target,
             waited: Duration::ZERO,
             stage: Stage::New,
             engine,
         };
-        let identity = Identity {
+        let identity = RequestIdentity {
             workspace: workspace_hash,
             method: parts.method.as_str(),
             target: parts.uri.path_and_query().map_or("", |it| it.as_str()),
@@ -125,7 +125,7 @@
         };
         let fingerprint = identity.fingerprint();
         Ok(Self {
-            id: head.id,
+            id: head.attempt_id,
             caller: caller.clone(),
             arrived,
             deadline: arrived.saturating_add(timeout),
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether, and how, the request may be repeated.
-    pub(crate) fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> RouteKind {
         self.route.kind
     }
 
@@ -154,13 +154,13 @@
     }
 
     /// Returns the key by which hosts identify the request in the quarantine.
-    pub(crate) fn quarantine_key(&self) -> quarantine::Request {
-        quarantine::Request { workspace: self.job.workspace, fingerprint: self.fingerprint }
+    pub(crate) fn quarantine_key(&self) -> quarantine::RequestKey {
+        quarantine::RequestKey { workspace: self.job.workspace, fingerprint: self.fingerprint }
     }
 
     /// Returns the cost of the request in its workspace's share, in tokens.
     pub(crate) fn tokens(&self) -> f64 {
-        self.job.tokens()
+        self.job.token_cost()
     }
 
     /// Returns the time left until the deadline.
@@ -181,20 +181,20 @@
 
 fn log_overload(
     host: &Host,
-    head: &request::Head,
+    head: &request::RequestHead,
     route: &Route,
     workspace: Option<&Workspace>,
     Overloaded { workspace_hash, tokens, overload }: Overloaded,
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
     host.ingress.record_refused(name);
-    let account = host.balancer().account(clock::now(), workspace_hash);
+    let account = host.balancer().share_snapshot(clock::now(), workspace_hash);
     log::info!(
-        request = head.id, route = route.name, workspace = name, tokens,
+        request = head.attempt_id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
-        offered_level = overload.map_or(0.0, |it| it.level),
-        late_ms = overload.map_or(0.0, |it| it.late), active = host.n_active(),
-        asked = account.asked, taken = account.taken, level = account.level, best = account.best;
+        offered_level = overload.map_or(0.0, |it| it.limit),
+        late_ms = overload.map_or(0.0, |it| it.lateness), active = host.n_active(),
+        asked = account.asked, taken = account.taken, level = account.fair_share, best = account.largest_usage;
         "not admitted"
     );
 }
@@ -203,7 +203,7 @@
 /// events.
 fn message_count(prompt: Option<&Prompt>, engine: Option<EngineSpec>) -> f64 {
     let n_events = match (prompt, engine) {
-        (Some(prompt), Some(engine)) => prompt.output / engine.event_tokens.max(1),
+        (Some(prompt), Some(engine)) => prompt.max_output_tokens / engine.event_tokens.max(1),
         _ => 0,
     };
     2.0 + f64::from(n_events)
@@ -215,7 +215,7 @@
     let missing = || {
         Failure::rejected(StatusCode::NOT_FOUND, "path", "no route matches this host name and path")
     };
-    catalog.route(name, uri.path()).cloned().ok_or_else(missing)
+    catalog.find_route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
 fn authorize(
@@ -223,8 +223,8 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Failure> {
-    let found = key.and_then(|it| catalog.workspace(it)).cloned();
-    if found.is_none() && route.access == Access::Keyed {
+    let found = key.and_then(|it| catalog.workspace_by_key(it)).cloned();
+    if found.is_none() && route.access == Access::ApiKey {
         let text = "send the key of a workspace";
         return Err(Failure::rejected(StatusCode::UNAUTHORIZED, "authorization", text));
     }
--- a/crates/portfield-host/src/cold_start.rs
+++ b/crates/portfield-host/src/cold_start.rs
@@ -4,7 +4,7 @@
 
 use portfield::{
     balance::cold_quota,
-    catalog::{Upstream, Warming},
+    catalog::{ColdStart, Upstream},
 };
 use portfield_net::clock;
 
@@ -19,7 +19,7 @@
 
 /// Whether upstreams of a service need to warm up after a start.
 enum WarmupPolicy {
-    Cold(Warming),
+    Cold(ColdStart),
     /// They take as many requests as they have slots from the start.
     Warm,
     /// No configuration is known yet.
@@ -30,10 +30,12 @@
     /// Applies the cold times that upstreams report in their entries.
     pub(crate) fn update_cold(&self, reported: &[Arc<Upstream>]) {
         let (warm, cold): (Vec<_>, Vec<_>) =
-            reported.iter().partition(|it| it.entry.cold.is_zero());
-        warm.iter().for_each(|it| self.balancer().warm(it.number()));
-        let n_cold =
-            cold.iter().filter(|it| self.mark_cold(it, Some(it.entry.cold), cold.len())).count();
+            reported.iter().partition(|it| it.entry.cold_remaining.is_zero());
+        warm.iter().for_each(|it| self.balancer().mark_warm(it.wire_id()));
+        let n_cold = cold
+            .iter()
+            .filter(|it| self.mark_cold(it, Some(it.entry.cold_remaining), cold.len()))
+            .count();
         if MAX_LOG_LINES < n_cold {
             log::info!(n = n_cold; "upstreams cold");
         }
@@ -66,12 +68,12 @@
     ) -> bool {
         let (time, quota) = match (self.warmup_policy(&upstream.entry.service), reported) {
             (WarmupPolicy::Cold(it), reported) => {
-                (reported.unwrap_or(it.time), self.cold_quota_for(upstream, it))
+                (reported.unwrap_or(it.duration), self.cold_quota_for(upstream, it))
             }
             (WarmupPolicy::Unknown, Some(reported)) => (reported, 0),
             (WarmupPolicy::Unknown, None) => return false,
             (WarmupPolicy::Warm, _) => {
-                self.balancer().warm(upstream.number());
+                self.balancer().mark_warm(upstream.wire_id());
                 return false;
             }
         };
@@ -79,24 +81,24 @@
             let id = &upstream.entry.id;
             log::info!(upstream = id, cold_ms = time.as_millis() as u64, quota; "upstream cold");
         }
-        self.balancer().cold(upstream.number(), clock::now() + time, quota);
+        self.balancer().mark_cold(upstream.wire_id(), clock::now() + time, quota);
         true
     }
 
     fn warmup_policy(&self, service: &str) -> WarmupPolicy {
         let Some(active_config) = self.active_config() else { return WarmupPolicy::Unknown };
-        let warming = active_config.catalog.service(service).and_then(|it| it.warming);
-        warming.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
+        let cold_start = active_config.catalog.service(service).and_then(|it| it.cold_start);
+        cold_start.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
     }
 
     /// Returns how many requests per second this host may send to a cold upstream.
-    fn cold_quota_for(&self, upstream: &Upstream, warming: Warming) -> u32 {
+    fn cold_quota_for(&self, upstream: &Upstream, cold_start: ColdStart) -> u32 {
         if !self.has_loaded_hosts() && clock::now() < DISCOVERY_TIME {
             return 0;
         }
         let settings = self.settings();
-        let rate_limit = warming.rate * settings.cold_overrun + settings.cold_slack;
-        let hosts = self.peers().known_in(hash_name(&upstream.entry.data_centre));
-        cold_quota(rate_limit, &hosts, self.own_hash(), upstream.number())
+        let rate_limit = cold_start.max_rate * settings.cold_overrun + settings.cold_slack;
+        let hosts = self.peers().hosts_in(hash_name(&upstream.entry.data_centre));
+        cold_quota(rate_limit, &hosts, self.own_hash(), upstream.wire_id())
     }
 }
--- a/crates/portfield-host/src/evacuations.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -2,7 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use portfield::catalog::{Order, OrderChange, OrderList, Source, StoreVersion};
+use portfield::catalog::{
+    EvacuationChange, EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion,
+};
 use portfield_net::clock;
 use portfield_platform::store::{self, Row};
 
@@ -16,10 +18,10 @@
 /// The key alone makes the order: it stands even if its value cannot be decoded.
 pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
     let order = |it: &Row| {
-        let data_centre = store::evacuated(&it.key)?.to_owned();
-        Some(Order { data_centre, row: it.version, is_lifted: it.value.is_none() })
+        let data_centre = store::evacuated_data_centre(&it.key)?.to_owned();
+        Some(EvacuationRow { data_centre, row_version: it.version, is_lifted: it.value.is_none() })
     };
-    let orders: Vec<Order> = rows.iter().filter_map(order).collect();
+    let orders: Vec<EvacuationRow> = rows.iter().filter_map(order).collect();
     if orders.is_empty() && reading.scope == ReadScope::Changes {
         return;
     }
@@ -28,7 +30,7 @@
         // Only a restore from a backup loses the operator's orders; an outage of the store does
         // not.
         ReadScope::Restored => source,
-        ReadScope::Changes | ReadScope::Full => Source::Current,
+        ReadScope::Changes | ReadScope::Full => MissingRows::Deleted,
     };
     let changes = host.update_list(|it| match scope {
         ReadScope::Changes => it.evacuations.apply(version, orders),
@@ -38,14 +40,14 @@
 }
 
 /// Merges another host's orders, as of a version of the store.
-pub(crate) fn merge_peer_orders(host: &Arc<Host>, version: StoreVersion, list: OrderList) {
-    let changes = host.update_list(|it| it.evacuations.learn(clock::now(), version, list));
+pub(crate) fn merge_peer_orders(host: &Arc<Host>, version: StoreVersion, list: EvacuationSnapshot) {
+    let changes = host.update_list(|it| it.evacuations.merge(clock::now(), version, list));
     record_changes(host, &changes, "host");
 }
 
 /// Ends orders that the store lost and the operator did not write again.
 pub(crate) fn expire(host: &Arc<Host>, now: Duration) {
-    if !host.with_list(|it| it.evacuations.has_late(now)) {
+    if !host.with_list(|it| it.evacuations.has_expired(now)) {
         return;
     }
     let changes = host.update_list(|it| it.evacuations.expire(now));
@@ -53,9 +55,9 @@
 }
 
 /// Logs and counts order changes, and treats upstreams in data centres that are used again as cold.
-fn record_changes(host: &Arc<Host>, changes: &[OrderChange], source: &str) {
+fn record_changes(host: &Arc<Host>, changes: &[EvacuationChange], source: &str) {
     let orders = host.with_list(|it| it.evacuations.version());
-    for OrderChange { data_centre, is_lifted } in changes {
+    for EvacuationChange { data_centre, is_lifted } in changes {
         let store_age_ms = host.store_age().as_millis() as u64;
         if *is_lifted {
             log::warn!(data_centre, orders:%, source, store_age_ms; "evacuation ended");
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -5,9 +5,9 @@
 
 use http::{Response, StatusCode};
 use portfield::{
-    balance::{Account, Placed, Stage},
-    catalog::{Kind, Upstream},
-    quarantine::Verdict,
+    balance::{Assignment, ShareSnapshot, Stage},
+    catalog::{RouteKind, Upstream},
+    quarantine::QuarantineEntry,
 };
 use portfield_net::clock;
 
@@ -97,10 +97,10 @@
     }
 
     /// Picks an upstream; otherwise logs the refusal and returns it as the response.
-    fn place(&mut self) -> Result<(Placed, Arc<Upstream>), Failure> {
+    fn place(&mut self) -> Result<(Assignment, Arc<Upstream>), Failure> {
         self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
         let is_last_try =
-            self.host.quarantine().is_last_try(clock::now(), self.call.quarantine_key());
+            self.host.quarantine().is_one_crash_away(clock::now(), self.call.quarantine_key());
         let mode = if is_last_try { PlacementMode::Isolated } else { PlacementMode::Any };
         let PlacementRefusal { reason, retry, estimate, share } =
             match self.host.place(&self.call, &self.tried, mode) {
@@ -112,10 +112,10 @@
         log::info!(
             request = self.call.id, route = self.call.route.name, reason:?, share,
             workspace = self.call.workspace_name(), tokens = self.call.tokens(),
-            asked = account.asked, taken = account.taken, level = account.level,
-            best = account.best, level_age_ms = account.age.as_millis() as u64,
+            asked = account.asked, taken = account.taken, level = account.fair_share,
+            best = account.largest_usage, level_age_ms = account.age.as_millis() as u64,
             estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
-            objective_ms = self.call.route.objective.as_millis() as u64,
+            objective_ms = self.call.route.latency_target.as_millis() as u64,
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             hosts = self.host.balancer().n_hosts(clock::now()); "not placed"
@@ -124,18 +124,18 @@
         Err(self.failure(format!("refused: {reason:?}"), retry))
     }
 
-    fn account(&self) -> Account {
-        self.host.balancer().account(clock::now(), self.call.job.workspace)
+    fn account(&self) -> ShareSnapshot {
+        self.host.balancer().share_snapshot(clock::now(), self.call.job.workspace)
     }
 
-    fn log_placed(&self, placed: &Placed, upstream: &Upstream) {
+    fn log_placed(&self, placed: &Assignment, upstream: &Upstream) {
         log::info!(
             request = self.call.id, route = self.call.route.name, upstream = upstream.entry.id,
             workspace = self.call.workspace_name(),
             estimate_ms = placed.estimate.as_millis() as u64,
-            bias_ms = placed.bias.as_millis() as u64, unread = placed.unread,
-            ahead = placed.ahead, share = placed.share, attempt = self.tried.len() + 1,
-            tokens = self.call.tokens(), fingerprint = self.call.quarantine_key().fingerprint_text(),
+            bias_ms = placed.bias.as_millis() as u64, unread = placed.uncached_tokens,
+            ahead = placed.queued_tokens, share = placed.share_ratio, attempt = self.tried.len() + 1,
+            tokens = self.call.tokens(), fingerprint = self.call.quarantine_key().fingerprint_hex(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             store_age_ms = self.host.store_age().as_millis() as u64; "placed"
@@ -168,14 +168,14 @@
         let label = outcome.as_str();
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = label, cause,
-            fingerprint = self.call.quarantine_key().fingerprint_text(),
+            fingerprint = self.call.quarantine_key().fingerprint_hex(),
             left_ms = self.call.remaining().as_millis() as u64; "attempt failed"
         );
         self.host.metrics.count(&format!("attempts_failed{{outcome=\"{label}\"}}"));
         if outcome == Outcome::Abandoned {
             return Err(self.failure(CALLER_LEFT.to_owned(), CALLER_LEFT_RETRY));
         }
-        if outcome == Outcome::TimedOut && !self.call.kind().is_repeatable() {
+        if outcome == Outcome::TimedOut && !self.call.kind().is_retryable() {
             return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, cause));
         }
         Ok(())
@@ -193,7 +193,7 @@
         self.record_break(upstream);
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = "unknown", cause,
-            fingerprint = self.call.quarantine_key().fingerprint_text(),
+            fingerprint = self.call.quarantine_key().fingerprint_hex(),
             left_ms = self.call.remaining().as_millis() as u64; "answer broke"
         );
         self.host.metrics.count("answers_broken");
@@ -216,7 +216,7 @@
 
     /// Records that the caller received the beginning of the stream.
     pub(crate) fn mark_begun(&mut self) {
-        self.call.job.stage = Stage::Begun;
+        self.call.job.stage = Stage::Streaming;
     }
 
     /// Returns whether another upstream would accept the request now.
@@ -230,7 +230,7 @@
 
     /// Returns whether another upstream may be asked to repeat or resume the request.
     pub(crate) fn may_retry(&self) -> bool {
-        self.call.kind().is_repeatable()
+        self.call.kind().is_retryable()
             && self.n_run < self.call.route.max_attempts
             && !self.call.remaining().is_zero()
     }
@@ -248,7 +248,7 @@
             }
             return Err(Failure::unavailable(text, RETRY));
         }
-        if self.may_have_run && !self.call.kind().is_repeatable() {
+        if self.may_have_run && !self.call.kind().is_retryable() {
             let text = "the response broke off, and the request is not repeatable";
             return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
@@ -274,9 +274,11 @@
     /// Checks that the request is not in quarantine; called before every attempt, also before a
     /// retry and before a stream is resumed.
     fn check_quarantine(&self) -> Result<(), Failure> {
-        let verdict = self.host.quarantine().verdict(clock::now(), self.call.quarantine_key());
-        let Some(Verdict { n_ends, left, .. }) = verdict else { return Ok(()) };
-        let fingerprint = self.call.quarantine_key().fingerprint_text();
+        let verdict = self.host.quarantine().entry(clock::now(), self.call.quarantine_key());
+        let Some(QuarantineEntry { n_crashes: n_ends, remaining: left, .. }) = verdict else {
+            return Ok(());
+        };
+        let fingerprint = self.call.quarantine_key().fingerprint_hex();
         log::info!(
             request = self.call.id, route = self.call.route.name, fingerprint, n_ends,
             workspace = self.call.workspace_name(), left_s = left.as_secs(); "in quarantine"
@@ -304,9 +306,9 @@
             return left;
         }
         match self.call.kind() {
-            Kind::Safe => left.mul_f64(FIRST_TIMEOUT_PART),
-            Kind::ResumableStream => left.min(estimate * 2 + self.call.route.objective),
-            Kind::Unsafe | Kind::Stream => left,
+            RouteKind::Safe => left.mul_f64(FIRST_TIMEOUT_PART),
+            RouteKind::ResumableStream => left.min(estimate * 2 + self.call.route.latency_target),
+            RouteKind::Unsafe | RouteKind::Stream => left,
         }
     }
 
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full};
-use portfield::balance::Ending;
+use portfield::balance::Completion;
 use portfield_net::clock;
 
 use crate::{
@@ -54,7 +54,7 @@
                 Some(Err(err)) => attempt::error_chain(&err),
                 _ => "the response did not end in time".to_owned(),
             };
-            run.end(Ending::Broken);
+            run.end(Completion::Broken);
             exchange.record_broken_response(&upstream, &cause);
             if exchange.may_retry() {
                 return Err(exchange);
@@ -66,11 +66,11 @@
     let first = clock::now();
     run.record_first();
     let is_error = parts.status.is_server_error();
-    run.end(if is_error { Ending::Error } else { Ending::Done });
-    if head.keeps {
-        exchange.host.pool.put(upstream.number(), connection, head.idle);
+    run.end(if is_error { Completion::Error } else { Completion::Done });
+    if head.keep_alive {
+        exchange.host.pool.put(upstream.wire_id(), connection, head.idle_timeout);
     }
-    portfield_platform::request::strip_hop(&mut parts.headers);
+    portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let body = Full::new(bytes).map_err(|it| match it {}).boxed_unsync();
     let status = parts.status;
     let res = Response::from_parts(parts, body);
--- a/crates/portfield-host/src/host_discovery.rs
+++ b/crates/portfield-host/src/host_discovery.rs
@@ -30,7 +30,7 @@
             clock::sleep(HOSTS_PERIOD).await;
             continue;
         }
-        match store.read(store::HOSTS).await {
+        match store.read(store::HOSTS_TABLE).await {
             Ok(it) => {
                 let own_address = host.settings().peers.to_string();
                 it.rows
@@ -58,7 +58,8 @@
 async fn register(host: &Host, store: &Store) {
     let own_address = host.settings().peers.to_string();
     let data_centre = host.settings().data_centre.clone();
-    while let Err(err) = store.write(store::HOSTS, &own_address, data_centre.as_bytes()).await {
+    while let Err(err) = store.write(store::HOSTS_TABLE, &own_address, data_centre.as_bytes()).await
+    {
         host.mark_quarantine_loaded();
         log::warn!(err:% = truncate_error(&err); "registration in the store failed");
         clock::sleep(MAX_PAUSE).await;
@@ -90,5 +91,5 @@
         return;
     };
     let name = row.value.as_deref().and_then(|it| std::str::from_utf8(it).ok());
-    host.peers().learn(address, name.map(hash_name));
+    host.peers().add_host(address, name.map(hash_name));
 }
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -100,7 +100,7 @@
             if !was_suspended {
                 shedder.observe(now, now.saturating_sub(due));
             }
-            (shedder.is_busy(), shedder.late())
+            (shedder.is_overloaded(), shedder.lateness())
         };
         if is_busy != was_busy {
             was_busy = is_busy;
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -11,7 +11,7 @@
 
 use async_net::TcpStream;
 use bytes::Bytes;
-use portfield::catalog::{Order, OrderList, Source, StoreVersion};
+use portfield::catalog::{EvacuationRow, EvacuationSnapshot, MissingRows, StoreVersion};
 use portfield_net::{clock, rpc};
 use portfield_wire::{
     EvacuationOrder, KnowledgeReply, KnowledgeRequest, ListedUpstream, peers_server::Peers,
@@ -89,7 +89,7 @@
 /// Builds a request for versions newer than this host's. Parts that are not wanted carry the
 /// highest version, so that the reply leaves them out.
 fn request(host: &Host, wanted: Wanted) -> KnowledgeRequest {
-    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::LAST, StoreVersion::LAST);
+    let (mut config, mut list, mut orders) = (u64::MAX, StoreVersion::MAX, StoreVersion::MAX);
     match wanted {
         Wanted::Config => config = host.config_version(),
         Wanted::List => list = host.with_list(|it| it.directory.version()),
@@ -110,9 +110,9 @@
     if version == StoreVersion::default() {
         return;
     }
-    let order = |it: EvacuationOrder, is_lifted| Order {
+    let order = |it: EvacuationOrder, is_lifted| EvacuationRow {
         data_centre: it.data_centre,
-        row: it.row,
+        row_version: it.row,
         is_lifted,
     };
     let standing = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
@@ -120,7 +120,7 @@
         (order(it, false), left)
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
-    let list = OrderList { standing: standing.collect(), lifted: lifted.collect() };
+    let list = EvacuationSnapshot { active: standing.collect(), lifted: lifted.collect() };
     evacuations::merge_peer_orders(host, version, list);
 }
 
@@ -128,7 +128,7 @@
 fn apply_reply(host: &Host, mut reply: KnowledgeReply) {
     let now = clock::now();
     host.with_list(|it| {
-        reply.list.retain(|row| row.held == 0 || it.directory.takes_held(&row.id));
+        reply.list.retain(|row| row.held == 0 || it.directory.accepts_unlisted(&row.id));
     });
     let held: Vec<(String, Duration)> = reply
         .list
@@ -146,11 +146,11 @@
     let table_read = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
         scope: if reply.is_partial { ReadScope::Changes } else { ReadScope::Full },
-        source: Source::Current,
+        source: MissingRows::Deleted,
     };
     host.update_list(|it| {
         if apply_list(it, rows, &table_read) {
-            held.iter().for_each(|(id, until)| it.directory.hold(id, *until));
+            held.iter().for_each(|(id, until)| it.directory.set_expiry(id, *until));
         }
     });
 }
@@ -210,10 +210,10 @@
         return;
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
-    let OrderList { standing, lifted } = list.evacuations.list(clock::now());
-    let encode = |it: Order, left: Option<Duration>| EvacuationOrder {
+    let EvacuationSnapshot { active: standing, lifted } = list.evacuations.snapshot(clock::now());
+    let encode = |it: EvacuationRow, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
-        row: it.row,
+        row: it.row_version,
         held: held_ms(left),
     };
     reply.evacuations = standing.into_iter().map(|(it, left)| encode(it, left)).collect();
@@ -231,16 +231,16 @@
     }
     let now = clock::now();
     let entry = |id: &String| {
-        let held = list.directory.held_until(id);
+        let held = list.directory.expires_at(id);
         let held = held_ms(held.map(|it| it.saturating_sub(now)));
         let entry = list.entries.get(id)?.to_vec();
-        Some(ListedUpstream { id: id.clone(), entry, held, row: list.directory.row(id) })
+        Some(ListedUpstream { id: id.clone(), entry, held, row: list.directory.row_version(id) })
     };
-    match list.directory.since(known) {
+    match list.directory.changes_since(known) {
         Some(difference) => {
             reply.is_partial = true;
             reply.list = difference.set.iter().filter_map(entry).collect();
-            reply.gone = difference.gone;
+            reply.gone = difference.removed;
         }
         None => reply.list = list.entries.keys().filter_map(entry).collect(),
     }
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -7,9 +7,9 @@
 };
 
 use portfield::{
-    balance::{Audience, Follower, Way},
+    balance::{Delivery, GossipTopology, WatcherStatus},
     catalog::StoreVersion,
-    waking::Knowledge,
+    suspend::CachedState,
 };
 use portfield_net::{clock, contain};
 use portfield_wire::Digest;
@@ -74,7 +74,7 @@
     newer: &mut NewerVersions,
 ) {
     let topology = host.topology();
-    if digest.seeks_hosts && topology.is_large() {
+    if digest.seeks_hosts && topology.is_hierarchical() {
         send::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
@@ -87,13 +87,13 @@
         list: it.directory.version(),
         orders: it.evacuations.version(),
     });
-    let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Way::Relayed));
-    for (digest, way) in std::iter::once((digest, Way::Direct)).chain(relayed) {
+    let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
+    for (digest, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
         handle_digest(host, &topology, from, &digest);
         if digest.host != host.own_hash() {
             newer.record(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let forwarded = host.peers().pass_on(digest, way);
+        let forwarded = host.peers().forward(digest, way);
         if let Some((speaker, digest)) = forwarded {
             send::send(host, socket, &digest, [speaker]);
         }
@@ -105,35 +105,35 @@
     let mut peers = host.peers();
     for it in &digest.hosts {
         match it.address.parse() {
-            Ok(address) => peers.learn(address, Some(it.data_centre)),
+            Ok(address) => peers.add_host(address, Some(it.data_centre)),
             Err(_) => host.metrics.count("digests_malformed"),
         }
     }
 }
 
 /// Handles one digest, received directly or relayed.
-fn handle_digest(host: &Host, topology: &Audience, from: SocketAddr, digest: &Digest) {
+fn handle_digest(host: &Host, topology: &GossipTopology, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
     }
     let now = clock::now();
-    host.peers().hear(now, from, digest);
+    host.peers().record_digest(now, from, digest);
     if digest.n_summed == 0 {
         let store_age = Duration::from_millis(u64::from(digest.store_age));
         host.record_store_contact(now.saturating_sub(store_age));
-        host.record_watcher(Follower {
+        host.record_watcher(WatcherStatus {
             host: digest.host,
             data_centre: digest.data_centre,
             store_age,
-            heard: now,
+            last_heard: now,
         });
     } else {
         host.metrics.count("sums");
     }
     quarantine::merge_suspects(host, &digest.suspects, QuarantineSource::Host);
     upstream_signals::merge_digest(host, digest);
-    if topology.counts(digest) {
-        host.balancer().merge(now, digest);
+    if topology.accepts(digest) {
+        host.balancer().merge_digest(now, digest);
     }
 }
 
@@ -185,7 +185,7 @@
 impl NewerVersions {
     fn record(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
         let has_store_contact =
-            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.fresh;
+            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.stale_after;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
         if known.orders < orders {
             self.orders.offer(address);
@@ -193,13 +193,13 @@
         if known.config < digest.config_version {
             self.config.offer(address);
         } else if has_store_contact && orders <= known.orders {
-            host.suspension().heard_host(Knowledge::Config);
+            host.suspension().confirm_from_peer(CachedState::Config);
         }
         host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.offer(address);
         } else if has_store_contact {
-            host.suspension().heard_host(Knowledge::Upstreams);
+            host.suspension().confirm_from_peer(CachedState::Upstreams);
         }
     }
 
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use async_io::Async;
-use portfield::balance::Audience;
+use portfield::balance::GossipTopology;
 use portfield_net::clock;
 use portfield_wire::Digest;
 use prost::Message;
@@ -34,11 +34,11 @@
         let digest = own_digest(&host, &topology, header.clone());
         let (targets, relayed) = {
             let mut peers = host.peers();
-            (peers.told(sequence), peers.take_passing())
+            (peers.recipients(sequence), peers.take_forwards())
         };
-        if topology.speaks() {
+        if topology.is_leader() {
             let summary = summary(&host, header);
-            let targets = host.peers().told_sum(clock::now(), sequence);
+            let targets = host.peers().summary_recipients(clock::now(), sequence);
             send(&host, &socket, &summary, targets);
         }
         for digest in split_relayed(digest, relayed) {
@@ -72,15 +72,15 @@
 
 /// Sends the hosts that this one knows to a host that knows none in its data centre.
 pub(super) fn introduce(host: &Host, socket: &Async<std::net::UdpSocket>, to: SocketAddr) {
-    let digest = Digest { hosts: host.peers().known(), ..header(host, 0) };
+    let digest = Digest { hosts: host.peers().known_hosts(), ..header(host, 0) };
     send(host, socket, &digest, [to]);
 }
 
 /// Adds this host's state to its digest header.
-fn own_digest(host: &Host, topology: &Audience, header: Digest) -> Digest {
+fn own_digest(host: &Host, topology: &GossipTopology, header: Digest) -> Digest {
     let mut res = header;
-    res.seeks_hosts = !host.peers().knows_near();
-    host.balancer().report(clock::now(), &mut res);
+    res.seeks_hosts = !host.peers().knows_local_host();
+    host.balancer().fill_digest(clock::now(), &mut res);
     quarantine::fill_digest(host, topology, &mut res);
     upstream_signals::fill_digest(host, topology, &mut res);
     res
@@ -109,7 +109,7 @@
 /// Builds the summary of this host's data centre; it replaces the host as the digest's sender.
 fn summary(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
-    host.balancer().summarize(clock::now(), &mut res);
+    host.balancer().fill_summary(clock::now(), &mut res);
     quarantine::fill_summary(host, &mut res);
     upstream_signals::fill_summary(host, &mut res);
     res
@@ -134,7 +134,7 @@
 }
 
 fn log_hosts_joined(host: &Host) {
-    let n = host.peers().take_heard();
+    let n = host.peers().take_n_appeared();
     if 0 < n {
         log::info!(n, hosts = host.balancer().n_hosts(clock::now()); "hosts joined or returned");
     }
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -24,7 +24,7 @@
 /// listed. `err` is the error of the last attempt. Does nothing if the upstream is being probed
 /// already.
 pub(crate) fn start_reconnect(host: &Arc<Host>, upstream: &Arc<Upstream>, err: &io::Error) {
-    if !host.probes.begin(upstream.number()) {
+    if !host.probes.begin(upstream.wire_id()) {
         return;
     }
     note_unreachable(host, upstream, err);
@@ -32,7 +32,7 @@
     let first = err.kind().into();
     host.rt.spawn(async move {
         probe_until_reachable(&task, &upstream, &first).await;
-        task.probes.end(upstream.number());
+        task.probes.end(upstream.wire_id());
     });
 }
 
@@ -43,13 +43,13 @@
 /// affects all requests there. A connection opened by the check replaces the broken one in the
 /// pool.
 pub(crate) fn verify_alive(host: &Arc<Host>, upstream: &Arc<Upstream>) {
-    if !host.probes.begin(upstream.number()) {
+    if !host.probes.begin(upstream.wire_id()) {
         return;
     }
     let (task, upstream) = (host.clone(), upstream.clone());
     host.rt.spawn(async move {
         verify_with_retry(&task, &upstream).await;
-        task.probes.end(upstream.number());
+        task.probes.end(upstream.wire_id());
     });
 }
 
@@ -61,7 +61,7 @@
             Ok(it) => {
                 clock::sleep(MIN_OPEN_TIME).await;
                 if !it.sender.is_closed() {
-                    host.pool.put(upstream.number(), it, None);
+                    host.pool.put(upstream.wire_id(), it, None);
                     return;
                 }
             }
@@ -109,11 +109,11 @@
         let opened = host.pool.connect(upstream.entry.address).await;
         has_ended |= opened.as_ref().is_err_and(is_refused);
         if let Ok(it) = opened {
-            host.pool.put(upstream.number(), it, None);
+            host.pool.put(upstream.wire_id(), it, None);
             if has_ended {
                 host.presume_cold(upstream);
             }
-            host.balancer().reachable(upstream.number());
+            host.balancer().record_reachable(upstream.wire_id());
             let lost_ms = (clock::now() - lost).as_millis() as u64;
             log::info!(upstream = upstream.entry.id, lost_ms; "upstream reachable");
             return;
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use portfield::{
-    balance::Audience,
+    balance::GossipTopology,
     catalog::Upstream,
-    quarantine::{Fingerprint, Request, Verdict},
+    quarantine::{Fingerprint, QuarantineEntry, RequestKey},
 };
 use portfield_net::clock;
 use portfield_wire::{Digest, Suspect};
@@ -50,8 +50,11 @@
     {
         return false;
     }
-    let has_ended =
-        host.broken_attempts().note(clock::now(), call.quarantine_key(), upstream.number());
+    let has_ended = host.broken_attempts().record_break(
+        clock::now(),
+        call.quarantine_key(),
+        upstream.wire_id(),
+    );
     if has_ended {
         add_suspects(host, &[call.quarantine_key()], upstream);
     }
@@ -60,11 +63,11 @@
 
 /// Records that an upstream ended.
 pub(crate) fn record_upstream_end(host: &Host, upstream: &Upstream, how: EndEvidence) {
-    let requests = host.broken_attempts().ended(clock::now(), upstream.number());
+    let requests = host.broken_attempts().record_crash(clock::now(), upstream.wire_id());
     if requests.is_empty() {
         return;
     }
-    let logged = requests.iter().take(MAX_LOGGED).map(|it| it.fingerprint_text());
+    let logged = requests.iter().take(MAX_LOGGED).map(|it| it.fingerprint_hex());
     let fingerprints = logged.collect::<Vec<_>>().join(" ");
     log::warn!(
         upstream = upstream.entry.id, how:?, n = requests.len(), fingerprints; "upstream ended"
@@ -74,16 +77,16 @@
 }
 
 /// Records that an upstream ended while it ran some requests.
-fn add_suspects(host: &Host, requests: &[Request], upstream: &Upstream) {
-    let verdicts = host.quarantine().ended(clock::now(), requests, upstream.number());
+fn add_suspects(host: &Host, requests: &[RequestKey], upstream: &Upstream) {
+    let verdicts = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
     verdicts.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
 }
 
 /// Records that a request got a complete response, which clears it of suspicion.
 pub(crate) fn record_success(host: &Host, call: &Call) {
-    if host.quarantine().clear(clock::now(), call.quarantine_key()) {
+    if host.quarantine().record_success(clock::now(), call.quarantine_key()) {
         log::info!(
-            request = call.id, fingerprint = call.quarantine_key().fingerprint_text();
+            request = call.id, fingerprint = call.quarantine_key().fingerprint_hex();
             "request cleared of suspicion"
         );
     }
@@ -93,7 +96,7 @@
 pub(crate) fn lift(host: &Host, fingerprint: Fingerprint) -> bool {
     let lifted = host.quarantine().lift(clock::now(), fingerprint);
     let Some(request) = lifted else { return false };
-    log::warn!(fingerprint = request.fingerprint_text(); "quarantine lifted");
+    log::warn!(fingerprint = request.fingerprint_hex(); "quarantine lifted");
     host.persist_quarantine(request);
     true
 }
@@ -103,18 +106,19 @@
     if suspects.is_empty() {
         return;
     }
-    let verdicts = host.quarantine().take(clock::now(), suspects);
+    let verdicts = host.quarantine().merge(clock::now(), suspects);
     verdicts.iter().for_each(|it| record_quarantine(host, it, source));
 }
 
 /// Adds this host's suspects to its own digest.
-pub(crate) fn fill_digest(host: &Host, topology: &Audience, digest: &mut Digest) {
-    digest.suspects = host.quarantine().report(clock::now(), topology, digest.sequence);
+pub(crate) fn fill_digest(host: &Host, topology: &GossipTopology, digest: &mut Digest) {
+    digest.suspects =
+        host.quarantine().suspects_for_digest(clock::now(), topology, digest.sequence);
 }
 
 /// Adds the suspects known in this data centre to its summary.
 pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
-    digest.suspects = host.quarantine().summarize(clock::now());
+    digest.suspects = host.quarantine().suspects_for_summary(clock::now());
 }
 
 /// Returns the next whole number of seconds after `time`, as reported to callers.
@@ -122,13 +126,13 @@
     Duration::from_secs(time.as_secs() + 1)
 }
 
-fn record_quarantine(host: &Host, it: &Verdict, source: QuarantineSource) {
+fn record_quarantine(host: &Host, it: &QuarantineEntry, source: QuarantineSource) {
     log::warn!(
-        fingerprint = it.request.fingerprint_text(), workspace_hash = it.request.workspace,
-        n_ends = it.n_ends, left_s = it.left.as_secs(), source:?; "request quarantined"
+        fingerprint = it.request.fingerprint_hex(), workspace_hash = it.request.workspace,
+        n_ends = it.n_crashes, left_s = it.remaining.as_secs(), source:?; "request quarantined"
     );
     host.metrics.count("requests_quarantined");
-    if it.is_own {
+    if it.is_local {
         host.persist_quarantine(it.request);
     }
 }
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -4,7 +4,7 @@
 use std::{sync::Arc, time::Duration};
 
 use async_channel::Receiver;
-use portfield::quarantine::{self, Request};
+use portfield::quarantine::{self, RequestKey};
 use portfield_net::clock;
 use portfield_platform::store::{self, Row, Store};
 use portfield_wire::{StoredSuspect, Suspect};
@@ -59,13 +59,13 @@
 
 /// Returns whether an unreachable data centre may know more about a request suspected here.
 fn peers_may_know_more(host: &Host) -> bool {
-    let is_partitioned = host.peers().misses_centre(clock::now());
+    let is_partitioned = host.peers().has_unreachable_centre(clock::now());
     is_partitioned && 0 < host.quarantine().n_suspects()
 }
 
 /// Reads the stored entries once; returns whether that succeeded.
 async fn load_once(host: &Host, store: &Store) -> bool {
-    let rows = match store.read(store::QUARANTINE).await {
+    let rows = match store.read(store::QUARANTINE_TABLE).await {
         Ok(it) => it.rows,
         Err(err) => {
             // Callers do not wait for a store that is down; other hosts may report the entries.
@@ -84,7 +84,7 @@
     host.mark_quarantine_loaded();
     let keys: Vec<String> = expired.into_iter().filter_map(Result::err).take(MAX_DELETED).collect();
     if !keys.is_empty()
-        && let Err(err) = store.remove(store::QUARANTINE, &keys).await
+        && let Err(err) = store.remove(store::QUARANTINE_TABLE, &keys).await
     {
         log::warn!(err:%; "expired quarantine rows not deleted");
     }
@@ -93,12 +93,12 @@
 
 /// Queues all entries of this host to be written again, after the store lost them.
 pub(crate) fn persist_all(host: &Host) {
-    let verdicts = host.quarantine().verdicts(clock::now());
+    let verdicts = host.quarantine().entries(clock::now());
     verdicts.iter().for_each(|it| host.persist_quarantine(it.request));
 }
 
 /// Writes the entries of the queued requests.
-pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<Request>) {
+pub(crate) async fn run_writer(host: Arc<Host>, store: Store, requests: Receiver<RequestKey>) {
     while let Ok(request) = requests.recv().await {
         write_row(&host, &store, request).await;
     }
@@ -106,22 +106,23 @@
 
 /// Writes what is known about a request, retrying until the store has it or nothing is known any
 /// more.
-async fn write_row(host: &Host, store: &Store, request: Request) {
+async fn write_row(host: &Host, store: &Store, request: RequestKey) {
     let mut pause = INITIAL_PAUSE;
     loop {
-        let known = host.quarantine().record(clock::now(), request);
+        let known = host.quarantine().suspect(clock::now(), request);
         let Some(suspect) = known else { return };
         let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
-        let res = store.write(store::QUARANTINE, &row_key(request), &row.encode_to_vec()).await;
+        let res =
+            store.write(store::QUARANTINE_TABLE, &row_key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
-        log::warn!(fingerprint = request.fingerprint_text(), err:%; "quarantine not written");
+        log::warn!(fingerprint = request.fingerprint_hex(), err:%; "quarantine not written");
         clock::sleep(pause).await;
         pause = (pause * 2).min(MAX_PAUSE);
     }
 }
 
 /// Returns the key of a request's row.
-fn row_key(request: Request) -> String {
+fn row_key(request: RequestKey) -> String {
     format!("{:08x}-{:x}", request.workspace, request.fingerprint % ROWS_PER_WORKSPACE)
 }
 
@@ -139,7 +140,7 @@
     let age = clock::life().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
     suspect.ends.iter_mut().for_each(|it| it.age = it.age.saturating_add(age));
     suspect.cleared = suspect.cleared.map(|it| it.saturating_add(age));
-    let is_expired = |age: u32| quarantine::MEMORY <= Duration::from_millis(u64::from(age));
+    let is_expired = |age: u32| quarantine::RETENTION <= Duration::from_millis(u64::from(age));
     if suspect.ends.iter().all(|it| is_expired(it.age)) {
         return Err(row.key);
     }
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -7,7 +7,7 @@
 use http::{Response, StatusCode};
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
-use portfield::balance::Ending;
+use portfield::balance::Completion;
 use portfield_net::{clock, events::Events};
 
 use crate::{
@@ -33,7 +33,7 @@
     response: Box<UpstreamResponse>,
 ) -> Result<Response<Body>, Exchange> {
     let mut parts = response.parts.clone();
-    portfield_platform::request::strip_hop(&mut parts.headers);
+    portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
     let mut relay = Relay {
         exchange,
         response: Some(response),
@@ -123,9 +123,9 @@
             return left;
         }
         let route = &self.exchange.call.route;
-        let pause = route.gap.map_or(DEFAULT_MAX_SILENCE, |it| it * SILENCE_FACTOR);
+        let pause = route.max_gap.map_or(DEFAULT_MAX_SILENCE, |it| it * SILENCE_FACTOR);
         // Before the first event, the engine may still be processing the prompts of other requests.
-        let pause = if self.first_event.is_none() { pause + route.objective } else { pause };
+        let pause = if self.first_event.is_none() { pause + route.latency_target } else { pause };
         left.min(pause)
     }
 
@@ -145,10 +145,10 @@
         let Some(response) = self.response.take() else { return };
         let UpstreamResponse { head, connection, mut run, upstream, .. } = *response;
         run.record_first();
-        run.end(Ending::Done);
+        run.end(Completion::Done);
         quarantine::record_success(&self.exchange.host, &self.exchange.call);
-        if head.keeps {
-            self.exchange.host.pool.put(upstream.number(), connection, head.idle);
+        if head.keep_alive {
+            self.exchange.host.pool.put(upstream.wire_id(), connection, head.idle_timeout);
         }
     }
 
@@ -160,7 +160,7 @@
     async fn resume(&mut self, cause: String) -> io::Result<()> {
         if let Some(mut response) = self.response.take() {
             let timed_out = self.exchange.call.remaining().is_zero();
-            response.run.end(if timed_out { Ending::Cancelled } else { Ending::Broken });
+            response.run.end(if timed_out { Completion::Cancelled } else { Completion::Broken });
             self.exchange.record_broken_response(&response.upstream, &cause);
         }
         self.events.take_partial();
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
-use portfield::balance::Answered;
+use portfield::balance::AnswerKind;
 use portfield_platform::request::ATTEMPT_ID;
 use serde::Serialize;
 
@@ -30,7 +30,7 @@
     pub retry: Option<Duration>,
     /// Whether the request was refused for lack of processor time; decides whether the connection
     /// is closed.
-    pub answered: Answered,
+    pub answered: AnswerKind,
 }
 
 #[derive(Debug, Serialize)]
@@ -49,7 +49,7 @@
         field: &'static str,
         reason: impl Into<String>,
     ) -> Self {
-        Self { status, field, reason: reason.into(), retry: None, answered: Answered::Served }
+        Self { status, field, reason: reason.into(), retry: None, answered: AnswerKind::Served }
     }
 
     /// Creates the refusal of a request that did not run and will not.
@@ -59,7 +59,10 @@
 
     /// Creates the refusal of a request for lack of processor time.
     pub(crate) fn overloaded(retry: Duration) -> Self {
-        Self { answered: Answered::Refused, ..Self::unavailable("this host is overloaded", retry) }
+        Self {
+            answered: AnswerKind::Refused,
+            ..Self::unavailable("this host is overloaded", retry)
+        }
     }
 
     /// Creates the failure of a request that may have run.
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -15,7 +15,7 @@
 use futures_lite::future;
 use http::{HeaderValue, Request, Response, header};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
-use portfield::balance::Answered;
+use portfield::balance::AnswerKind;
 use portfield_net::{
     clock, contain,
     rpc::HyperTimer,
@@ -79,7 +79,7 @@
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!(err:%; "TCP_NODELAY not set");
     }
-    let idle = host.active_config().map_or(DEFAULT_IDLE, |it| it.catalog.limits().idle_time);
+    let idle = host.active_config().map_or(DEFAULT_IDLE, |it| it.catalog.limits().idle_timeout);
     let stream = Arc::<Async<std::net::TcpStream>>::from(stream);
     let sent_close = AtomicBool::new(false);
     let service = service_fn(|request| {
@@ -123,7 +123,7 @@
     let id = request.headers().get(portfield_platform::request::ATTEMPT_ID);
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
     let (mut res, answered) = match read_request(&host, caller, request).await {
-        Ok(call) => (forward::serve_request(host.clone(), call).await, Answered::Served),
+        Ok(call) => (forward::serve_request(host.clone(), call).await, AnswerKind::Served),
         Err(it) => {
             log::info!(
                 request = id, status = it.status.as_u16(), field = it.field, reason = it.reason,
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, path::Path, time::Duration};
 
-use portfield::balance::StorePace;
+use portfield::balance::StoreTimeouts;
 use portfield_net::settings::{Error, Reader};
 
 /// Settings read at start and on each reload.
@@ -43,7 +43,7 @@
     /// Maximum number of log lines per second.
     pub log_lines: u64,
     /// Timing of calls to the store.
-    pub pace: StorePace,
+    pub pace: StoreTimeouts,
     /// Requests per second that all hosts together may send to a cold upstream, as a multiple of
     /// the rate that its service sets.
     pub cold_overrun: f64,
@@ -78,7 +78,7 @@
             active_limit: it.number("active_limit", 700, (1, 1_000_000)) as usize,
             direct_hosts: it.number("direct_hosts", 12, (1, 1_000)) as usize,
             log_lines: it.number("log_lines_s", 200, (1, 100_000)),
-            pace: StorePace::new(it.millis("contact_ms", 3000, (100, 600_000))),
+            pace: StoreTimeouts::new(it.millis("contact_ms", 3000, (100, 600_000))),
             cold_overrun: it.fraction("cold_overrun", 1.0, (0.0, 1000.0)),
             cold_slack: it.fraction("cold_slack", 0.0, (0.0, 1e6)),
             regions: it.text_table("regions"),
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -14,12 +14,12 @@
 use bytes::Bytes;
 use portfield::{
     balance::{
-        Answered, Audience, Balancer, Follower, Governor, Others, Place, Readers, RetryBudget,
-        Witness, host_hash,
+        AnswerKind, Balancer, GossipConfig, GossipTopology, LoadShedder, PeerTable, RetryBudget,
+        StoreAvailability, StoreWatchers, WatcherStatus, host_hash,
     },
     catalog::Catalog,
-    quarantine::{Breaks, Quarantine, Request},
-    waking::Waking,
+    quarantine::{BrokenAttempts, Quarantine, RequestKey},
+    suspend::SuspendDetector,
 };
 use portfield_net::{clock, contain, rt::Runtime};
 use xxhash_rust::xxh3::xxh3_64;
@@ -64,15 +64,15 @@
     pub upstream_list: RwLock<UpstreamList>,
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
-    peers: Mutex<Others>,
-    store_watchers: Mutex<Readers>,
-    store_availability: Mutex<Witness>,
-    load_shedder: Mutex<Governor>,
-    broken_attempts: Mutex<Breaks>,
+    peers: Mutex<PeerTable>,
+    store_watchers: Mutex<StoreWatchers>,
+    store_availability: Mutex<StoreAvailability>,
+    load_shedder: Mutex<LoadShedder>,
+    broken_attempts: Mutex<BrokenAttempts>,
     quarantine: Mutex<Quarantine>,
-    suspension: Mutex<Waking>,
+    suspension: Mutex<SuspendDetector>,
     /// Requests whose quarantine entry is to be written to the store.
-    pending_writes: Sender<Request>,
+    pending_writes: Sender<RequestKey>,
     /// Set once the quarantine was read from the store, could not be read or need not be.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
@@ -94,15 +94,15 @@
     ///
     /// Also returns the receiver of the requests whose quarantine entry is to be written to the
     /// store.
-    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<Request>) {
-        let place = Place {
+    pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<RequestKey>) {
+        let place = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash_name(&settings.data_centre),
-            direct: settings.direct_hosts,
+            direct_limit: settings.direct_hosts,
         };
         let incarnation = fastrand::u64(1..);
         let mut balancer = Balancer::new(settings.share_window);
-        balancer.seed(incarnation);
+        balancer.set_seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
         let (pending_writes, pending) = async_channel::bounded(MAX_PENDING_WRITES);
         let res = Arc::new(Self {
@@ -116,10 +116,10 @@
             upstream_list: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            peers: Mutex::new(Others::new(place, seeds)),
+            peers: Mutex::new(PeerTable::new(place, seeds)),
             host_hash: place.host,
-            store_watchers: Mutex::new(Readers::new(settings.pace)),
-            store_availability: Mutex::new(Witness::new(OUTAGE_THRESHOLD)),
+            store_watchers: Mutex::new(StoreWatchers::new(settings.pace)),
+            store_availability: Mutex::new(StoreAvailability::new(OUTAGE_THRESHOLD)),
             load_shedder: Mutex::default(),
             broken_attempts: Mutex::default(),
             quarantine: Mutex::default(),
@@ -169,7 +169,7 @@
         if catalog.version() <= old {
             return;
         }
-        self.balancer().set_capacity(catalog.limits().tokens_rate);
+        self.balancer().set_capacity(catalog.limits().token_rate);
         let version = catalog.version();
         *active_config = Some(ActiveConfig { catalog: Arc::new(catalog), bytes });
         drop(active_config);
@@ -185,12 +185,12 @@
 
     /// Adds a request to the retry budget of its service.
     pub(crate) fn deposit_retry(&self, service: u32) {
-        self.with_budget(service, |it, _| it.earn(clock::now()));
+        self.with_budget(service, |it, _| it.deposit(clock::now()));
     }
 
     /// Takes one retry from the budget of a service; returns `false` if none is left.
     pub(crate) fn withdraw_retry(&self, service: u32) -> bool {
-        self.with_budget(service, |it, n_hosts| it.spend(clock::now(), n_hosts))
+        self.with_budget(service, |it, n_hosts| it.withdraw(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
@@ -203,22 +203,22 @@
     }
 
     /// Returns the state of the other hosts.
-    pub(crate) fn peers(&self) -> MutexGuard<'_, Others> {
+    pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the load shedder of this host.
-    pub(crate) fn load_shedder(&self) -> MutexGuard<'_, Governor> {
+    pub(crate) fn load_shedder(&self) -> MutexGuard<'_, LoadShedder> {
         self.load_shedder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the attempts that recently broke.
-    pub(crate) fn broken_attempts(&self) -> MutexGuard<'_, Breaks> {
+    pub(crate) fn broken_attempts(&self) -> MutexGuard<'_, BrokenAttempts> {
         self.broken_attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the tracker of suspensions of this host.
-    pub(crate) fn suspension(&self) -> MutexGuard<'_, Waking> {
+    pub(crate) fn suspension(&self) -> MutexGuard<'_, SuspendDetector> {
         self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -256,26 +256,26 @@
     }
 
     /// Queues the quarantine entry of a request to be written to the store.
-    pub(crate) fn persist_quarantine(&self, request: Request) {
+    pub(crate) fn persist_quarantine(&self, request: RequestKey) {
         if self.pending_writes.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_text(); "quarantine entry not queued");
+            log::warn!(fingerprint = request.fingerprint_hex(); "quarantine entry not queued");
         }
     }
 
     /// Returns whether to close a caller's connection after a response.
-    pub(crate) fn should_close(&self, answered: Answered) -> bool {
-        self.is_stopping() || self.load_shedder().closes(answered) || !self.can_accept()
+    pub(crate) fn should_close(&self, answered: AnswerKind) -> bool {
+        self.is_stopping() || self.load_shedder().closes_connection(answered) || !self.can_accept()
     }
 
     /// Recomputes which hosts this host's digests go to, and returns them.
-    pub(crate) fn refresh_topology(&self) -> Audience {
-        self.peers().look(clock::now())
+    pub(crate) fn refresh_topology(&self) -> GossipTopology {
+        self.peers().refresh_topology(clock::now())
     }
 
     /// Returns which hosts this host's digests go to, as of the last refresh.
-    pub(crate) fn topology(&self) -> Audience {
-        self.peers().audience()
+    pub(crate) fn topology(&self) -> GossipTopology {
+        self.peers().topology()
     }
 
     /// Returns the hash that identifies this host among the others.
@@ -284,19 +284,19 @@
     }
 
     /// Records how current another host's view of the store is.
-    pub(crate) fn record_watcher(&self, it: Follower) {
-        self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner).hear(it);
+    pub(crate) fn record_watcher(&self, it: WatcherStatus) {
+        self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner).record(it);
     }
 
     /// Records that another host was in contact with the store at a time.
     pub(crate) fn record_store_contact(&self, at: Duration) {
-        self.store_availability.lock().unwrap_or_else(PoisonError::into_inner).note(at);
+        self.store_availability.lock().unwrap_or_else(PoisonError::into_inner).record(at);
     }
 
     /// Returns whether other hosts were in contact with the store from a time until now.
     pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
         let availability = self.store_availability.lock().unwrap_or_else(PoisonError::into_inner);
-        availability.covers(from, clock::now())
+        availability.is_continuous(from, clock::now())
     }
 
     /// Returns whether this host is one of those that watch the store themselves.
@@ -305,7 +305,7 @@
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
         let watchers = self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner);
-        watchers.is_reader(now, self.host_hash, data_centre, n_others)
+        watchers.is_watcher(now, self.host_hash, data_centre, n_others)
     }
 
     /// Records a response of the store.
@@ -320,7 +320,7 @@
 
     /// Returns whether this host is to take the upstream list from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
-        self.settings().pace.silent < self.store_age() || !self.is_store_watcher()
+        self.settings().pace.fallback_after < self.store_age() || !self.is_store_watcher()
     }
 
     /// Returns whether the host is ready for callers.
@@ -332,7 +332,7 @@
             && quarantine_known
             && self.has_fresh_state()
             && !self.is_stopping()
-            && !self.load_shedder().is_busy()
+            && !self.load_shedder().is_overloaded()
             && self.can_accept()
     }
 
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -5,10 +5,10 @@
 use async_channel::Receiver;
 use bytes::Bytes;
 use portfield::{
-    balance::CALL_TIMEOUT,
-    catalog::{RETURN_GRACE, Source, StoreVersion},
-    quarantine::Request,
-    waking::Knowledge,
+    balance::STORE_CALL_TIMEOUT,
+    catalog::{MissingRows, REGISTRATION_GRACE, StoreVersion},
+    quarantine::RequestKey,
+    suspend::CachedState,
 };
 use portfield_net::{clock, http1::Error};
 use portfield_platform::store::{self, Row, Rows, Store};
@@ -44,17 +44,17 @@
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts the tasks that read from and write to the store.
-pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<Request>) {
-    let store = Store::new(host.settings().store, CALL_TIMEOUT);
+pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<RequestKey>) {
+    let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = WatchedTable {
-        table: store::OPERATOR,
-        knowledge: Knowledge::Config,
+        table: store::OPERATOR_TABLE,
+        knowledge: CachedState::Config,
         interval: OPERATOR_INTERVAL,
         apply: apply_operator_rows,
     };
     let upstreams = WatchedTable {
-        table: store::UPSTREAMS,
-        knowledge: Knowledge::Upstreams,
+        table: store::UPSTREAMS_TABLE,
+        knowledge: CachedState::Upstreams,
         interval: LIST_INTERVAL,
         apply: apply_upstream_rows,
     };
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy)]
 struct WatchedTable {
     table: &'static str,
-    knowledge: Knowledge,
+    knowledge: CachedState,
     /// Minimum time between the starts of two calls.
     interval: Duration,
     apply: fn(&Arc<Host>, TableUpdate),
@@ -150,9 +150,9 @@
             // After a suspension, the current changes are needed at once: do not wait for the next
             // one.
             Some(it) if !self.host.has_fresh_state() => {
-                self.store.changes(table, it, Duration::ZERO).await
+                self.store.poll_changes(table, it, Duration::ZERO).await
             }
-            Some(it) => self.store.changes(table, it, self.host.settings().pace.hold).await,
+            Some(it) => self.store.poll_changes(table, it, self.host.settings().pace.hold).await,
         }
     }
 
@@ -183,16 +183,16 @@
             self.recovered = Some(now);
         }
         self.host.update_store_era(version.era, "store");
-        let recent = self.recovered.filter(|it| now < *it + RETURN_GRACE);
+        let recent = self.recovered.filter(|it| now < *it + REGISTRATION_GRACE);
         let source = match recent {
-            Some(recovered) => Source::AfterOutage { returned: recovered },
-            None => Source::Current,
+            Some(recovered) => MissingRows::MayReturn { restored_at: recovered },
+            None => MissingRows::Deleted,
         };
         let gap = std::mem::replace(&mut self.next_interval, self.watched.interval);
         (self.version, self.era) = (Some(version), Some(version.era));
         let update = TableUpdate { rows, table_read: TableRead { version, scope, source } };
         (self.watched.apply)(&self.host, update);
-        self.host.suspension().heard_store(sent, self.watched.knowledge);
+        self.host.suspension().confirm_from_store(sent, self.watched.knowledge);
         clock::sleep((sent + gap).saturating_sub(now)).await;
     }
 
@@ -247,7 +247,7 @@
         upstream_signals::log_expired_backoffs(&host);
         let now = clock::now();
         evacuations::expire(&host, now);
-        if !host.with_list(|it| it.directory.has_late(now)) {
+        if !host.with_list(|it| it.directory.has_expired(now)) {
             continue;
         }
         host.update_list(|it| {
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -11,24 +11,24 @@
     ///
     /// Called often, and before any use of state that a suspension makes outdated.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
-        let length = self.suspension().look(clock::now())?;
+        let length = self.suspension().tick(clock::now())?;
         log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host was suspended");
         self.metrics.count("stood_still");
         clock::woke();
-        self.balancer().stood_still(length);
-        self.peers().drop_passing();
+        self.balancer().record_pause(length);
+        self.peers().clear_forwards();
         Some(length)
     }
 
     /// Returns whether this host's state of the fleet is fresh enough to be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
-        self.suspension().trusts(clock::now())
+        self.suspension().is_state_usable(clock::now())
     }
 
     /// Returns when this host last resumed from a suspension, if ever.
     pub(crate) fn resumed_at(&self) -> Option<Duration> {
         self.check_suspension();
-        self.suspension().woke_at()
+        self.suspension().resumed_at()
     }
 }
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -3,9 +3,11 @@
 use std::collections::{HashMap, HashSet};
 
 use bytes::Bytes;
-use portfield::catalog::{Change, Changed, Directory, Source, State, StoreVersion};
+use portfield::catalog::{
+    ChangedUpstream, Directory, EntryChange, MissingRows, State, StoreVersion,
+};
 use portfield_net::contain;
-use portfield_platform::upstreams;
+use portfield_platform::upstream_entry;
 
 use crate::upstream_list::UpstreamList;
 
@@ -18,7 +20,7 @@
 pub(crate) struct TableRead {
     pub version: StoreVersion,
     pub scope: ReadScope,
-    pub source: Source,
+    pub source: MissingRows,
 }
 
 /// Which part of a table was read.
@@ -45,15 +47,15 @@
 
 impl ListRow {
     /// Decodes the row; one that cannot be decoded belongs to another writer.
-    fn to_change(&self) -> Change {
-        let Some(entry) = &self.entry else { return Change::Gone(self.id.clone()) };
-        let decoded = contain::call("entry", || upstreams::decode(&self.id, entry));
-        let Some(decoded) = decoded else { return Change::Foreign(self.id.clone()) };
+    fn to_change(&self) -> EntryChange {
+        let Some(entry) = &self.entry else { return EntryChange::Removed(self.id.clone()) };
+        let decoded = contain::call("entry", || upstream_entry::decode(&self.id, entry));
+        let Some(decoded) = decoded else { return EntryChange::Invalid(self.id.clone()) };
         match decoded {
-            Ok(it) => Change::Set(it),
+            Ok(it) => EntryChange::Set(it),
             Err(err) => {
                 log::warn!(upstream = self.id, err:%; "entry cannot be decoded");
-                Change::Foreign(self.id.clone())
+                EntryChange::Invalid(self.id.clone())
             }
         }
     }
@@ -73,14 +75,14 @@
         log::info!(list:% = list.directory.version(), read:% = version; "older list ignored");
         return false;
     }
-    let read: Vec<Change> = rows.iter().map(ListRow::to_change).collect();
+    let read: Vec<EntryChange> = rows.iter().map(ListRow::to_change).collect();
     let directory = &mut list.directory;
     // A host with a list of a later era may have started from the restored backup and not know what
     // was deleted.
     let is_later_era = !directory.is_empty() && directory.version().era < version.era;
     let (accepted, unmodified_ids) = if scope == ReadScope::Restored || is_later_era {
         let versions = rows.iter().map(|it| it.version);
-        let accepted = directory.without_past(read.iter().cloned().zip(versions));
+        let accepted = directory.reconcile_restored(read.iter().cloned().zip(versions));
         let unmodified_ids = ids_in_both(&read, &accepted);
         (accepted, Some(unmodified_ids))
     } else {
@@ -90,7 +92,7 @@
         ReadScope::Changes => directory.apply(version, accepted, source),
         ReadScope::Full | ReadScope::Restored => directory.replace(version, accepted, source),
     };
-    rows.iter().for_each(|it| directory.note_row(&it.id, it.version));
+    rows.iter().for_each(|it| directory.set_row_version(&it.id, it.version));
     // Raw bytes are passed on only for rows that were applied unmodified.
     let is_applied = |it: &ListRow| unmodified_ids.as_ref().is_none_or(|ids| ids.contains(&it.id));
     let applied = rows.into_iter().filter(is_applied);
@@ -104,16 +106,16 @@
 }
 
 /// Returns the ids of the changes that are equal in both lists.
-fn ids_in_both(read: &[Change], accepted: &[Change]) -> HashSet<String> {
-    let accepted: HashMap<&str, &Change> = accepted.iter().map(|it| (it.id(), it)).collect();
-    let is_accepted = |it: &&Change| accepted.get(it.id()) == Some(it);
+fn ids_in_both(read: &[EntryChange], accepted: &[EntryChange]) -> HashSet<String> {
+    let accepted: HashMap<&str, &EntryChange> = accepted.iter().map(|it| (it.id(), it)).collect();
+    let is_accepted = |it: &&EntryChange| accepted.get(it.id()) == Some(it);
     read.iter().filter(is_accepted).map(|it| it.id().to_owned()).collect()
 }
 
 /// Logs list entries that say `ready` for upstreams that announced draining in a response; they
 /// stay draining.
-fn log_draining_conflicts(directory: &Directory, changed: &[Changed], list: StoreVersion) {
-    let is_draining = |id: &str| directory.drains_unlisted().any(|it| it.entry.id == id);
+fn log_draining_conflicts(directory: &Directory, changed: &[ChangedUpstream], list: StoreVersion) {
+    let is_draining = |id: &str| directory.draining_unlisted().any(|it| it.entry.id == id);
     for it in changed.iter().filter(|it| it.state == Some(State::Ready)) {
         if is_draining(&it.id) {
             log::warn!(upstream = it.id, list:%; "entry says ready, but the upstream announced draining");
@@ -121,7 +123,7 @@
     }
 }
 
-fn log_changed(changed: &[Changed], list: StoreVersion) {
+fn log_changed(changed: &[ChangedUpstream], list: StoreVersion) {
     if MAX_LOG_LINES < changed.len() {
         let n_gone = changed.iter().filter(|it| it.state.is_none()).count();
         log::info!(n = changed.len(), n_gone, list:%; "upstreams changed");
--- a/crates/portfield-host/src/upstream_list.rs
+++ b/crates/portfield-host/src/upstream_list.rs
@@ -61,25 +61,25 @@
     pub(crate) fn take_cold_changes(&mut self) -> Vec<Arc<Upstream>> {
         let last_reported =
             |it: &Arc<Upstream>| self.reported_cold.get(&it.hash).copied().unwrap_or_default();
-        let has_changed = |it: &&Arc<Upstream>| it.entry.cold != last_reported(it);
+        let has_changed = |it: &&Arc<Upstream>| it.entry.cold_remaining != last_reported(it);
         let res: Vec<_> = self.directory.all().filter(has_changed).cloned().collect();
-        let cold = self.directory.all().filter(|it| !it.entry.cold.is_zero());
-        self.reported_cold = cold.map(|it| (it.hash, it.entry.cold)).collect();
+        let cold = self.directory.all().filter(|it| !it.entry.cold_remaining.is_zero());
+        self.reported_cold = cold.map(|it| (it.hash, it.entry.cold_remaining)).collect();
         res
     }
 
     /// Rebuilds the lists by service; upstreams in `own_data_centre` are marked as near.
     pub(crate) fn rebuild_ready(&mut self, own_data_centre: &str) {
         let mut ready: HashMap<String, ReadyUpstreams> = HashMap::new();
-        let is_open = |it: &&Arc<Upstream>| !self.evacuations.covers(&it.entry.data_centre);
+        let is_open = |it: &&Arc<Upstream>| !self.evacuations.contains(&it.entry.data_centre);
         self.accepting = self.directory.ready().filter(is_open).map(|it| it.hash).collect();
         for it in self.directory.ready().filter(is_open) {
             let group = ready.entry(it.entry.service.clone()).or_default();
             group.upstreams.push(it.clone());
             group.candidates.push(Candidate {
-                upstream: it.number(),
+                upstream: it.wire_id(),
                 slots: it.entry.slots,
-                near: it.entry.data_centre == own_data_centre,
+                is_local: it.entry.data_centre == own_data_centre,
             });
         }
         self.ready = ready.into_iter().map(|(service, it)| (service, Arc::new(it))).collect();
--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, PoisonError};
 
 use http::StatusCode;
-use portfield::{balance::Audience, catalog::Upstream};
+use portfield::{balance::GossipTopology, catalog::Upstream};
 use portfield_net::clock;
-use portfield_platform::{answer::Head, retry_after::RetryAfter};
+use portfield_platform::{response::ResponseHead, retry_after::RetryAfter};
 use portfield_wire::Digest;
 
 use crate::{call::Call, state::Host};
@@ -22,57 +22,57 @@
     call: &Call,
     asked: &Arc<Upstream>,
     status: StatusCode,
-    head: &Head,
+    head: &ResponseHead,
 ) {
-    if let Some(other) = head.in_place_of(&asked.entry.id) {
+    if let Some(other) = head.replacement_of(&asked.entry.id) {
         record_replaced(host, call, asked, other);
     }
-    if !head.draining && head.backoff.is_none() {
+    if !head.is_draining && head.retry_after.is_none() {
         return;
     }
     let Some(upstream) = responding_upstream(host, asked, head) else {
         log::info!(
-            request = call.id, asked = asked.entry.id, upstream = head.other;
+            request = call.id, asked = asked.entry.id, upstream = head.responder_id;
             "signal of an unlisted upstream ignored"
         );
         return;
     };
-    if head.draining {
+    if head.is_draining {
         host.metrics.count("answers_draining");
         record_draining(host, call, &upstream, status);
     }
-    if let Some(it) = &head.backoff {
+    if let Some(it) = &head.retry_after {
         host.metrics.count("backoffs_asked");
         record_backoff(host, call, &upstream, status, it);
     }
 }
 
 /// Adds the upstreams that announced draining in a response to this host's digest.
-pub(crate) fn fill_digest(host: &Host, topology: &Audience, digest: &mut Digest) {
+pub(crate) fn fill_digest(host: &Host, topology: &GossipTopology, digest: &mut Digest) {
     // Checked under a read lock first: every request reads the list, and usually no upstream
     // drains.
-    if host.with_list(|it| it.directory.drains_unlisted().next().is_none()) {
+    if host.with_list(|it| it.directory.draining_unlisted().next().is_none()) {
         return;
     }
     let mut list = host.upstream_list.write().unwrap_or_else(PoisonError::into_inner);
-    digest.draining = list.directory.report_draining(topology.telling(digest.sequence));
+    digest.draining = list.directory.draining_for_digest(topology.detail(digest.sequence));
 }
 
 /// Adds the same upstreams to the summary of this host's data centre.
 pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
-    digest.draining = host.with_list(|it| it.directory.summarize_draining());
+    digest.draining = host.with_list(|it| it.directory.draining_for_summary());
 }
 
 /// Merges the draining upstreams that another host reports.
 pub(crate) fn merge_digest(host: &Host, digest: &Digest) {
-    let is_new = |it: &u32| !host.with_list(|list| list.directory.is_said_to_drain(*it));
+    let is_new = |it: &u32| !host.with_list(|list| list.directory.is_marked_draining(*it));
     let newly_draining: Vec<u32> = digest.draining.iter().copied().filter(is_new).collect();
     if newly_draining.is_empty() {
         return;
     }
     host.update_list(|it| {
         for number in &newly_draining {
-            it.directory.note_draining(*number);
+            it.directory.mark_draining(*number);
         }
     });
     if MAX_LOG_LINES < newly_draining.len() {
@@ -86,8 +86,12 @@
 
 /// Returns the upstream that responded: the addressed one, or the one that it names if that has the
 /// same address.
-fn responding_upstream(host: &Host, asked: &Arc<Upstream>, head: &Head) -> Option<Arc<Upstream>> {
-    let Some(other) = head.in_place_of(&asked.entry.id) else {
+fn responding_upstream(
+    host: &Host,
+    asked: &Arc<Upstream>,
+    head: &ResponseHead,
+) -> Option<Arc<Upstream>> {
+    let Some(other) = head.replacement_of(&asked.entry.id) else {
         return Some(asked.clone());
     };
     let is_other =
@@ -103,24 +107,24 @@
     status: StatusCode,
     asked: &RetryAfter,
 ) {
-    let (now, number) = (clock::now(), upstream.number());
+    let (now, number) = (clock::now(), upstream.wire_id());
     let end = {
         let mut balancer = host.balancer();
-        if let Some(time) = asked.time {
-            balancer.back_off(now, number, time);
+        if let Some(time) = asked.delay {
+            balancer.start_backoff(now, number, time);
         }
-        balancer.backs_off_until(now, number)
+        balancer.backoff_until(now, number)
     };
     log::info!(
-        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.sent,
-        backoff_ms = asked.time.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
+        request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.raw,
+        backoff_ms = asked.delay.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
         left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asked for back-off"
     );
 }
 
 /// Logs the upstreams whose back-off has expired.
 pub(crate) fn log_expired_backoffs(host: &Host) {
-    let over = host.balancer().take_backoffs_over(clock::now());
+    let over = host.balancer().take_expired_backoffs(clock::now());
     for number in over {
         log::info!(upstream = upstream_id(host, number), number; "back-off from upstream ended");
     }
@@ -128,7 +132,7 @@
 
 /// Returns the id of a listed upstream.
 fn upstream_id(host: &Host, number: u32) -> Option<String> {
-    let is_it = |it: &&Arc<Upstream>| it.number() == number;
+    let is_it = |it: &&Arc<Upstream>| it.wire_id() == number;
     host.with_list(|it| it.directory.all().find(is_it).map(|it| it.entry.id.clone()))
 }
 
@@ -161,7 +165,7 @@
 /// The lists by service are rebuilt only on a change: a draining upstream says so in every
 /// response.
 fn mark_draining(host: &Host, upstream: &Upstream) -> bool {
-    let number = upstream.number();
-    let is_known = host.with_list(|it| it.directory.is_said_to_drain(number));
-    !is_known && host.update_list(|it| it.directory.note_draining(number))
+    let number = upstream.wire_id();
+    let is_known = host.with_list(|it| it.directory.is_marked_draining(number));
+    !is_known && host.update_list(|it| it.directory.mark_draining(number))
 }
