--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -74,14 +74,14 @@
         let mut all = catalog.iter().flat_map(|it| it.workspaces());
         all.find(|it| hash_name(&it.name) == number).map_or(String::new(), |it| it.name.clone())
     };
-    let verdicts = host.quarantine().entries(clock::now());
+    let entries = host.quarantine().entries(clock::now());
     let show = |it: &portfield::quarantine::QuarantineEntry| QuarantinedRequest {
         fingerprint: it.request.fingerprint_hex(),
         workspace: name(it.request.workspace),
         n_ends: it.n_crashes,
         left_s: it.remaining.as_secs(),
     };
-    verdicts.iter().map(show).collect()
+    entries.iter().map(show).collect()
 }
 
 /// Lifts the quarantine of a request, here and, with the next digests, at the other hosts.
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -85,8 +85,8 @@
 }
 
 impl RunGuard {
-    fn start(host: &Arc<Host>, call: &Call, placed: &Assignment) -> Self {
-        let id = host.balancer().record_start(clock::now(), &call.job, placed);
+    fn start(host: &Arc<Host>, call: &Call, assignment: &Assignment) -> Self {
+        let id = host.balancer().record_start(clock::now(), &call.placement, assignment);
         Self { host: host.clone(), id, is_finished: false }
     }
 
@@ -96,10 +96,10 @@
     }
 
     /// Records how the run ended; only the first call counts.
-    pub(crate) fn end(&mut self, ending: Completion) {
+    pub(crate) fn end(&mut self, completion: Completion) {
         if !self.is_finished {
             self.is_finished = true;
-            self.host.balancer().record_end(clock::now(), self.id, ending);
+            self.host.balancer().record_end(clock::now(), self.id, completion);
         }
     }
 }
@@ -115,19 +115,19 @@
     host: &Arc<Host>,
     call: &Call,
     upstream: &Arc<Upstream>,
-    placed: &Assignment,
+    assignment: &Assignment,
     last_event: Option<&str>,
     timeout: Duration,
 ) -> AttemptResult {
-    let mut run = RunGuard::start(host, call, placed);
+    let mut run = RunGuard::start(host, call, assignment);
     let started = clock::now();
     let pooled = host.pool.take(upstream.wire_id());
     let mut connection = match pooled {
         Some(it) => it,
         None => match connect(host, upstream).await {
             Ok(it) => it,
-            Err(ConnectError { ending, text }) => {
-                run.end(ending);
+            Err(ConnectError { completion, text }) => {
+                run.end(completion);
                 return AttemptResult::Failed(Outcome::NotSent, text);
             }
         },
@@ -169,8 +169,8 @@
                 }
                 match connect(host, upstream).await {
                     Ok(it) => connection = it,
-                    Err(ConnectError { ending, text }) => {
-                        run.end(ending);
+                    Err(ConnectError { completion, text }) => {
+                        run.end(completion);
                         return AttemptResult::Failed(Outcome::NotSent, text);
                     }
                 }
@@ -190,7 +190,7 @@
 #[derive(Debug)]
 struct ConnectError {
     /// What the failure means for the upstream's health.
-    ending: Completion,
+    completion: Completion,
     text: String,
 }
 
@@ -203,10 +203,10 @@
             // Not the upstream's fault: when it was blamed, a host out of file descriptors stopped
             // using one healthy upstream after another.
             host.handle_accept_failure(&err);
-            return ConnectError { ending: Completion::Cancelled, text };
+            return ConnectError { completion: Completion::Cancelled, text };
         }
         probe::start_reconnect(host, upstream, &err);
-        ConnectError { ending: Completion::Unreachable, text }
+        ConnectError { completion: Completion::Unreachable, text }
     })
 }
 
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -48,7 +48,7 @@
     pub service: String,
     pub workspace: Option<Arc<Workspace>>,
     pub config_version: u64,
-    pub job: PlacementRequest,
+    pub placement: PlacementRequest,
     /// Fingerprint of the request, the same for every attempt.
     pub fingerprint: Fingerprint,
     _active: Arc<()>,
@@ -108,7 +108,7 @@
             ))
         };
         let body = clock::timeout(timeout, body_read).await.unwrap_or_else(timed_out)?;
-        let job = PlacementRequest {
+        let placement = PlacementRequest {
             workspace: workspace_hash,
             service: hash_name(&service),
             prompt: head.prompt,
@@ -137,7 +137,7 @@
             service,
             workspace,
             config_version: catalog.version(),
-            job,
+            placement,
             fingerprint,
             _active: host.track_request(),
         })
@@ -155,12 +155,15 @@
 
     /// Returns the key by which hosts identify the request in the quarantine.
     pub(crate) fn quarantine_key(&self) -> quarantine::RequestKey {
-        quarantine::RequestKey { workspace: self.job.workspace, fingerprint: self.fingerprint }
+        quarantine::RequestKey {
+            workspace: self.placement.workspace,
+            fingerprint: self.fingerprint,
+        }
     }
 
     /// Returns the cost of the request in its workspace's share, in tokens.
     pub(crate) fn tokens(&self) -> f64 {
-        self.job.token_cost()
+        self.placement.token_cost()
     }
 
     /// Returns the time left until the deadline.
@@ -188,13 +191,13 @@
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
     host.ingress.record_refused(name);
-    let account = host.balancer().share_snapshot(clock::now(), workspace_hash);
+    let shares = host.balancer().share_snapshot(clock::now(), workspace_hash);
     log::info!(
         request = head.attempt_id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
         offered_level = overload.map_or(0.0, |it| it.limit),
         late_ms = overload.map_or(0.0, |it| it.lateness), active = host.n_active(),
-        asked = account.asked, taken = account.taken, level = account.fair_share, best = account.largest_usage;
+        asked = shares.asked, taken = shares.taken, level = shares.fair_share, best = shares.largest_usage;
         "not admitted"
     );
 }
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -75,16 +75,16 @@
             self.check_limits()?;
             self.wait_for_fresh_state().await?;
             self.check_quarantine()?;
-            let (placed, upstream) = self.place()?;
-            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.job.service) {
+            let (assignment, upstream) = self.place()?;
+            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.placement.service) {
                 self.host.metrics.count("retry_budget_spent");
                 return Err(self.failure("the retry budget is spent".to_owned(), RETRY));
             }
-            self.log_placed(&placed, &upstream);
-            self.tried.push(placed.upstream);
-            let timeout = self.attempt_timeout(placed.estimate);
+            self.log_placed(&assignment, &upstream);
+            self.tried.push(assignment.upstream);
+            let timeout = self.attempt_timeout(assignment.estimate);
             let (host, call) = (&self.host, &self.call);
-            match attempt::send(host, call, &upstream, &placed, last_event, timeout).await {
+            match attempt::send(host, call, &upstream, &assignment, last_event, timeout).await {
                 AttemptResult::Response(response) => {
                     self.record_run();
                     return Ok(response);
@@ -98,43 +98,43 @@
 
     /// Picks an upstream; otherwise logs the refusal and returns it as the response.
     fn place(&mut self) -> Result<(Assignment, Arc<Upstream>), Failure> {
-        self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
-        let is_last_try =
+        self.call.placement.waited = clock::now().saturating_sub(self.call.arrived);
+        let is_one_crash_away =
             self.host.quarantine().is_one_crash_away(clock::now(), self.call.quarantine_key());
-        let mode = if is_last_try { PlacementMode::Isolated } else { PlacementMode::Any };
-        let PlacementRefusal { reason, retry, estimate, share } =
+        let mode = if is_one_crash_away { PlacementMode::Isolated } else { PlacementMode::Any };
+        let PlacementRefusal { reason, retry_after, estimate, share_ratio } =
             match self.host.place(&self.call, &self.tried, mode) {
                 Ok(it) => return Ok(it),
                 Err(it) => it,
             };
-        let retry = retry.min(self.call.remaining());
-        let account = self.account();
+        let retry_after = retry_after.min(self.call.remaining());
+        let shares = self.share_snapshot();
         log::info!(
-            request = self.call.id, route = self.call.route.name, reason:?, share,
+            request = self.call.id, route = self.call.route.name, reason:?, share = share_ratio,
             workspace = self.call.workspace_name(), tokens = self.call.tokens(),
-            asked = account.asked, taken = account.taken, level = account.fair_share,
-            best = account.largest_usage, level_age_ms = account.age.as_millis() as u64,
-            estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
+            asked = shares.asked, taken = shares.taken, level = shares.fair_share,
+            best = shares.largest_usage, level_age_ms = shares.age.as_millis() as u64,
+            estimate_ms = estimate.as_millis() as u64, retry_ms = retry_after.as_millis() as u64,
             objective_ms = self.call.route.latency_target.as_millis() as u64,
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             hosts = self.host.balancer().n_hosts(clock::now()); "not placed"
         );
         self.host.metrics.count(&format!("refused{{reason=\"{reason:?}\"}}"));
-        Err(self.failure(format!("refused: {reason:?}"), retry))
+        Err(self.failure(format!("refused: {reason:?}"), retry_after))
     }
 
-    fn account(&self) -> ShareSnapshot {
-        self.host.balancer().share_snapshot(clock::now(), self.call.job.workspace)
+    fn share_snapshot(&self) -> ShareSnapshot {
+        self.host.balancer().share_snapshot(clock::now(), self.call.placement.workspace)
     }
 
-    fn log_placed(&self, placed: &Assignment, upstream: &Upstream) {
+    fn log_placed(&self, assignment: &Assignment, upstream: &Upstream) {
         log::info!(
             request = self.call.id, route = self.call.route.name, upstream = upstream.entry.id,
             workspace = self.call.workspace_name(),
-            estimate_ms = placed.estimate.as_millis() as u64,
-            bias_ms = placed.bias.as_millis() as u64, unread = placed.uncached_tokens,
-            ahead = placed.queued_tokens, share = placed.share_ratio, attempt = self.tried.len() + 1,
+            estimate_ms = assignment.estimate.as_millis() as u64,
+            bias_ms = assignment.bias.as_millis() as u64, unread = assignment.uncached_tokens,
+            ahead = assignment.queued_tokens, share = assignment.share_ratio, attempt = self.tried.len() + 1,
             tokens = self.call.tokens(), fingerprint = self.call.quarantine_key().fingerprint_hex(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
@@ -216,7 +216,7 @@
 
     /// Records that the caller received the beginning of the stream.
     pub(crate) fn mark_begun(&mut self) {
-        self.call.job.stage = Stage::Streaming;
+        self.call.placement.stage = Stage::Streaming;
     }
 
     /// Returns whether another upstream would accept the request now.
@@ -224,8 +224,8 @@
         if !self.may_retry() {
             return false;
         }
-        let placed = self.host.place(&self.call, &self.tried, PlacementMode::Any);
-        placed.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
+        let assignment = self.host.place(&self.call, &self.tried, PlacementMode::Any);
+        assignment.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
     }
 
     /// Returns whether another upstream may be asked to repeat or resume the request.
@@ -263,7 +263,7 @@
     /// caller already has a part of the response.
     async fn wait_for_fresh_state(&mut self) -> Result<(), Failure> {
         while !self.host.has_fresh_state() {
-            if self.call.job.stage == Stage::New {
+            if self.call.placement.stage == Stage::New {
                 return Err(self.failure(SUSPENDED_TEXT.to_owned(), SUSPENDED_RETRY));
             }
             clock::sleep(FRESH_STATE_POLL).await;
@@ -274,22 +274,22 @@
     /// Checks that the request is not in quarantine; called before every attempt, also before a
     /// retry and before a stream is resumed.
     fn check_quarantine(&self) -> Result<(), Failure> {
-        let verdict = self.host.quarantine().entry(clock::now(), self.call.quarantine_key());
-        let Some(QuarantineEntry { n_crashes: n_ends, remaining: left, .. }) = verdict else {
+        let entry = self.host.quarantine().entry(clock::now(), self.call.quarantine_key());
+        let Some(QuarantineEntry { n_crashes, remaining, .. }) = entry else {
             return Ok(());
         };
         let fingerprint = self.call.quarantine_key().fingerprint_hex();
         log::info!(
-            request = self.call.id, route = self.call.route.name, fingerprint, n_ends,
-            workspace = self.call.workspace_name(), left_s = left.as_secs(); "in quarantine"
+            request = self.call.id, route = self.call.route.name, fingerprint, n_ends = n_crashes,
+            workspace = self.call.workspace_name(), left_s = remaining.as_secs(); "in quarantine"
         );
         self.host.metrics.count("refused{reason=\"Quarantine\"}");
         let reason = format!(
-            "{n_ends} upstreams ended while running this request ({fingerprint}): it is in quarantine \
+            "{n_crashes} upstreams ended while running this request ({fingerprint}): it is in quarantine \
              for another {} s",
-            left.as_secs()
+            remaining.as_secs()
         );
-        Err(self.failure(reason, quarantine::whole_seconds(left)))
+        Err(self.failure(reason, quarantine::whole_seconds(remaining)))
     }
 
     fn failure(&self, reason: String, retry: Duration) -> Failure {
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -18,7 +18,7 @@
 
 /// Serves a request until its response is complete or streaming.
 pub(crate) async fn serve_request(host: Arc<Host>, call: Call) -> Response<Body> {
-    host.deposit_retry(call.job.service);
+    host.deposit_retry(call.placement.service);
     let mut exchange = Exchange::new(host, call);
     loop {
         let response = match exchange.next_response(None).await {
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -37,7 +37,7 @@
     let (peers_listener, peers_address) = http1::bind(settings.peers).await.wrap_err("peers")?;
     settings.peers = peers_address;
     let datagrams = Async::<std::net::UdpSocket>::bind(settings.peers).wrap_err("peers")?;
-    let (host, verdicts) = Host::new(rt.clone(), settings);
+    let (host, pending_writes) = Host::new(rt.clone(), settings);
     log::info!(
         name = host.settings().name, incarnation = host.incarnation, listen:% = listen,
         ready:% = ready_address, metrics:% = metrics_address, peers:% = peers_address,
@@ -59,7 +59,7 @@
     ));
     peers::start(&host, datagrams);
     rt.spawn(monitor_load(host.clone()));
-    store_watch::start(&host, verdicts);
+    store_watch::start(&host, pending_writes);
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let serving = rt.task(server::serve(host.clone(), listener, stopped));
     while let Some(Ok(Signal::Hup)) = signals.next().await {
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -115,12 +115,12 @@
         row_version: it.row,
         is_lifted,
     };
-    let standing = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
+    let active = std::mem::take(&mut reply.evacuations).into_iter().map(|it| {
         let left = held_time(it.held);
         (order(it, false), left)
     });
     let lifted = std::mem::take(&mut reply.lifted).into_iter().map(|it| order(it, true));
-    let list = EvacuationSnapshot { active: standing.collect(), lifted: lifted.collect() };
+    let list = EvacuationSnapshot { active: active.collect(), lifted: lifted.collect() };
     evacuations::merge_peer_orders(host, version, list);
 }
 
@@ -210,13 +210,13 @@
         return;
     }
     (reply.orders_version, reply.orders_era) = (version.number, version.era);
-    let EvacuationSnapshot { active: standing, lifted } = list.evacuations.snapshot(clock::now());
+    let EvacuationSnapshot { active, lifted } = list.evacuations.snapshot(clock::now());
     let encode = |it: EvacuationRow, left: Option<Duration>| EvacuationOrder {
         data_centre: it.data_centre,
         row: it.row_version,
         held: held_ms(left),
     };
-    reply.evacuations = standing.into_iter().map(|(it, left)| encode(it, left)).collect();
+    reply.evacuations = active.into_iter().map(|(it, left)| encode(it, left)).collect();
     reply.lifted = lifted.into_iter().map(|it| encode(it, None)).collect();
 }
 
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -88,14 +88,14 @@
         orders: it.evacuations.version(),
     });
     let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
-    for (digest, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
+    for (digest, delivery) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
         handle_digest(host, &topology, from, &digest);
         if digest.host != host.own_hash() {
             newer.record(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let forwarded = host.peers().forward(digest, way);
-        if let Some((speaker, digest)) = forwarded {
-            send::send(host, socket, &digest, [speaker]);
+        let forwarded = host.peers().forward(digest, delivery);
+        if let Some((leader, digest)) = forwarded {
+            send::send(host, socket, &digest, [leader]);
         }
     }
 }
@@ -184,8 +184,8 @@
 
 impl NewerVersions {
     fn record(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
-        let has_store_contact =
-            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.stale_after;
+        let has_store_contact = Duration::from_millis(u64::from(digest.store_age))
+            < host.settings().store_timeouts.stale_after;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
         if known.orders < orders {
             self.orders.offer(address);
@@ -193,13 +193,13 @@
         if known.config < digest.config_version {
             self.config.offer(address);
         } else if has_store_contact && orders <= known.orders {
-            host.suspension().confirm_from_peer(CachedState::Config);
+            host.suspend_detector().confirm_from_peer(CachedState::Config);
         }
         host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
             self.list.offer(address);
         } else if has_store_contact {
-            host.suspension().confirm_from_peer(CachedState::Upstreams);
+            host.suspend_detector().confirm_from_peer(CachedState::Upstreams);
         }
     }
 
--- a/crates/portfield-host/src/placement.rs
+++ b/crates/portfield-host/src/placement.rs
@@ -33,11 +33,11 @@
 pub(crate) struct PlacementRefusal {
     pub reason: Refusal,
     /// Time after which the caller may retry.
-    pub retry: Duration,
+    pub retry_after: Duration,
     /// Estimated time to the first event, on which the refusal is based.
     pub estimate: Duration,
     /// Recent usage of the workspace, as a multiple of its fair share.
-    pub share: f64,
+    pub share_ratio: f64,
 }
 
 impl Host {
@@ -51,12 +51,14 @@
         list.rebuild_ready(&own_data_centre);
         let cold = list.take_cold_changes();
         let ids: HashSet<u32> = list.directory.all().map(|it| it.wire_id()).collect();
-        let is_reborn = |it: &&Arc<Upstream>| list.directory.is_restarted(it);
-        let reborn: Vec<Arc<Upstream>> = before.iter().filter(is_reborn).cloned().collect();
+        let is_restarted = |it: &&Arc<Upstream>| list.directory.is_restarted(it);
+        let restarted: Vec<Arc<Upstream>> = before.iter().filter(is_restarted).cloned().collect();
         drop(list);
         self.balancer().retain_upstreams(|id| ids.contains(&id));
         self.update_cold(&cold);
-        reborn.iter().for_each(|it| quarantine::record_upstream_end(self, it, EndEvidence::Reborn));
+        restarted
+            .iter()
+            .for_each(|it| quarantine::record_upstream_end(self, it, EndEvidence::Reborn));
         res
     }
 
@@ -99,7 +101,7 @@
         tried: &[u32],
         mode: PlacementMode,
     ) -> Result<(Assignment, Arc<Upstream>), PlacementRefusal> {
-        let job = &call.job;
+        let request = &call.placement;
         let ready = self.candidates(call);
         let untried = || ready.candidates.iter().filter(|it| !tried.contains(&it.upstream));
         // With every candidate tried, the same upstream may be tried again.
@@ -113,25 +115,25 @@
             &subset
         };
         let res = match mode {
-            PlacementMode::Any => balancer.place(now, job, candidates),
+            PlacementMode::Any => balancer.place(now, request, candidates),
             PlacementMode::Isolated => {
                 let least_loaded = balancer.least_busy(now, candidates);
-                balancer.place(now, job, least_loaded.as_slice())
+                balancer.place(now, request, least_loaded.as_slice())
             }
         };
         drop(balancer);
-        let placed = match res {
+        let assignment = match res {
             Placement::Send(it) => it,
-            Placement::Refuse { reason, retry_after: retry, estimate, share_ratio: share } => {
-                return Err(PlacementRefusal { reason, retry, estimate, share });
+            Placement::Refuse { reason, retry_after, estimate, share_ratio } => {
+                return Err(PlacementRefusal { reason, retry_after, estimate, share_ratio });
             }
         };
-        let chosen = ready.upstreams.iter().find(|it| it.wire_id() == placed.upstream);
-        chosen.map(|it| (placed, it.clone())).ok_or(PlacementRefusal {
+        let chosen = ready.upstreams.iter().find(|it| it.wire_id() == assignment.upstream);
+        chosen.map(|it| (assignment, it.clone())).ok_or(PlacementRefusal {
             reason: Refusal::NoUpstream,
-            retry: placed.estimate,
-            estimate: placed.estimate,
-            share: placed.share_ratio,
+            retry_after: assignment.estimate,
+            estimate: assignment.estimate,
+            share_ratio: assignment.share_ratio,
         })
     }
 }
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -78,8 +78,8 @@
 
 /// Records that an upstream ended while it ran some requests.
 fn add_suspects(host: &Host, requests: &[RequestKey], upstream: &Upstream) {
-    let verdicts = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
-    verdicts.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
+    let entries = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
+    entries.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
 }
 
 /// Records that a request got a complete response, which clears it of suspicion.
@@ -106,8 +106,8 @@
     if suspects.is_empty() {
         return;
     }
-    let verdicts = host.quarantine().merge(clock::now(), suspects);
-    verdicts.iter().for_each(|it| record_quarantine(host, it, source));
+    let entries = host.quarantine().merge(clock::now(), suspects);
+    entries.iter().for_each(|it| record_quarantine(host, it, source));
 }
 
 /// Adds this host's suspects to its own digest.
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -93,8 +93,8 @@
 
 /// Queues all entries of this host to be written again, after the store lost them.
 pub(crate) fn persist_all(host: &Host) {
-    let verdicts = host.quarantine().entries(clock::now());
-    verdicts.iter().for_each(|it| host.persist_quarantine(it.request));
+    let entries = host.quarantine().entries(clock::now());
+    entries.iter().for_each(|it| host.persist_quarantine(it.request));
 }
 
 /// Writes the entries of the queued requests.
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -30,7 +30,7 @@
     pub retry: Option<Duration>,
     /// Whether the request was refused for lack of processor time; decides whether the connection
     /// is closed.
-    pub answered: AnswerKind,
+    pub answer_kind: AnswerKind,
 }
 
 #[derive(Debug, Serialize)]
@@ -49,7 +49,7 @@
         field: &'static str,
         reason: impl Into<String>,
     ) -> Self {
-        Self { status, field, reason: reason.into(), retry: None, answered: AnswerKind::Served }
+        Self { status, field, reason: reason.into(), retry: None, answer_kind: AnswerKind::Served }
     }
 
     /// Creates the refusal of a request that did not run and will not.
@@ -60,7 +60,7 @@
     /// Creates the refusal of a request for lack of processor time.
     pub(crate) fn overloaded(retry: Duration) -> Self {
         Self {
-            answered: AnswerKind::Refused,
+            answer_kind: AnswerKind::Refused,
             ..Self::unavailable("this host is overloaded", retry)
         }
     }
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -122,7 +122,7 @@
     host.ingress.record_request();
     let id = request.headers().get(portfield_platform::request::ATTEMPT_ID);
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
-    let (mut res, answered) = match read_request(&host, caller, request).await {
+    let (mut res, answer_kind) = match read_request(&host, caller, request).await {
         Ok(call) => (forward::serve_request(host.clone(), call).await, AnswerKind::Served),
         Err(it) => {
             log::info!(
@@ -130,10 +130,10 @@
                 config = host.config_version(); "rejected"
             );
             host.metrics.count(&format!("rejected{{status=\"{}\"}}", it.status.as_u16()));
-            (it.to_response(&id), it.answered)
+            (it.to_response(&id), it.answer_kind)
         }
     };
-    if host.should_close(answered) {
+    if host.should_close(answer_kind) {
         res.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     res
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -42,8 +42,8 @@
     pub direct_hosts: usize,
     /// Maximum number of log lines per second.
     pub log_lines: u64,
-    /// Timing of calls to the store.
-    pub pace: StoreTimeouts,
+    /// Time-outs of watching the store.
+    pub store_timeouts: StoreTimeouts,
     /// Requests per second that all hosts together may send to a cold upstream, as a multiple of
     /// the rate that its service sets.
     pub cold_overrun: f64,
@@ -78,7 +78,7 @@
             active_limit: it.number("active_limit", 700, (1, 1_000_000)) as usize,
             direct_hosts: it.number("direct_hosts", 12, (1, 1_000)) as usize,
             log_lines: it.number("log_lines_s", 200, (1, 100_000)),
-            pace: StoreTimeouts::new(it.millis("contact_ms", 3000, (100, 600_000))),
+            store_timeouts: StoreTimeouts::new(it.millis("contact_ms", 3000, (100, 600_000))),
             cold_overrun: it.fraction("cold_overrun", 1.0, (0.0, 1000.0)),
             cold_slack: it.fraction("cold_slack", 0.0, (0.0, 1e6)),
             regions: it.text_table("regions"),
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -70,7 +70,7 @@
     load_shedder: Mutex<LoadShedder>,
     broken_attempts: Mutex<BrokenAttempts>,
     quarantine: Mutex<Quarantine>,
-    suspension: Mutex<SuspendDetector>,
+    suspend_detector: Mutex<SuspendDetector>,
     /// Requests whose quarantine entry is to be written to the store.
     pending_writes: Sender<RequestKey>,
     /// Set once the quarantine was read from the store, could not be read or need not be.
@@ -95,7 +95,7 @@
     /// Also returns the receiver of the requests whose quarantine entry is to be written to the
     /// store.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<RequestKey>) {
-        let place = GossipConfig {
+        let gossip_config = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash_name(&settings.data_centre),
             direct_limit: settings.direct_hosts,
@@ -104,7 +104,7 @@
         let mut balancer = Balancer::new(settings.share_window);
         balancer.set_seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
-        let (pending_writes, pending) = async_channel::bounded(MAX_PENDING_WRITES);
+        let (pending_writes, receiver) = async_channel::bounded(MAX_PENDING_WRITES);
         let res = Arc::new(Self {
             pool: Pool::new(rt.clone()),
             probes: ActiveProbes::default(),
@@ -116,14 +116,14 @@
             upstream_list: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            peers: Mutex::new(PeerTable::new(place, seeds)),
-            host_hash: place.host,
-            store_watchers: Mutex::new(StoreWatchers::new(settings.pace)),
+            peers: Mutex::new(PeerTable::new(gossip_config, seeds)),
+            host_hash: gossip_config.host,
+            store_watchers: Mutex::new(StoreWatchers::new(settings.store_timeouts)),
             store_availability: Mutex::new(StoreAvailability::new(OUTAGE_THRESHOLD)),
             load_shedder: Mutex::default(),
             broken_attempts: Mutex::default(),
             quarantine: Mutex::default(),
-            suspension: Mutex::default(),
+            suspend_detector: Mutex::default(),
             pending_writes,
             quarantine_loaded: AtomicInstant::default(),
             hosts_loaded: AtomicInstant::default(),
@@ -134,7 +134,7 @@
             accept_failure: AtomicInstant::default(),
             settings: RwLock::new(Arc::new(settings)),
         });
-        (res, pending)
+        (res, receiver)
     }
 
     /// Returns the current settings.
@@ -218,8 +218,8 @@
     }
 
     /// Returns the tracker of suspensions of this host.
-    pub(crate) fn suspension(&self) -> MutexGuard<'_, SuspendDetector> {
-        self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn suspend_detector(&self) -> MutexGuard<'_, SuspendDetector> {
+        self.suspend_detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the requests that are suspected or quarantined.
@@ -264,8 +264,10 @@
     }
 
     /// Returns whether to close a caller's connection after a response.
-    pub(crate) fn should_close(&self, answered: AnswerKind) -> bool {
-        self.is_stopping() || self.load_shedder().closes_connection(answered) || !self.can_accept()
+    pub(crate) fn should_close(&self, answer_kind: AnswerKind) -> bool {
+        self.is_stopping()
+            || self.load_shedder().closes_connection(answer_kind)
+            || !self.can_accept()
     }
 
     /// Recomputes which hosts this host's digests go to, and returns them.
@@ -320,7 +322,7 @@
 
     /// Returns whether this host is to take the upstream list from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
-        self.settings().pace.fallback_after < self.store_age() || !self.is_store_watcher()
+        self.settings().store_timeouts.fallback_after < self.store_age() || !self.is_store_watcher()
     }
 
     /// Returns whether the host is ready for callers.
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -44,7 +44,7 @@
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts the tasks that read from and write to the store.
-pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<RequestKey>) {
+pub(crate) fn start(host: &Arc<Host>, pending_writes: Receiver<RequestKey>) {
     let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = WatchedTable {
         table: store::OPERATOR_TABLE,
@@ -60,7 +60,7 @@
     };
     host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), operator).run());
     host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), upstreams).run());
-    host.rt.spawn(quarantine_store::run_writer(host.clone(), store.clone(), verdicts));
+    host.rt.spawn(quarantine_store::run_writer(host.clone(), store.clone(), pending_writes));
     host.rt.spawn(host_discovery::run(host.clone(), store));
     host.rt.spawn(run_expiry(host.clone()));
 }
@@ -152,7 +152,9 @@
             Some(it) if !self.host.has_fresh_state() => {
                 self.store.poll_changes(table, it, Duration::ZERO).await
             }
-            Some(it) => self.store.poll_changes(table, it, self.host.settings().pace.hold).await,
+            Some(it) => {
+                self.store.poll_changes(table, it, self.host.settings().store_timeouts.hold).await
+            }
         }
     }
 
@@ -192,7 +194,7 @@
         (self.version, self.era) = (Some(version), Some(version.era));
         let update = TableUpdate { rows, table_read: TableRead { version, scope, source } };
         (self.watched.apply)(&self.host, update);
-        self.host.suspension().confirm_from_store(sent, self.watched.knowledge);
+        self.host.suspend_detector().confirm_from_store(sent, self.watched.knowledge);
         clock::sleep((sent + gap).saturating_sub(now)).await;
     }
 
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -11,7 +11,7 @@
     ///
     /// Called often, and before any use of state that a suspension makes outdated.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
-        let length = self.suspension().tick(clock::now())?;
+        let length = self.suspend_detector().tick(clock::now())?;
         log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host was suspended");
         self.metrics.count("stood_still");
         clock::woke();
@@ -23,12 +23,12 @@
     /// Returns whether this host's state of the fleet is fresh enough to be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
-        self.suspension().is_state_usable(clock::now())
+        self.suspend_detector().is_state_usable(clock::now())
     }
 
     /// Returns when this host last resumed from a suspension, if ever.
     pub(crate) fn resumed_at(&self) -> Option<Duration> {
         self.check_suspension();
-        self.suspension().resumed_at()
+        self.suspend_detector().resumed_at()
     }
 }
