--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! What this host hears from the others.
+//! Receives digests from other hosts.
 
 use std::{
     net::SocketAddr,
@@ -16,30 +16,30 @@
 use prost::Message;
 
 use super::{
-    Datagrams,
+    PeerSocket,
     fetch::{self, Wanted},
     send,
 };
 use crate::{
-    quarantine::{self, VerdictSource},
+    quarantine::{self, QuarantineSource},
     state::Host,
     upstream_signals,
 };
 
-/// Largest datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 60_000;
-/// Least time between two fetches of the list: it changes in quick succession.
-const LIST_PERIOD: Duration = Duration::from_millis(300);
-/// Time for which another host's list may be newer before a host that follows the store itself
-/// takes it from there: its own call may hang on a connection that has fallen silent, which it
-/// notices after 2.2 s only, and an upstream that leaves may be sent requests for two seconds.
-const LIST_PATIENCE: Duration = Duration::from_millis(250);
-
-/// Listens to the others for ever.
-pub(super) async fn run(host: Arc<Host>, socket: Datagrams) {
+/// Minimum time between two fetches of the list, which often changes several times in a row.
+const LIST_FETCH_INTERVAL: Duration = Duration::from_millis(300);
+/// Time for which another host's list must have been newer before a host that watches the store
+/// itself fetches it. The host's own call may hang on a dead connection, which it notices only
+/// after 2.2 s, while a draining upstream must get no more requests after two seconds.
+const LIST_FETCH_DELAY: Duration = Duration::from_millis(250);
+
+/// Receives datagrams forever.
+pub(super) async fn run(host: Arc<Host>, socket: PeerSocket) {
     let mut buf = vec![0; MAX_DATAGRAM];
-    let mut news = NewerVersions::default();
-    let mut woke = None;
+    let mut newer = NewerVersions::default();
+    let mut resumed = None;
     loop {
         let (n, address) = match socket.recv_from(&mut buf).await {
             Ok(it) => it,
@@ -48,10 +48,10 @@
                 continue;
             }
         };
-        let woke_last = host.resumed_at();
-        if woke_last != woke {
-            // What lies here was said while this host stood still.
-            woke = woke_last;
+        let last_resumed = host.resumed_at();
+        if last_resumed != resumed {
+            // Datagrams that queued up while this host was suspended are outdated.
+            resumed = last_resumed;
             while socket.get_ref().recv(&mut buf).is_ok() {}
             continue;
         }
@@ -59,27 +59,27 @@
             host.metrics.count("digests_malformed");
             continue;
         };
-        // Who says it says it to all.
-        contain::call("digest", || handle_datagram(&host, &socket, address, digest, &mut news));
-        news.fetch(&host);
+        // A digest that makes its handler panic would reach, and end, every other host too.
+        contain::call("digest", || handle_datagram(&host, &socket, address, digest, &mut newer));
+        newer.fetch(&host);
     }
 }
 
-/// Takes a datagram: its sender's word, and what that passes on.
+/// Handles a datagram: the sender's own digest and the digests that it relays.
 fn handle_datagram(
     host: &Arc<Host>,
-    socket: &Datagrams,
+    socket: &PeerSocket,
     from: SocketAddr,
     mut digest: Digest,
-    news: &mut NewerVersions,
+    newer: &mut NewerVersions,
 ) {
-    let audience = host.audience();
-    if digest.seeks_hosts && audience.is_hierarchical() {
+    let topology = host.topology();
+    if digest.seeks_hosts && topology.is_hierarchical() {
         send::introduce(host, socket, from);
     }
     if !digest.hosts.is_empty() {
-        // An introduction tells nothing of what its sender did.
-        learn_hosts(host, &digest);
+        // An introduction carries no state of its sender.
+        add_hosts(host, &digest);
         return;
     }
     let known = host.with_list(|it| KnownVersions {
@@ -88,31 +88,31 @@
         orders: it.evacuations.version(),
     });
     let relayed = std::mem::take(&mut digest.relayed).into_iter().map(|it| (it, Delivery::Relayed));
-    for (digest, way) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
-        handle_digest(host, &audience, from, &digest);
+    for (digest, delivery) in std::iter::once((digest, Delivery::Direct)).chain(relayed) {
+        handle_digest(host, &topology, from, &digest);
         if digest.host != host.own_hash() {
-            news.note(host, known, digest.address.parse().unwrap_or(from), &digest);
+            newer.record(host, known, digest.address.parse().unwrap_or(from), &digest);
         }
-        let passed = host.peers().forward(digest, way);
-        if let Some((speaker, digest)) = passed {
-            send::send(host, socket, &digest, [speaker]);
+        let forwarded = host.peers().forward(digest, delivery);
+        if let Some((leader, digest)) = forwarded {
+            send::send(host, socket, &digest, [leader]);
         }
     }
 }
 
-/// Learns of hosts by another's word.
-fn learn_hosts(host: &Host, digest: &Digest) {
-    let mut others = host.peers();
+/// Adds the hosts that an introduction lists.
+fn add_hosts(host: &Host, digest: &Digest) {
+    let mut peers = host.peers();
     for it in &digest.hosts {
         match it.address.parse() {
-            Ok(address) => others.add_host(address, Some(it.data_centre)),
+            Ok(address) => peers.add_host(address, Some(it.data_centre)),
             Err(_) => host.metrics.count("digests_malformed"),
         }
     }
 }
 
-/// Takes one digest.
-fn handle_digest(host: &Host, audience: &GossipTopology, from: SocketAddr, digest: &Digest) {
+/// Handles one digest, received directly or relayed.
+fn handle_digest(host: &Host, topology: &GossipTopology, from: SocketAddr, digest: &Digest) {
     if digest.host == host.own_hash() {
         return;
     }
@@ -121,7 +121,7 @@
     if digest.n_summed == 0 {
         let store_age = Duration::from_millis(u64::from(digest.store_age));
         host.record_store_contact(now.saturating_sub(store_age));
-        host.record_follower(WatcherStatus {
+        host.record_watcher(WatcherStatus {
             host: digest.host,
             data_centre: digest.data_centre,
             store_age,
@@ -130,39 +130,39 @@
     } else {
         host.metrics.count("sums");
     }
-    quarantine::merge_suspects(host, &digest.suspects, VerdictSource::Host);
+    quarantine::merge_suspects(host, &digest.suspects, QuarantineSource::Host);
     upstream_signals::merge_digest(host, digest);
-    if audience.accepts(digest) {
+    if topology.accepts(digest) {
         host.balancer().merge_digest(now, digest);
     }
 }
 
-/// The versions that this host knows, when a datagram comes.
+/// Versions known to this host when a datagram arrives.
 #[derive(Debug, Clone, Copy)]
 struct KnownVersions {
     config: u64,
     list: StoreVersion,
-    /// The operator's orders.
+    /// Version of the operator's evacuation orders.
     orders: StoreVersion,
 }
 
-/// What other hosts know that this one does not.
+/// Tracks what other hosts know in newer versions than this one.
 #[derive(Debug, Default)]
 struct NewerVersions {
     config: NewerPeer,
     list: NewerPeer,
     orders: NewerPeer,
-    /// For how long this host's list has been behind.
+    /// How long this host's list has been outdated.
     lag: Lag,
-    /// When the list may be fetched again.
+    /// Earliest time of the next list fetch.
     list_due: Duration,
     is_fetching_config: Arc<AtomicBool>,
     is_fetching_list: Arc<AtomicBool>,
     is_fetching_orders: Arc<AtomicBool>,
 }
 
-/// One of the hosts that know something newer, drawn by lot: a datagram tells of many, and all its
-/// receivers would ask the same one.
+/// A randomly chosen host that knows a newer version. A datagram reports many hosts, and all its
+/// receivers would otherwise ask the same one.
 #[derive(Debug, Default)]
 struct NewerPeer {
     from: Option<SocketAddr>,
@@ -170,7 +170,7 @@
 }
 
 impl NewerPeer {
-    fn note(&mut self, address: SocketAddr) {
+    fn offer(&mut self, address: SocketAddr) {
         self.n += 1;
         if fastrand::u32(..self.n) == 0 {
             self.from = Some(address);
@@ -183,27 +183,27 @@
 }
 
 impl NewerVersions {
-    fn note(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
-        let hears_store =
-            Duration::from_millis(u64::from(digest.store_age)) < host.settings().pace.stale_after;
+    fn record(&mut self, host: &Host, known: KnownVersions, address: SocketAddr, digest: &Digest) {
+        let has_store_contact = Duration::from_millis(u64::from(digest.store_age))
+            < host.settings().store_timeouts.stale_after;
         let orders = StoreVersion::new(digest.orders_era, digest.orders_version);
         if known.orders < orders {
-            self.orders.note(address);
+            self.orders.offer(address);
         }
         if known.config < digest.config_version {
-            self.config.note(address);
-        } else if hears_store && orders <= known.orders {
-            host.suspension().confirm_from_peer(CachedState::Config);
+            self.config.offer(address);
+        } else if has_store_contact && orders <= known.orders {
+            host.suspend_detector().confirm_from_peer(CachedState::Config);
         }
         host.update_store_era(digest.list_era, "host");
         if known.list < StoreVersion::new(digest.list_era, digest.list_version) {
-            self.list.note(address);
-        } else if hears_store {
-            host.suspension().confirm_from_peer(CachedState::Upstreams);
+            self.list.offer(address);
+        } else if has_store_contact {
+            host.suspend_detector().confirm_from_peer(CachedState::Upstreams);
         }
     }
 
-    /// Fetches what is newer.
+    /// Fetches the newer versions.
     fn fetch(&mut self, host: &Arc<Host>) {
         if let Some(from) = self.config.take() {
             fetch::start(host, from, Wanted::Config, &self.is_fetching_config);
@@ -214,23 +214,23 @@
         let Some(from) = self.list.take() else { return };
         let now = clock::now();
         let version = host.with_list(|it| it.directory.version());
-        let is_due = host.needs_peer_list() || LIST_PATIENCE <= self.lag.grow(now, version);
+        let is_due = host.needs_peer_list() || LIST_FETCH_DELAY <= self.lag.grow(now, version);
         if self.list_due <= now && is_due {
-            self.list_due = now + LIST_PERIOD;
+            self.list_due = now + LIST_FETCH_INTERVAL;
             fetch::start(host, from, Wanted::List, &self.is_fetching_list);
         }
     }
 }
 
-/// For how long a host's own list has been behind another's.
+/// Measures how long this host's list has been older than another host's.
 #[derive(Debug, Default)]
 struct Lag {
-    /// The version that is behind, and since when.
+    /// The outdated version, and since when it has been known to be outdated.
     since: Option<(StoreVersion, Duration)>,
 }
 
 impl Lag {
-    /// Returns for how long the list of this version has been known to be behind.
+    /// Returns how long the list has been known to be outdated in this version.
     fn grow(&mut self, now: Duration, version: StoreVersion) -> Duration {
         let since = match self.since {
             Some((same, since)) if same == version => since,
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end upstreams: what this host sees of them, and what it refuses.
+//! Quarantine of requests that crash upstreams: what this host observes, and what it refuses.
 
 use std::time::Duration;
 
@@ -12,58 +12,63 @@
 
 use crate::{call::Call, state::Host};
 
-/// Most requests that a log line names.
-const MAX_NAMED: usize = 20;
+/// Maximum number of request fingerprints in a log line.
+const MAX_LOGGED: usize = 20;
 
-/// What shows that an upstream has ended.
+/// How it was noticed that an upstream ended.
 ///
-/// That its entry is gone shows nothing: those of a data centre that is cut off go too, and the upstreams there
-/// go on.
+/// A missing list entry is no evidence: the entries of a partitioned data centre expire too, while
+/// its upstreams keep running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndEvidence {
-    /// Nothing listens at its address.
+    /// Its address refuses connections.
     Refused,
-    /// Another one answers there.
+    /// Another upstream responds at its address.
     Replaced,
-    /// Another incarnation has its entry.
+    /// Its list entry belongs to another incarnation.
     Reborn,
 }
 
-/// Where a verdict comes from.
+/// Origin of a quarantine entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum VerdictSource {
-    /// This host saw the last end that it takes.
+pub(crate) enum QuarantineSource {
+    /// This host observed the last of the upstream ends that led to it.
     Own,
     /// Another host's digest.
     Host,
-    /// The store: after this host's start, or while it misses a data centre.
+    /// The store, read after this host's start or while a data centre is unreachable.
     Store,
 }
 
-/// Notes that a run of a request broke; returns whether it is to be found out that its upstream is still there.
-pub(crate) fn record_broken_run(host: &Host, call: &Call, upstream: &Upstream) -> bool {
-    // One that leaves ends with whatever still runs there, and a host that stood still may not know that it does.
+/// Records that an attempt of a request broke; returns whether to check that its upstream is still
+/// alive.
+pub(crate) fn record_broken_attempt(host: &Host, call: &Call, upstream: &Upstream) -> bool {
+    // A draining upstream may end with requests still running, and a host that was suspended may
+    // not know that it drains.
     if !host.has_fresh_state()
         || !host.with_list(|it| it.directory.ready().any(|it| it.hash == upstream.hash))
     {
         return false;
     }
-    let is_ended =
-        host.broken_runs().record_break(clock::now(), call.request(), upstream.wire_id());
-    if is_ended {
-        add_suspects(host, &[call.request()], upstream);
+    let has_ended = host.broken_attempts().record_break(
+        clock::now(),
+        call.quarantine_key(),
+        upstream.wire_id(),
+    );
+    if has_ended {
+        add_suspects(host, &[call.quarantine_key()], upstream);
     }
-    !is_ended
+    !has_ended
 }
 
-/// Notes that an upstream ended.
+/// Records that an upstream ended.
 pub(crate) fn record_upstream_end(host: &Host, upstream: &Upstream, how: EndEvidence) {
-    let requests = host.broken_runs().record_crash(clock::now(), upstream.wire_id());
+    let requests = host.broken_attempts().record_crash(clock::now(), upstream.wire_id());
     if requests.is_empty() {
         return;
     }
-    let named = requests.iter().take(MAX_NAMED).map(|it| it.fingerprint_hex());
-    let fingerprints = named.collect::<Vec<_>>().join(" ");
+    let logged = requests.iter().take(MAX_LOGGED).map(|it| it.fingerprint_hex());
+    let fingerprints = logged.collect::<Vec<_>>().join(" ");
     log::warn!(
         upstream = upstream.entry.id, how:?, n = requests.len(), fingerprints; "upstream ended"
     );
@@ -71,63 +76,63 @@
     add_suspects(host, &requests, upstream);
 }
 
-/// Notes that an upstream ended under requests.
+/// Records that an upstream ended while it ran some requests.
 fn add_suspects(host: &Host, requests: &[RequestKey], upstream: &Upstream) {
-    let verdicts = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
-    verdicts.iter().for_each(|it| record_verdict(host, it, VerdictSource::Own));
+    let entries = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
+    entries.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
 }
 
-/// Notes that a request was answered whole: it does not end upstreams.
+/// Records that a request got a complete response, which clears it of suspicion.
 pub(crate) fn record_success(host: &Host, call: &Call) {
-    if host.quarantine().record_success(clock::now(), call.request()) {
+    if host.quarantine().record_success(clock::now(), call.quarantine_key()) {
         log::info!(
-            request = call.id, fingerprint = call.request().fingerprint_hex();
-            "nothing against the request any more"
+            request = call.id, fingerprint = call.quarantine_key().fingerprint_hex();
+            "request cleared of suspicion"
         );
     }
 }
 
-/// Drops what is held against a request; returns whether anything was.
+/// Lifts the quarantine of a request; returns whether it was suspected at all.
 pub(crate) fn lift(host: &Host, fingerprint: Fingerprint) -> bool {
     let lifted = host.quarantine().lift(clock::now(), fingerprint);
     let Some(request) = lifted else { return false };
     log::warn!(fingerprint = request.fingerprint_hex(); "quarantine lifted");
-    host.persist_verdict(request);
+    host.persist_quarantine(request);
     true
 }
 
-/// Takes what another host or the store tells.
-pub(crate) fn merge_suspects(host: &Host, suspects: &[Suspect], source: VerdictSource) {
+/// Merges suspects reported by another host or the store.
+pub(crate) fn merge_suspects(host: &Host, suspects: &[Suspect], source: QuarantineSource) {
     if suspects.is_empty() {
         return;
     }
-    let verdicts = host.quarantine().merge(clock::now(), suspects);
-    verdicts.iter().for_each(|it| record_verdict(host, it, source));
+    let entries = host.quarantine().merge(clock::now(), suspects);
+    entries.iter().for_each(|it| record_quarantine(host, it, source));
 }
 
-/// Adds what this host knows to its own digest.
-pub(crate) fn fill_digest(host: &Host, audience: &GossipTopology, digest: &mut Digest) {
+/// Adds this host's suspects to its own digest.
+pub(crate) fn fill_digest(host: &Host, topology: &GossipTopology, digest: &mut Digest) {
     digest.suspects =
-        host.quarantine().suspects_for_digest(clock::now(), audience, digest.sequence);
+        host.quarantine().suspects_for_digest(clock::now(), topology, digest.sequence);
 }
 
-/// Adds what the hosts of this data centre know to their sum.
+/// Adds the suspects known in this data centre to its summary.
 pub(crate) fn fill_summary(host: &Host, digest: &mut Digest) {
     digest.suspects = host.quarantine().suspects_for_summary(clock::now());
 }
 
-/// Returns a time as callers are told it, in whole seconds.
+/// Returns the next whole number of seconds after `time`, as reported to callers.
 pub(crate) fn whole_seconds(time: Duration) -> Duration {
     Duration::from_secs(time.as_secs() + 1)
 }
 
-fn record_verdict(host: &Host, it: &QuarantineEntry, source: VerdictSource) {
+fn record_quarantine(host: &Host, it: &QuarantineEntry, source: QuarantineSource) {
     log::warn!(
         fingerprint = it.request.fingerprint_hex(), workspace_hash = it.request.workspace,
         n_ends = it.n_crashes, left_s = it.remaining.as_secs(), source:?; "request quarantined"
     );
     host.metrics.count("requests_quarantined");
     if it.is_local {
-        host.persist_verdict(it.request);
+        host.persist_quarantine(it.request);
     }
 }
--- a/crates/portfield-host/tests/process_pause.rs
+++ b/crates/portfield-host/tests/process_pause.rs
@@ -103,5 +103,5 @@
     wait_until("the host is ready", || host.is_ready());
     assert!(resumed_at.elapsed() < Duration::from_secs(4));
     assert_eq!(host.send(&request("order", "r2")).status, 200);
-    assert_eq!(host.log_entries("host stood still").len(), 1);
+    assert_eq!(host.log_entries("host was suspended").len(), 1);
 }
--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -55,7 +55,7 @@
         };
         wait_until("the host knows that the upstream drains", || {
             send();
-            !host.log_entries("upstream drains").is_empty()
+            !host.log_entries("upstream draining").is_empty()
         });
         let n_before = upstream.requests().len();
         (0..20).for_each(|_| assert_eq!(send().text(), "from plain-1"));
@@ -88,7 +88,7 @@
     }
     assert_eq!((n_before, fleet.plain_upstreams[0].requests().len()), (1, 1));
     let sources = |host: &Host| -> Vec<String> {
-        let lines = host.log_entries("upstream drains");
+        let lines = host.log_entries("upstream draining");
         lines.iter().map(|it| it["source"].as_str().unwrap().to_owned()).collect()
     };
     assert_eq!(sources(&hosts[0]), ["answer"]);
@@ -121,13 +121,13 @@
     (0..40).for_each(|_| assert_eq!(send().status, 200));
     assert_eq!(n_to_former(), 1, "the former upstream got another request");
     assert_eq!(host.log_entries("upstream replaced").len(), 1);
-    assert!(host.log_entries("upstream drains").is_empty());
+    assert!(host.log_entries("upstream draining").is_empty());
     fleet.plain_upstreams[0].set_draining(true);
     wait_until("the host knows that the upstream drains", || {
         send();
-        !host.log_entries("upstream drains").is_empty()
+        !host.log_entries("upstream draining").is_empty()
     });
-    assert_eq!(host.log_entries("upstream drains")[0]["upstream"], "plain-0");
+    assert_eq!(host.log_entries("upstream draining")[0]["upstream"], "plain-0");
 }
 
 #[test]
@@ -155,8 +155,8 @@
         host.send(&request("order", &format!("r{n}")));
         host.metric("portfield_draining_unlisted") == 2.0
     });
-    wait_until("the drain is logged", || !host.log_entries("upstream drains").is_empty());
-    assert_eq!(host.log_entries("upstream drains")[0]["upstream"], "plain-0");
+    wait_until("the drain is logged", || !host.log_entries("upstream draining").is_empty());
+    assert_eq!(host.log_entries("upstream draining")[0]["upstream"], "plain-0");
     let n_executed = fleet.plain_upstreams[0].n_executed();
     assert_eq!(
         fleet.plain_upstreams[0].requests().len(),
@@ -217,7 +217,7 @@
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
-    wait_until("the loss of the store is logged", || !host.log_entries("store lost").is_empty());
+    wait_until("the loss of the store is logged", || !host.log_entries("store unavailable").is_empty());
     let upstream = &fleet.plain_upstreams[0];
     let mut entry = upstream.entry("desk", "ready");
     entry["born"] = serde_json::json!(5);
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -62,7 +62,7 @@
         let host = fleet.start_host();
         fleet.store.set_fault(fault);
         wait_until("the loss is logged", || {
-            fault == StoreFault::Slow(900) || !host.log_entries("store lost").is_empty()
+            fault == StoreFault::Slow(900) || !host.log_entries("store unavailable").is_empty()
         });
         assert_eq!(host.send(&request("order", "r1")).status, 200, "{fault:?}");
         assert!(host.is_ready(), "{fault:?}");
@@ -77,7 +77,7 @@
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Unavailable);
-    wait_until("the loss is logged", || !host.log_entries("store lost").is_empty());
+    wait_until("the loss is logged", || !host.log_entries("store unavailable").is_empty());
     fleet.store.remove("servers", "plain-0");
     fleet.store.compact_history();
     fleet.store.set_fault(StoreFault::None);
@@ -200,7 +200,7 @@
     let mut fleet = Fleet::new(1, 1);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
-    wait_until("the loss is logged", || !host.log_entries("store lost").is_empty());
+    wait_until("the loss is logged", || !host.log_entries("store unavailable").is_empty());
     let config = config(NEWER_VERSION).to_string().into_bytes();
     let socket = serve_peer(&fleet, FakePeer { config, list: Vec::new() });
     let mut sequence = 0;
@@ -229,7 +229,7 @@
         socket.send_to(&newer_list_digest(sequence).encode_to_vec(), host.peers).unwrap();
         host.send(&request("check", &format!("r{sequence}"))).status == 503
     });
-    assert!(host.log_entries("store lost").is_empty());
+    assert!(host.log_entries("store unavailable").is_empty());
 }
 
 /// Requests a host's list of upstreams, as a peer does.
@@ -326,7 +326,7 @@
     fleet.store.put("servers", "foreign-2", &entry("slots", json!("many")));
     fleet.store.put("servers", "foreign-3", &json!([1, 2]));
     fleet.store.put("servers", "plain-0", &entry("zone", json!(null)));
-    wait_until("the host has read the rows", || 4 <= host.log_entries("entry not readable").len());
+    wait_until("the host has read the rows", || 4 <= host.log_entries("entry cannot be decoded").len());
     for n in 0..8 {
         let response = host.send(&request("order", &format!("r{n}")));
         assert_eq!((response.status, response.text().as_str()), (200, "from plain-1"));
@@ -397,7 +397,7 @@
     thread::sleep(Duration::from_millis(3800));
     proxy.set_fault(NetworkFault::None);
     wait_until("the host reaches the store again", || {
-        !isolated.log_entries("store regained").is_empty()
+        !isolated.log_entries("store available again").is_empty()
     });
     // With its peer paused, the host gets the next change from the store.
     first.signal("-STOP");
