--- a/crates/portfield-host/tests/self_report.rs
+++ b/crates/portfield-host/tests/self_report.rs
@@ -217,7 +217,9 @@
     let mut fleet = Fleet::new(2, 0);
     let host = fleet.start_host();
     fleet.store.set_fault(StoreFault::Hang);
-    wait_until("the loss of the store is logged", || !host.log_entries("store unavailable").is_empty());
+    wait_until("the loss of the store is logged", || {
+        !host.log_entries("store unavailable").is_empty()
+    });
     let upstream = &fleet.plain_upstreams[0];
     let mut entry = upstream.entry("desk", "ready");
     entry["born"] = serde_json::json!(5);
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -326,7 +326,9 @@
     fleet.store.put("servers", "foreign-2", &entry("slots", json!("many")));
     fleet.store.put("servers", "foreign-3", &json!([1, 2]));
     fleet.store.put("servers", "plain-0", &entry("zone", json!(null)));
-    wait_until("the host has read the rows", || 4 <= host.log_entries("entry cannot be decoded").len());
+    wait_until("the host has read the rows", || {
+        4 <= host.log_entries("entry cannot be decoded").len()
+    });
     for n in 0..8 {
         let response = host.send(&request("order", &format!("r{n}")));
         assert_eq!((response.status, response.text().as_str()), (200, "from plain-1"));
