--- a/crates/portfield-host/src/cold_start.rs
+++ b/crates/portfield-host/src/cold_start.rs
@@ -1,4 +1,4 @@
-//! Which upstreams this host takes for cold, and how much it may send them.
+//! Detection of upstreams that are cold after a start, and limits on what this host sends to them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,67 +10,74 @@
 
 use crate::state::{Host, hash_name};
 
-/// Time from its start for which a host that could not read the table of hosts leaves cold upstreams alone: by then it
-/// has heard of the others, else it would send as if it were alone.
-const STARTING: Duration = Duration::from_secs(3);
-/// Upstreams that become cold together up to which each has a log line: a data centre may come back at once.
-const MAX_LINES: usize = 16;
+/// Time after start during which a host that could not read the table of hosts sends nothing to
+/// cold upstreams. Until it has heard of the other hosts, its limit would be that of a host alone.
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
+/// Number of upstreams turning cold together up to which each gets its own log line: a whole data
+/// centre may return at once.
+const MAX_LOG_LINES: usize = 16;
 
-/// Whether the upstreams of a service are cold after their start.
+/// Whether upstreams of a service need to warm up after a start.
 enum WarmupPolicy {
     Cold(ColdStart),
-    /// They may take all that they have slots for.
+    /// They take as many requests as they have slots from the start.
     Warm,
-    /// No configuration is known that says so.
+    /// No configuration is known yet.
     Unknown,
 }
 
 impl Host {
-    /// Takes what upstreams say of themselves.
-    pub(crate) fn update_cold(&self, told: &[Arc<Upstream>]) {
+    /// Applies the cold times that upstreams report in their entries.
+    pub(crate) fn update_cold(&self, reported: &[Arc<Upstream>]) {
         let (warm, cold): (Vec<_>, Vec<_>) =
-            told.iter().partition(|it| it.entry.cold_remaining.is_zero());
+            reported.iter().partition(|it| it.entry.cold_remaining.is_zero());
         warm.iter().for_each(|it| self.balancer().mark_warm(it.wire_id()));
         let n_cold = cold
             .iter()
             .filter(|it| self.mark_cold(it, Some(it.entry.cold_remaining), cold.len()))
             .count();
-        if MAX_LINES < n_cold {
+        if MAX_LOG_LINES < n_cold {
             log::info!(n = n_cold; "upstreams cold");
         }
     }
 
-    /// Takes an upstream that may have started anew for cold, until it is known not to be.
+    /// Treats an upstream that may have restarted as cold until its entry says otherwise.
     pub(crate) fn presume_cold(&self, upstream: &Upstream) {
         self.mark_cold(upstream, None, 1);
     }
 
-    /// Takes the upstreams of a data centre for cold that was to get nothing.
+    /// Treats the upstreams of a formerly evacuated data centre as cold.
     pub(crate) fn presume_cold_in(&self, data_centre: &str) {
         let is_there = |it: &&Arc<Upstream>| it.entry.data_centre == data_centre;
         let all: Vec<_> =
             self.with_list(|it| it.directory.ready().filter(is_there).cloned().collect());
         let n_cold = all.iter().filter(|it| self.mark_cold(it, None, all.len())).count();
-        if MAX_LINES < n_cold {
+        if MAX_LOG_LINES < n_cold {
             log::info!(n = n_cold, data_centre; "upstreams cold");
         }
     }
 
-    /// Takes an upstream for cold, for as long as it says or its service names, if its service knows of that; returns
-    /// whether it does. `n_together` are taken for cold at this moment.
-    fn mark_cold(&self, upstream: &Upstream, told: Option<Duration>, n_together: usize) -> bool {
-        let (time, quota) = match (self.warmup_policy(&upstream.entry.service), told) {
-            (WarmupPolicy::Cold(it), told) => {
-                (told.unwrap_or(it.duration), self.cold_quota_for(upstream, it))
+    /// Marks an upstream as cold for the reported time, or else for that of its service; returns
+    /// `false` if its service needs no warm-up or is unknown. `n_together` upstreams turn cold at
+    /// once.
+    fn mark_cold(
+        &self,
+        upstream: &Upstream,
+        reported: Option<Duration>,
+        n_together: usize,
+    ) -> bool {
+        let (time, quota) = match (self.warmup_policy(&upstream.entry.service), reported) {
+            (WarmupPolicy::Cold(it), reported) => {
+                (reported.unwrap_or(it.duration), self.cold_quota_for(upstream, it))
             }
-            (WarmupPolicy::Unknown, Some(told)) => (told, 0),
+            (WarmupPolicy::Unknown, Some(reported)) => (reported, 0),
             (WarmupPolicy::Unknown, None) => return false,
             (WarmupPolicy::Warm, _) => {
                 self.balancer().mark_warm(upstream.wire_id());
                 return false;
             }
         };
-        if n_together <= MAX_LINES {
+        if n_together <= MAX_LOG_LINES {
             let id = &upstream.entry.id;
             log::info!(upstream = id, cold_ms = time.as_millis() as u64, quota; "upstream cold");
         }
@@ -80,18 +87,18 @@
 
     fn warmup_policy(&self, service: &str) -> WarmupPolicy {
         let Some(active_config) = self.active_config() else { return WarmupPolicy::Unknown };
-        let warming = active_config.catalog.service(service).and_then(|it| it.cold_start);
-        warming.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
+        let cold_start = active_config.catalog.service(service).and_then(|it| it.cold_start);
+        cold_start.map_or(WarmupPolicy::Warm, WarmupPolicy::Cold)
     }
 
-    /// Returns how many requests a second this host may send to a cold upstream.
-    fn cold_quota_for(&self, upstream: &Upstream, warming: ColdStart) -> u32 {
-        if !self.has_loaded_hosts() && clock::now() < STARTING {
+    /// Returns how many requests per second this host may send to a cold upstream.
+    fn cold_quota_for(&self, upstream: &Upstream, cold_start: ColdStart) -> u32 {
+        if !self.has_loaded_hosts() && clock::now() < DISCOVERY_TIME {
             return 0;
         }
         let settings = self.settings();
-        let most = warming.max_rate * settings.cold_overrun + settings.cold_slack;
+        let rate_limit = cold_start.max_rate * settings.cold_overrun + settings.cold_slack;
         let hosts = self.peers().hosts_in(hash_name(&upstream.entry.data_centre));
-        cold_quota(most, &hosts, self.own_hash(), upstream.wire_id())
+        cold_quota(rate_limit, &hosts, self.own_hash(), upstream.wire_id())
     }
 }
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The state of one request: where it was sent, what may still be done with it, and its final answer.
+//! State of one request: which upstreams were tried, whether it may be retried, and the final
+//! response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,31 +20,31 @@
     state::Host,
 };
 
-/// Upstreams that may turn a request away beyond the attempts that its route allows.
-const MAX_TURNED_AWAY: u32 = 2;
-/// When a caller is told to come back after upstreams could not be reached or were full.
+/// Attempts that certainly did not run, allowed in addition to the attempts of the route.
+const MAX_NOT_RUN: u32 = 2;
+/// Retry delay given to a caller after upstreams were unreachable or full.
 const RETRY: Duration = Duration::from_millis(300);
-/// Part of the time left that a safe request waits for its first upstream, where a second may
-/// be asked.
-const FIRST_PATIENCE: f64 = 0.4;
+/// Part of the remaining time that a safe request waits for an upstream while it may still be
+/// retried at another one.
+const FIRST_TIMEOUT_PART: f64 = 0.4;
 
-/// Time between two looks whether what this host knows may be used again.
-const AWAKE_PERIOD: Duration = Duration::from_millis(25);
+/// Interval for checking whether this host's state is fresh again.
+const FRESH_STATE_POLL: Duration = Duration::from_millis(25);
 
-/// A request on its way.
+/// A request that is being served.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub host: Arc<Host>,
     pub call: Call,
     tried: Vec<u32>,
     n_run: u32,
-    n_turned: u32,
-    /// An upstream may have run it.
+    n_not_run: u32,
+    /// Whether an upstream may have run the request.
     may_have_run: bool,
-    /// An error that an upstream gave, if no other answer comes.
+    /// Error response of an upstream, returned if no later attempt succeeds.
     error: Option<Response<Body>>,
-    /// The caller has, or is about to get, the end of the answer.
-    is_over: bool,
+    /// Whether the end of the response was passed to the caller, or is about to be.
+    is_finished: bool,
 }
 
 impl Exchange {
@@ -54,152 +55,153 @@
             call,
             tried: Vec::new(),
             n_run: 0,
-            n_turned: 0,
+            n_not_run: 0,
             may_have_run: false,
             error: None,
-            is_over: false,
+            is_finished: false,
         }
     }
 
-    /// Sends the request until an upstream answers it.
+    /// Sends the request to one upstream after another until one responds.
     ///
     /// # Errors
     ///
-    /// The answer to give where no upstream will.
-    pub(crate) async fn next_answer(
+    /// The response to give if none does.
+    pub(crate) async fn next_response(
         &mut self,
         last_event: Option<&str>,
     ) -> Result<Box<UpstreamResponse>, Failure> {
         loop {
-            self.check_allowed()?;
-            self.check_awake().await?;
+            self.check_limits()?;
+            self.wait_for_fresh_state().await?;
             self.check_quarantine()?;
-            let (placed, upstream) = self.place()?;
-            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.job.service) {
+            let (assignment, upstream) = self.place()?;
+            if !self.tried.is_empty() && !self.host.withdraw_retry(self.call.placement.service) {
                 self.host.metrics.count("retry_budget_spent");
                 return Err(self.failure("the retry budget is spent".to_owned(), RETRY));
             }
-            self.log_placed(&placed, &upstream);
-            self.tried.push(placed.upstream);
-            let patience = self.patience(placed.estimate);
+            self.log_placed(&assignment, &upstream);
+            self.tried.push(assignment.upstream);
+            let timeout = self.attempt_timeout(assignment.estimate);
             let (host, call) = (&self.host, &self.call);
-            match attempt::send(host, call, &upstream, &placed, last_event, patience).await {
-                AttemptResult::Response(live) => {
-                    self.note_run();
-                    return Ok(live);
+            match attempt::send(host, call, &upstream, &assignment, last_event, timeout).await {
+                AttemptResult::Response(response) => {
+                    self.record_run();
+                    return Ok(response);
                 }
                 AttemptResult::Failed(outcome, cause) => {
-                    self.note_failed(&upstream, outcome, cause)?;
+                    self.record_failure(&upstream, outcome, cause)?;
                 }
             }
         }
     }
 
-    /// Picks an upstream, or the refusal to give.
+    /// Picks an upstream; otherwise logs the refusal and returns it as the response.
     fn place(&mut self) -> Result<(Assignment, Arc<Upstream>), Failure> {
-        self.call.job.waited = clock::now().saturating_sub(self.call.arrived);
-        let is_last_try =
-            self.host.quarantine().is_one_crash_away(clock::now(), self.call.request());
-        let mode = if is_last_try { PlacementMode::Isolated } else { PlacementMode::Any };
-        let PlacementRefusal { reason, retry, estimate, share } =
+        self.call.placement.waited = clock::now().saturating_sub(self.call.arrived);
+        let is_one_crash_away =
+            self.host.quarantine().is_one_crash_away(clock::now(), self.call.quarantine_key());
+        let mode = if is_one_crash_away { PlacementMode::Isolated } else { PlacementMode::Any };
+        let PlacementRefusal { reason, retry_after, estimate, share_ratio } =
             match self.host.place(&self.call, &self.tried, mode) {
                 Ok(it) => return Ok(it),
                 Err(it) => it,
             };
-        let retry = retry.min(self.call.left());
-        let account = self.account();
+        let retry_after = retry_after.min(self.call.remaining());
+        let shares = self.share_snapshot();
         log::info!(
-            request = self.call.id, route = self.call.route.name, reason:?, share,
+            request = self.call.id, route = self.call.route.name, reason:?, share = share_ratio,
             workspace = self.call.workspace_name(), tokens = self.call.tokens(),
-            asked = account.asked, taken = account.taken, level = account.fair_share,
-            best = account.largest_usage, level_age_ms = account.age.as_millis() as u64,
-            estimate_ms = estimate.as_millis() as u64, retry_ms = retry.as_millis() as u64,
+            asked = shares.asked, taken = shares.taken, level = shares.fair_share,
+            best = shares.largest_usage, level_age_ms = shares.age.as_millis() as u64,
+            estimate_ms = estimate.as_millis() as u64, retry_ms = retry_after.as_millis() as u64,
             objective_ms = self.call.route.latency_target.as_millis() as u64,
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             hosts = self.host.balancer().n_hosts(clock::now()); "not placed"
         );
         self.host.metrics.count(&format!("refused{{reason=\"{reason:?}\"}}"));
-        Err(self.failure(format!("refused: {reason:?}"), retry))
+        Err(self.failure(format!("refused: {reason:?}"), retry_after))
     }
 
-    fn account(&self) -> ShareSnapshot {
-        self.host.balancer().share_snapshot(clock::now(), self.call.job.workspace)
+    fn share_snapshot(&self) -> ShareSnapshot {
+        self.host.balancer().share_snapshot(clock::now(), self.call.placement.workspace)
     }
 
-    fn log_placed(&self, placed: &Assignment, upstream: &Upstream) {
+    fn log_placed(&self, assignment: &Assignment, upstream: &Upstream) {
         log::info!(
             request = self.call.id, route = self.call.route.name, upstream = upstream.entry.id,
             workspace = self.call.workspace_name(),
-            estimate_ms = placed.estimate.as_millis() as u64,
-            bias_ms = placed.bias.as_millis() as u64, unread = placed.uncached_tokens,
-            ahead = placed.queued_tokens, share = placed.share_ratio, attempt = self.tried.len() + 1,
-            tokens = self.call.tokens(), fingerprint = self.call.request().fingerprint_hex(),
+            estimate_ms = assignment.estimate.as_millis() as u64,
+            bias_ms = assignment.bias.as_millis() as u64, unread = assignment.uncached_tokens,
+            ahead = assignment.queued_tokens, share = assignment.share_ratio, attempt = self.tried.len() + 1,
+            tokens = self.call.tokens(), fingerprint = self.call.quarantine_key().fingerprint_hex(),
             config = self.call.config_version,
             list:% = self.host.with_list(|it| it.directory.version()),
             store_age_ms = self.host.store_age().as_millis() as u64; "placed"
         );
     }
 
-    fn note_run(&mut self) {
+    fn record_run(&mut self) {
         self.n_run += 1;
         self.may_have_run = true;
     }
 
-    /// Notes what became of a try without an answer.
+    /// Records an attempt that brought no response.
     ///
     /// # Errors
     ///
-    /// The final answer, where the caller has left, or the time went by and the request may not run twice.
-    fn note_failed(
+    /// The final response, if the caller disconnected, or the attempt timed out and the request is
+    /// not repeatable.
+    fn record_failure(
         &mut self,
         upstream: &Arc<Upstream>,
         outcome: Outcome,
         cause: String,
     ) -> Result<(), Failure> {
         if outcome.may_have_run() {
-            self.note_run();
-            self.note_break(upstream);
+            self.record_run();
+            self.record_break(upstream);
         } else {
-            self.n_turned += 1;
+            self.n_not_run += 1;
         }
-        let word = outcome.as_str();
+        let label = outcome.as_str();
         log::warn!(
-            request = self.call.id, upstream = upstream.entry.id, outcome = word, cause,
-            fingerprint = self.call.request().fingerprint_hex(),
-            left_ms = self.call.left().as_millis() as u64; "attempt failed"
+            request = self.call.id, upstream = upstream.entry.id, outcome = label, cause,
+            fingerprint = self.call.quarantine_key().fingerprint_hex(),
+            left_ms = self.call.remaining().as_millis() as u64; "attempt failed"
         );
-        self.host.metrics.count(&format!("attempts_failed{{outcome=\"{word}\"}}"));
+        self.host.metrics.count(&format!("attempts_failed{{outcome=\"{label}\"}}"));
         if outcome == Outcome::Abandoned {
             return Err(self.failure(CALLER_LEFT.to_owned(), CALLER_LEFT_RETRY));
         }
-        if outcome == Outcome::Late && !self.call.kind().is_retryable() {
+        if outcome == Outcome::TimedOut && !self.call.kind().is_retryable() {
             return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, cause));
         }
         Ok(())
     }
 
-    /// Notes that a run broke, and looks whether its upstream ended with it.
-    fn note_break(&self, upstream: &Arc<Upstream>) {
-        if quarantine::record_broken_run(&self.host, &self.call, upstream) {
+    /// Records that an attempt broke, and checks whether its upstream is still alive.
+    fn record_break(&self, upstream: &Arc<Upstream>) {
+        if quarantine::record_broken_attempt(&self.host, &self.call, upstream) {
             probe::verify_alive(&self.host, upstream);
         }
     }
 
-    /// Notes that the answer of the upstream asked last broke.
-    pub(crate) fn broke(&self, upstream: &Arc<Upstream>, cause: &str) {
-        self.note_break(upstream);
+    /// Records that a response broke before its end.
+    pub(crate) fn record_broken_response(&self, upstream: &Arc<Upstream>, cause: &str) {
+        self.record_break(upstream);
         log::warn!(
             request = self.call.id, upstream = upstream.entry.id, outcome = "unknown", cause,
-            fingerprint = self.call.request().fingerprint_hex(),
-            left_ms = self.call.left().as_millis() as u64; "answer broke"
+            fingerprint = self.call.quarantine_key().fingerprint_hex(),
+            left_ms = self.call.remaining().as_millis() as u64; "answer broke"
         );
         self.host.metrics.count("answers_broken");
     }
 
-    /// Logs the end of an answered request.
-    pub(crate) fn answered(&mut self, status: StatusCode, first: Duration, n_events: u64) {
-        self.is_over = true;
+    /// Logs a complete response.
+    pub(crate) fn record_answered(&mut self, status: StatusCode, first: Duration, n_events: u64) {
+        self.is_finished = true;
         let now = clock::now();
         let total = now.saturating_sub(self.call.arrived);
         log::info!(
@@ -208,85 +210,86 @@
             total_ms = total.as_millis() as u64, events = n_events; "answered"
         );
         self.host.metrics.count(&format!("answered{{status=\"{}\"}}", status.as_u16()));
-        self.host.metrics.time("first", first.saturating_sub(self.call.arrived));
-        self.host.metrics.time("total", total);
+        self.host.metrics.record_time("first", first.saturating_sub(self.call.arrived));
+        self.host.metrics.record_time("total", total);
     }
 
-    /// Notes that the caller has the beginning of the answer.
-    pub(crate) fn begin(&mut self) {
-        self.call.job.stage = Stage::Streaming;
+    /// Records that the caller received the beginning of the stream.
+    pub(crate) fn mark_begun(&mut self) {
+        self.call.placement.stage = Stage::Streaming;
     }
 
-    /// Returns whether another upstream would go on with the request now.
-    pub(crate) fn has_other(&self) -> bool {
-        if !self.may_repeat() {
+    /// Returns whether another upstream would accept the request now.
+    pub(crate) fn has_alternative(&self) -> bool {
+        if !self.may_retry() {
             return false;
         }
-        let placed = self.host.place(&self.call, &self.tried, PlacementMode::Any);
-        placed.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
+        let assignment = self.host.place(&self.call, &self.tried, PlacementMode::Any);
+        assignment.is_ok_and(|(it, _)| !self.tried.contains(&it.upstream))
     }
 
-    /// Returns whether another upstream may be asked to repeat or go on with the request.
-    pub(crate) fn may_repeat(&self) -> bool {
+    /// Returns whether another upstream may be asked to repeat or resume the request.
+    pub(crate) fn may_retry(&self) -> bool {
         self.call.kind().is_retryable()
             && self.n_run < self.call.route.max_attempts
-            && !self.call.left().is_zero()
+            && !self.call.remaining().is_zero()
     }
 
-    /// Keeps an error that an upstream gave: it is the answer if no other comes.
-    pub(crate) fn keep_error(&mut self, error: Response<Body>) {
+    /// Stores an upstream's error response, which is returned if no later attempt succeeds.
+    pub(crate) fn store_error(&mut self, error: Response<Body>) {
         self.error = Some(error);
     }
 
-    fn check_allowed(&mut self) -> Result<(), Failure> {
-        if self.call.left().is_zero() {
-            let text = "the time of the request is up";
+    fn check_limits(&mut self) -> Result<(), Failure> {
+        if self.call.remaining().is_zero() {
+            let text = "the deadline of the request has passed";
             if self.may_have_run {
                 return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, text));
             }
             return Err(Failure::unavailable(text, RETRY));
         }
         if self.may_have_run && !self.call.kind().is_retryable() {
-            let text = "the answer broke, and the request may not run twice";
+            let text = "the response broke off, and the request is not repeatable";
             return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
         let max = self.call.route.max_attempts;
-        if max <= self.n_run || max + MAX_TURNED_AWAY <= self.n_run + self.n_turned {
-            return Err(self.failure("no attempt is left".to_owned(), RETRY));
+        if max <= self.n_run || max + MAX_NOT_RUN <= self.n_run + self.n_not_run {
+            return Err(self.failure("no attempts are left".to_owned(), RETRY));
         }
         Ok(())
     }
 
-    /// Checks that what this host knows may be used; a stream that has begun waits for it, since its caller has part
-    /// of the answer.
-    async fn check_awake(&mut self) -> Result<(), Failure> {
+    /// Checks that this host's state is fresh; a stream that has begun waits for it, since its
+    /// caller already has a part of the response.
+    async fn wait_for_fresh_state(&mut self) -> Result<(), Failure> {
         while !self.host.has_fresh_state() {
-            if self.call.job.stage == Stage::New {
+            if self.call.placement.stage == Stage::New {
                 return Err(self.failure(SUSPENDED_TEXT.to_owned(), SUSPENDED_RETRY));
             }
-            clock::sleep(AWAKE_PERIOD).await;
+            clock::sleep(FRESH_STATE_POLL).await;
         }
         Ok(())
     }
 
-    /// Checks that no upstreams ended under the request, at every send: the first, a repeat, a stream that goes on.
+    /// Checks that the request is not in quarantine; called before every attempt, also before a
+    /// retry and before a stream is resumed.
     fn check_quarantine(&self) -> Result<(), Failure> {
-        let verdict = self.host.quarantine().entry(clock::now(), self.call.request());
-        let Some(QuarantineEntry { n_crashes: n_ends, remaining: left, .. }) = verdict else {
+        let entry = self.host.quarantine().entry(clock::now(), self.call.quarantine_key());
+        let Some(QuarantineEntry { n_crashes, remaining, .. }) = entry else {
             return Ok(());
         };
-        let fingerprint = self.call.request().fingerprint_hex();
+        let fingerprint = self.call.quarantine_key().fingerprint_hex();
         log::info!(
-            request = self.call.id, route = self.call.route.name, fingerprint, n_ends,
-            workspace = self.call.workspace_name(), left_s = left.as_secs(); "in quarantine"
+            request = self.call.id, route = self.call.route.name, fingerprint, n_ends = n_crashes,
+            workspace = self.call.workspace_name(), left_s = remaining.as_secs(); "in quarantine"
         );
         self.host.metrics.count("refused{reason=\"Quarantine\"}");
         let reason = format!(
-            "{n_ends} upstreams ended while they ran this request ({fingerprint}): it is not sent to \
-             another one for {} s",
-            left.as_secs()
+            "{n_crashes} upstreams ended while running this request ({fingerprint}): it is in quarantine \
+             for another {} s",
+            remaining.as_secs()
         );
-        Err(self.failure(reason, quarantine::whole_seconds(left)))
+        Err(self.failure(reason, quarantine::whole_seconds(remaining)))
     }
 
     fn failure(&self, reason: String, retry: Duration) -> Failure {
@@ -296,26 +299,26 @@
         Failure::unavailable(reason, retry)
     }
 
-    /// Returns how long the next upstream is waited for.
-    fn patience(&self, estimate: Duration) -> Duration {
-        let left = self.call.left();
+    /// Returns how long to wait for the next upstream's response.
+    fn attempt_timeout(&self, estimate: Duration) -> Duration {
+        let left = self.call.remaining();
         if self.call.route.max_attempts <= self.n_run + 1 {
             return left;
         }
         match self.call.kind() {
-            RouteKind::Safe => left.mul_f64(FIRST_PATIENCE),
+            RouteKind::Safe => left.mul_f64(FIRST_TIMEOUT_PART),
             RouteKind::ResumableStream => left.min(estimate * 2 + self.call.route.latency_target),
             RouteKind::Unsafe | RouteKind::Stream => left,
         }
     }
 
-    /// Returns the final answer where no upstream gave one that counts.
-    pub(crate) fn give_up(mut self, failure: Failure) -> Response<Body> {
-        self.is_over = true;
+    /// Returns the final response after no upstream gave a usable one.
+    pub(crate) fn into_failure_response(mut self, failure: Failure) -> Response<Body> {
+        self.is_finished = true;
         if let Some(res) = self.error.take() {
             log::info!(
                 request = self.call.id, status = res.status().as_u16(), reason = failure.reason;
-                "error passed on"
+                "upstream error returned"
             );
             self.host.metrics.count("errors_passed_on");
             return res;
@@ -332,13 +335,13 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         log::info!(
             request = self.call.id, may_have_run = self.may_have_run,
             waited_ms = clock::now().saturating_sub(self.call.arrived).as_millis() as u64,
-            left_ms = self.call.left().as_millis() as u64; "not finished"
+            left_ms = self.call.remaining().as_millis() as u64; "not finished"
         );
         self.host.metrics.count("not_finished");
     }
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload and stop of the process.
+//! Start, reload and shutdown of the process.
 
 use std::{
     path::PathBuf,
@@ -20,12 +20,12 @@
     store_watch,
 };
 
-/// Time between two looks whether all requests are answered.
+/// Interval for checking whether all requests are finished during shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Time in which idle connections are closed at the end.
-const CLOSE_TIME: Duration = Duration::from_millis(300);
-/// Time before the end of the grace period at which the process ends whatever still runs.
-const END_MARGIN: Duration = Duration::from_millis(700);
+/// Time-out for closing idle connections at the end of shutdown.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Margin before the end of the grace period at which requests still running are cut off.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 /// Runs the process until it is told to stop.
 pub(crate) async fn run(rt: Runtime, settings: Settings, path: PathBuf) -> eyre::Result<()> {
@@ -34,85 +34,90 @@
     let (listener, listen) = http1::bind(settings.listen).await.wrap_err("listen")?;
     let (ready, ready_address) = http1::bind(settings.ready).await.wrap_err("ready")?;
     let (metrics, metrics_address) = http1::bind(settings.metrics).await.wrap_err("metrics")?;
-    let (control, peers_address) = http1::bind(settings.peers).await.wrap_err("peers")?;
+    let (peers_listener, peers_address) = http1::bind(settings.peers).await.wrap_err("peers")?;
     settings.peers = peers_address;
     let datagrams = Async::<std::net::UdpSocket>::bind(settings.peers).wrap_err("peers")?;
-    let (host, verdicts) = Host::new(rt.clone(), settings);
+    let (host, pending_writes) = Host::new(rt.clone(), settings);
     log::info!(
         name = host.settings().name, incarnation = host.incarnation, listen:% = listen,
         ready:% = ready_address, metrics:% = metrics_address, peers:% = peers_address,
         version = env!("CARGO_PKG_VERSION"); "started"
     );
     if !clock::counts_sleep() {
-        log::warn!(name = host.settings().name; "no clock counts the time asleep");
+        log::warn!(name = host.settings().name; "no clock counts time in system sleep");
     }
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::readiness(&state, it));
-    rt.spawn(http1::serve(rt.clone(), ready, answer));
+    let handler = http1::at_once(move |it| admin::readiness(&state, it));
+    rt.spawn(http1::serve(rt.clone(), ready, handler));
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::handle_operator(&state, it));
-    rt.spawn(http1::serve(rt.clone(), metrics, answer));
-    rt.spawn(rpc::serve(rt.clone(), control, PeersServer::new(peers::Server::new(host.clone()))));
+    let handler = http1::at_once(move |it| admin::handle_operator(&state, it));
+    rt.spawn(http1::serve(rt.clone(), metrics, handler));
+    rt.spawn(rpc::serve(
+        rt.clone(),
+        peers_listener,
+        PeersServer::new(peers::PeersService::new(host.clone())),
+    ));
     peers::start(&host, datagrams);
     rt.spawn(monitor_load(host.clone()));
-    store_watch::start(&host, verdicts);
+    store_watch::start(&host, pending_writes);
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.task(server::serve(host.clone(), listener, stopped));
+    let serving = rt.task(server::serve(host.clone(), listener, stopped));
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload(&host, &path);
     }
     let grace = host.settings().grace;
     log::info!(grace_ms = grace.as_millis() as u64; "stopping");
-    let told = clock::now();
+    let stop_time = clock::now();
     host.begin_shutdown();
-    let last = told + grace - END_MARGIN.min(grace);
+    let deadline = stop_time + grace - SHUTDOWN_MARGIN.min(grace);
     clock::sleep(STREAM_ACCEPT_TIME.min(grace / 3)).await;
-    while 0 < host.n_active() && clock::now() < last {
+    while 0 < host.n_active() && clock::now() < deadline {
         clock::sleep(DRAIN_POLL).await;
     }
     let cut = host.n_active();
     drop(stop);
-    let ended = clock::timeout(CLOSE_TIME, front).await.is_some();
+    let ended = clock::timeout(CLOSE_TIMEOUT, serving).await.is_some();
     log::info!(ended, cut; "stopped");
     clock::sleep(LOG_FLUSH_TIME).await;
     Ok(())
 }
 
-/// Time between two looks at how late timers fire.
+/// Interval for measuring how late timers fire.
 const LOAD_PERIOD: Duration = Duration::from_millis(25);
 
-/// Tells the governor how late timers fire, and logs where callers are sent elsewhere.
+/// Feeds timer delays to the load shedder, and logs when the host becomes busy or idle again.
 async fn monitor_load(host: Arc<Host>) {
     let mut was_busy = false;
-    let mut counted = clock::now();
+    let mut last_logged = clock::now();
     loop {
         let due = clock::now() + LOAD_PERIOD;
         clock::sleep(LOAD_PERIOD).await;
-        // Time that the host stood still is no load.
-        let stood_still = host.check_suspension().is_some();
+        // A suspension delays timers too, but is no load.
+        let was_suspended = host.check_suspension().is_some();
         let now = clock::now();
         let (is_busy, late) = {
-            let mut governor = host.governor();
-            if !stood_still {
-                governor.observe(now, now.saturating_sub(due));
+            let mut shedder = host.load_shedder();
+            if !was_suspended {
+                shedder.observe(now, now.saturating_sub(due));
             }
-            (governor.is_overloaded(), governor.lateness())
+            (shedder.is_overloaded(), shedder.lateness())
         };
         if is_busy != was_busy {
             was_busy = is_busy;
-            log::warn!(is_busy, late_ms = late, active = host.n_active(); "own load");
+            log::warn!(is_busy, late_ms = late, active = host.n_active(); "load state changed");
         }
-        if counted + INGRESS_PERIOD <= now {
-            counted = now;
+        if last_logged + INGRESS_PERIOD <= now {
+            last_logged = now;
             log_ingress(&host, late, is_busy);
         }
     }
 }
 
-/// Time between two log lines that count what callers send to a host which refuses some of it.
+/// Interval of the log line with the counts of callers' connections and requests.
 const INGRESS_PERIOD: Duration = Duration::from_secs(1);
 
-/// Logs what callers sent of late, where some of it was refused for want of processor time, or callers are sent elsewhere.
+/// Logs the counts of the last interval if requests were refused for lack of processor time or the
+/// host is busy.
 fn log_ingress(host: &Host, late: f64, is_busy: bool) {
     let counts = host.ingress.take();
     let n_refused = counts.n_refused();
@@ -128,10 +133,10 @@
     );
 }
 
-/// Time that the last log lines get to be written.
+/// Time for the last log lines to be written.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
 
-/// Reads the settings again; those that cannot change while the process runs stay.
+/// Reloads the settings; those that need a restart keep their value.
 fn reload(host: &Arc<Host>, path: &std::path::Path) {
     match Settings::open(path) {
         Ok(new) => {
--- a/crates/portfield/tests/fleet_sim/mod.rs
+++ b/crates/portfield/tests/fleet_sim/mod.rs
@@ -169,7 +169,7 @@
         host.balancer.fill_digest(host_now, &mut digest);
         digest.suspects = host.quarantine.suspects_for_digest(host_now, &topology, host.sequence);
         digest.draining =
-            host.drain_marks.take_for_digest(topology.detail(host.sequence), |_| true);
+            host.drain_marks.take_for_digest(topology.digest_scope(host.sequence), |_| true);
         let mut out = Vec::new();
         if topology.is_leader() {
             let mut summary = Digest {
