--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -273,8 +273,8 @@
         for id in self.queues.cancel_host(host) {
             self.update_waiting(id);
         }
-        let gone: Vec<_> = self.running.keys().filter(|it| it.0 == host).copied().collect();
-        for key in gone {
+        let keys: Vec<_> = self.running.keys().filter(|it| it.0 == host).copied().collect();
+        for key in keys {
             let Some(request) = self.running.remove(&key) else { continue };
             self.counters.release(request.workspace, request.reserved);
             match request.slot {
--- a/crates/portfield/src/schedule/queue.rs
+++ b/crates/portfield/src/schedule/queue.rs
@@ -99,8 +99,9 @@
 
     /// Removes all tickets of a router; returns their workspaces.
     pub fn cancel_host(&mut self, host: HostId) -> Vec<WorkspaceId> {
-        let gone: Vec<_> = self.waiting.keys().filter(|it| it.0 == host).map(|it| it.1).collect();
-        let mut res: Vec<_> = gone.into_iter().filter_map(|id| self.cancel(host, id)).collect();
+        let tickets: Vec<_> =
+            self.waiting.keys().filter(|it| it.0 == host).map(|it| it.1).collect();
+        let mut res: Vec<_> = tickets.into_iter().filter_map(|id| self.cancel(host, id)).collect();
         res.sort_unstable();
         res.dedup();
         res
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -98,7 +98,7 @@
     /// Versions of membership and configuration for which ownership was last computed.
     assigned_version: (u64, Revision),
     /// Largest incarnation assigned to an owner so far.
-    next_incarnation: Incarnation,
+    last_incarnation: Incarnation,
     decisions: DecisionLog,
     /// Time until which a host that knows no other host owns no shards; `None` once it has joined.
     join_deadline: Option<Duration>,
@@ -119,7 +119,7 @@
             sent_members: BTreeMap::new(),
             sent_revision: 0,
             assigned_version: (0, 0),
-            next_incarnation: config.incarnation,
+            last_incarnation: config.incarnation,
             decisions: DecisionLog::default(),
             join_deadline: Some(JOIN_TIMEOUT),
             actions: Vec::new(),
@@ -406,9 +406,9 @@
         earlier: Option<Incarnation>,
     ) -> Incarnation {
         let from_clock = self.config.incarnation + now.as_millis() as u64;
-        let earlier = earlier.unwrap_or(0).max(self.next_incarnation);
-        self.next_incarnation = from_clock.max(earlier + 1);
-        self.next_incarnation
+        let earlier = earlier.unwrap_or(0).max(self.last_incarnation);
+        self.last_incarnation = from_clock.max(earlier + 1);
+        self.last_incarnation
     }
 
     /// Ends the ownership of a shard: sends its counters to the next owner, and tells its routers to
--- a/crates/portfield/tests/gossip_leaders.rs
+++ b/crates/portfield/tests/gossip_leaders.rs
@@ -1,11 +1,11 @@
 //! Gossip of a large fleet in virtual time: every host soon hears of every other one, despite
 //! starts, deaths, partitions and lost datagrams, and the traffic per host does not grow.
 
-mod fleet_sim;
+mod gossip_simulation;
 
 use std::time::Duration;
 
-use fleet_sim::{FleetSim, Host};
+use gossip_simulation::{GossipSimulation, Host};
 use portfield::{balance::host_hash, quarantine::RequestKey};
 
 /// Allowed age of a host's last digest: two periods of 118 ms at 59 hosts, and a lost one.
@@ -16,7 +16,7 @@
 #[test]
 fn every_host_hears_all_others_with_few_datagrams() {
     for n_each in [20, 59] {
-        let mut world = FleetSim::new(5, n_each, None);
+        let mut world = GossipSimulation::new(5, n_each, None);
         world.run_for(Duration::from_secs(5));
         world.check_all_known(AGE);
         let before: Vec<u64> = world.hosts.iter().map(|it| it.n_sent + it.n_received).collect();
@@ -37,14 +37,14 @@
 
 #[test]
 fn hosts_with_three_seeds_discover_all_others() {
-    let mut world = FleetSim::new(3, 20, Some(3));
+    let mut world = GossipSimulation::new(3, 20, Some(3));
     world.run_for(Duration::from_secs(8));
     world.check_all_known(AGE);
 }
 
 #[test]
 fn the_standby_replaces_a_dead_leader() {
-    let mut world = FleetSim::new(3, 25, None);
+    let mut world = GossipSimulation::new(3, 25, None);
     world.run_for(Duration::from_secs(5));
     let first = world.leaders(1)[0];
     world.hosts[first].is_alive = false;
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_data_centre_recovers_from_the_death_of_leader_and_standby() {
-    let mut world = FleetSim::new(3, 25, None);
+    let mut world = GossipSimulation::new(3, 25, None);
     world.run_for(Duration::from_secs(5));
     for _ in 0..2 {
         let mut by_hash: Vec<usize> = (0..world.hosts.len())
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_returning_leader_is_heard_soon() {
-    let mut world = FleetSim::new(3, 25, None);
+    let mut world = GossipSimulation::new(3, 25, None);
     world.run_for(Duration::from_secs(5));
     let first = world.leaders(2)[0];
     world.hosts[first].is_alive = false;
@@ -87,7 +87,7 @@
 
 #[test]
 fn every_host_hears_all_others_with_ten_percent_loss() {
-    let mut world = FleetSim::new(5, 40, None);
+    let mut world = GossipSimulation::new(5, 40, None);
     world.loss_percent = 10;
     world.run_for(Duration::from_secs(6));
     world.check_all_known(AGE * 2);
@@ -95,7 +95,7 @@
 
 #[test]
 fn hosts_started_at_once_discover_each_other() {
-    let mut world = FleetSim::new(5, 59, None);
+    let mut world = GossipSimulation::new(5, 59, None);
     world.run_for(Duration::from_secs(3));
     world.check_all_known(AGE);
 }
@@ -104,7 +104,7 @@
 /// summaries and stayed in that state: 14 hosts, one of them restarted.
 #[test]
 fn hosts_at_the_mesh_limit_recover_from_restarts() {
-    let mut world = FleetSim::new(2, 7, None);
+    let mut world = GossipSimulation::new(2, 7, None);
     world.run_for(Duration::from_secs(5));
     world.check_all_known(AGE);
     for i in [3, 8] {
@@ -117,8 +117,8 @@
 }
 
 /// A request that crashed an upstream at each of three hosts, in three data centres.
-fn with_suspect(n_each: u32, loss: u32) -> (FleetSim, RequestKey) {
-    let mut world = FleetSim::new(5, n_each, None);
+fn with_suspect(n_each: u32, loss: u32) -> (GossipSimulation, RequestKey) {
+    let mut world = GossipSimulation::new(5, n_each, None);
     world.loss_percent = loss;
     world.run_for(Duration::from_secs(5));
     let request = RequestKey { workspace: 7, fingerprint: 0xfeed };
@@ -130,7 +130,7 @@
     (world, request)
 }
 
-impl FleetSim {
+impl GossipSimulation {
     /// Returns the number of hosts that would send a request.
     fn n_sending(&self, request: RequestKey) -> usize {
         let sends = |it: &&Host| {
@@ -174,7 +174,7 @@
     assert_eq!(world.n_sending(request), 0);
 }
 
-impl FleetSim {
+impl GossipSimulation {
     /// Resumes suspended hosts with the state that they had.
     fn resume(&mut self, hosts: &[usize]) {
         for i in hosts {
@@ -198,7 +198,7 @@
 #[test]
 fn suspended_hosts_are_heard_again() {
     for n_suspended in [2, 25] {
-        let mut world = FleetSim::new(3, 25, None);
+        let mut world = GossipSimulation::new(3, 25, None);
         world.run_for(Duration::from_secs(5));
         let suspended: Vec<usize> = world.by_hash(1).into_iter().take(n_suspended).collect();
         suspended.iter().for_each(|i| world.hosts[*i].is_alive = false);
@@ -222,7 +222,7 @@
     let new = world.by_hash(2)[3];
     world.restart_host(new);
     world.run_for(Duration::from_secs(3));
-    let left = |world: &FleetSim, i: usize| {
+    let left = |world: &GossipSimulation, i: usize| {
         let host = &world.hosts[i];
         host.quarantine.entry(world.now - host.started_at, request).unwrap().remaining
     };
@@ -239,9 +239,9 @@
 #[test]
 fn a_silent_data_centre_is_unreachable_and_a_silent_host_is_not() {
     for n_each in [3, 20] {
-        let mut world = FleetSim::new(3, n_each, None);
+        let mut world = GossipSimulation::new(3, n_each, None);
         world.run_for(Duration::from_secs(5));
-        let is_unreachable = |world: &FleetSim, i: usize| {
+        let is_unreachable = |world: &GossipSimulation, i: usize| {
             let host = &world.hosts[i];
             host.peers.has_unreachable_centre(world.now - host.started_at)
         };
@@ -263,7 +263,7 @@
 #[test]
 fn the_first_hosts_are_few_in_each_data_centre() {
     for (n_each, expected) in [(3, 9), (20, 12)] {
-        let world = FleetSim::new(3, n_each, None);
+        let world = GossipSimulation::new(3, n_each, None);
         let n = world.hosts.iter().filter(|it| it.peers.is_among_first(4)).count();
         assert_eq!(n, expected, "{n_each} hosts a data centre");
     }
@@ -275,7 +275,7 @@
 fn an_order_read_by_one_host_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
         for (loss, max_ms) in [(0, 700), (10, 1000)] {
-            let mut world = FleetSim::new(n_centres, n_each, None);
+            let mut world = GossipSimulation::new(n_centres, n_each, None);
             world.run_for(Duration::from_secs(6));
             world.loss_percent = loss;
             world.hosts[7].orders_version = 1;
@@ -295,7 +295,7 @@
 fn a_self_reported_drain_reaches_all_within_a_second() {
     for (n_centres, n_each) in [(3, 3), (3, 21), (5, 59)] {
         for (loss, max_ms) in [(0, 700), (10, 1000)] {
-            let mut world = FleetSim::new(n_centres, n_each, None);
+            let mut world = GossipSimulation::new(n_centres, n_each, None);
             world.run_for(Duration::from_secs(6));
             world.loss_percent = loss;
             world.hosts[7].drain_marks.insert(9);
@@ -314,7 +314,7 @@
 #[test]
 fn a_host_started_later_learns_of_draining_upstreams() {
     for n_each in [3, 21] {
-        let mut world = FleetSim::new(3, n_each, None);
+        let mut world = GossipSimulation::new(3, n_each, None);
         world.run_for(Duration::from_secs(5));
         world.hosts[7].drain_marks.insert(9);
         world.run_for(Duration::from_secs(2));
--- a/crates/portfield/tests/fleet_sim/mod.rs
+++ b/crates/portfield/tests/gossip_simulation/mod.rs
@@ -47,7 +47,7 @@
 }
 
 /// Simulated hosts and the datagrams between them.
-pub struct FleetSim {
+pub struct GossipSimulation {
     pub now: Duration,
     pub hosts: Vec<Host>,
     /// Datagrams on their way: arrival time, sender, receiver, digest.
@@ -57,7 +57,7 @@
     pub rng: fastrand::Rng,
 }
 
-impl FleetSim {
+impl GossipSimulation {
     /// Creates a fleet that starts now. Each host knows all others, as if from the store, or only the
     /// first `n_seeds`.
     pub fn new(n_centres: u32, n_each: u32, n_seeds: Option<usize>) -> Self {
