--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -16,8 +16,8 @@
 
 /// Time without a frame after which a peer is considered gone, with its tickets and requests.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after which a frame is sent without news, so that the peer can tell an idle owner from one
-/// that is gone. An unanswered frame blocks the next one for as long.
+/// Time after which a frame is sent without changes, so that the peer can distinguish an idle owner
+/// from a dead one. An unanswered frame blocks the next one for as long.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 /// Time between two complete lists of the loans held from a peer.
 const HELD_PERIOD: Duration = Duration::from_secs(5);
@@ -38,7 +38,7 @@
     incarnation: Incarnation,
     /// When its latest frame arrived.
     last_heard: Duration,
-    /// Whether it was last heard longer than [`PEER_TIMEOUT`] ago.
+    /// Whether its latest frame is older than [`PEER_TIMEOUT`].
     is_silent: bool,
     /// Whether it has sent its complete state.
     is_synced: bool,
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Returns the latest known incarnation of a peer, zero if it was never heard.
+    /// Returns the latest known incarnation of a peer, zero if it has sent no frame yet.
     pub(super) fn peer_incarnation(&self, peer: ShardKey) -> Option<Incarnation> {
         self.peers.peers.get(&peer).map(|it| it.incarnation)
     }
--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -1,6 +1,7 @@
 //! Slots of the upstreams of one shard: free, used, lent or in doubt.
 //!
-//! A slot is in doubt if a request may still run in it that no known router or borrower holds.
+//! A slot is in doubt, or doubtful, if a request may still run in it that no known router or borrower
+//! holds.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
