--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -36,8 +36,9 @@
     u64::from(cost) * UNITS_PER_TOKEN / u64::from(share.max(1))
 }
 
+/// Counter of one workspace, with its parts.
 #[derive(Debug, Clone, Copy, Default)]
-struct Entry {
+struct WorkspaceCounter {
     /// Cost served by this owner.
     served: VirtualCost,
     /// Cost reserved by this owner.
@@ -57,7 +58,7 @@
     lift_version: u64,
 }
 
-impl Entry {
+impl WorkspaceCounter {
     fn is_active(&self) -> bool {
         0 < self.waiting || 0 < self.waiting_owners
     }
@@ -79,7 +80,7 @@
 /// Counters of the workspaces of one service, as known to one owner.
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
-    entries: HashMap<WorkspaceId, Entry>,
+    workspaces: HashMap<WorkspaceId, WorkspaceCounter>,
     remote: BTreeMap<(ShardKey, Incarnation), RemoteUsage>,
     /// Workspaces with tickets at this owner, ordered by counter.
     local: BTreeSet<(VirtualCost, WorkspaceId)>,
@@ -109,7 +110,7 @@
 
     /// Returns a workspace's counter.
     pub fn total(&self, id: WorkspaceId) -> VirtualCost {
-        self.entries.get(&id).map_or(0, |it| it.total)
+        self.workspaces.get(&id).map_or(0, |it| it.total)
     }
 
     /// Returns the workspace with the lowest counter among those with tickets at this owner.
@@ -124,7 +125,7 @@
 
     /// Returns whether a workspace has tickets at this owner.
     pub fn has_local_tickets(&self, id: WorkspaceId) -> bool {
-        self.entries.get(&id).is_some_and(|it| 0 < it.waiting)
+        self.workspaces.get(&id).is_some_and(|it| 0 < it.waiting)
     }
 
     /// Returns the version of the last change, for [`Counters::usage_since`].
@@ -140,7 +141,7 @@
 
     /// Reserves the estimated cost of a request that was granted a slot.
     pub fn reserve(&mut self, id: WorkspaceId, amount: VirtualCost) {
-        let settled = self.entries.get(&id).map_or(0, Entry::settled);
+        let settled = self.workspaces.get(&id).map_or(0, WorkspaceCounter::settled);
         self.virtual_time = self.virtual_time.max(settled);
         self.update(id, |it| {
             it.reserved += amount;
@@ -222,7 +223,7 @@
 
     /// Returns this owner's usage of the workspaces that changed after `version`.
     pub fn usage_since(&self, version: u64) -> Vec<wire::Usage> {
-        let changed = self.entries.iter().filter(|(_, it)| version < it.usage_version);
+        let changed = self.workspaces.iter().filter(|(_, it)| version < it.usage_version);
         let mut res: Vec<_> = changed
             .map(|(id, it)| wire::Usage {
                 workspace: *id,
@@ -237,7 +238,7 @@
 
     /// Returns the lifts that changed after `version`.
     pub fn lifts_since(&self, version: u64) -> Vec<wire::Lift> {
-        let changed = self.entries.iter().filter(|(_, it)| version < it.lift_version);
+        let changed = self.workspaces.iter().filter(|(_, it)| version < it.lift_version);
         let mut res: Vec<_> =
             changed.map(|(id, it)| wire::Lift { workspace: *id, value: it.lift }).collect();
         res.sort_unstable_by_key(|it| it.workspace);
@@ -259,12 +260,12 @@
     /// and this owner's served cost restarts at zero.
     pub fn close_incarnation(&mut self, shard: ShardKey, incarnation: Incarnation) {
         let mut closed = RemoteUsage { sequence: u64::MAX, usage: BTreeMap::new() };
-        for (id, it) in self.entries.iter_mut().filter(|(_, it)| 0 < it.served) {
+        for (id, it) in self.workspaces.iter_mut().filter(|(_, it)| 0 < it.served) {
             let served = std::mem::take(&mut it.served);
             closed.usage.insert(*id, wire::Usage { workspace: *id, served, ..Default::default() });
         }
         self.remote.insert((shard, incarnation), closed);
-        let all: Vec<_> = self.entries.keys().copied().collect();
+        let all: Vec<_> = self.workspaces.keys().copied().collect();
         all.into_iter().for_each(|it| self.mark_changed(it));
     }
 
@@ -309,28 +310,28 @@
         }
     }
 
-    /// Updates an entry and lifts the workspace to the floor if it becomes active, so that it gets
+    /// Updates a counter and lifts the workspace to the floor if it becomes active, so that it gets
     /// no credit for the time it was idle.
     ///
     /// **NOTE:** The floor excludes reservations, which are estimates. A lift that included one
     /// that was too high would remain after its release, and starve the workspace.
-    fn update_with_lift(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
-        let was_active = self.entries.get(&id).is_some_and(Entry::is_active);
+    fn update_with_lift(&mut self, id: WorkspaceId, f: impl FnOnce(&mut WorkspaceCounter)) {
+        let was_active = self.workspaces.get(&id).is_some_and(WorkspaceCounter::is_active);
         let floor = self.settled.first().map_or(self.virtual_time, |it| it.0);
         self.update(id, f);
-        let entry = self.entries[&id];
-        if self.lifts_enabled && !was_active && entry.is_active() && entry.settled() < floor {
-            self.raise_lift(id, entry.lift + (floor - entry.settled()));
+        let counter = self.workspaces[&id];
+        if self.lifts_enabled && !was_active && counter.is_active() && counter.settled() < floor {
+            self.raise_lift(id, counter.lift + (floor - counter.settled()));
         }
     }
 
     fn lift_to(&mut self, id: WorkspaceId, floor: VirtualCost) {
-        let entry = self.entries[&id];
-        self.raise_lift(id, entry.lift + (floor - entry.total));
+        let counter = self.workspaces[&id];
+        self.raise_lift(id, counter.lift + (floor - counter.total));
     }
 
     fn raise_lift(&mut self, id: WorkspaceId, value: VirtualCost) {
-        let old = self.entries.get(&id).map_or(0, |it| it.lift);
+        let old = self.workspaces.get(&id).map_or(0, |it| it.lift);
         if value <= old {
             return;
         }
@@ -349,12 +350,12 @@
         self.update(id, |it| it.usage_version = version);
     }
 
-    /// Updates an entry and its position in the orders.
-    fn update(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
-        let entry = self.entries.entry(id).or_default();
-        let old = *entry;
-        f(entry);
-        let new = *entry;
+    /// Updates a workspace's counter and its position in the orders.
+    fn update(&mut self, id: WorkspaceId, f: impl FnOnce(&mut WorkspaceCounter)) {
+        let counter = self.workspaces.entry(id).or_default();
+        let old = *counter;
+        f(counter);
+        let new = *counter;
         if (old.total, old.waiting) != (new.total, new.waiting) {
             let (was, is) = ((old.total, 0 < old.waiting), (new.total, 0 < new.waiting));
             update_order(&mut self.local, id, was, is);
--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -89,7 +89,7 @@
         (self.limit as u32).clamp(1, self.slots)
     }
 
-    fn is_open(&self, now: Duration) -> bool {
+    fn is_available(&self, now: Duration) -> bool {
         let is_fresh = self.reported_at.is_some_and(|it| now <= it + MAX_REPORT_AGE);
         is_fresh
             && !self.is_down
@@ -99,7 +99,7 @@
     }
 
     fn n_free(&self, now: Duration) -> u32 {
-        if self.is_open(now) { self.limit().saturating_sub(self.load()) } else { 0 }
+        if self.is_available(now) { self.limit().saturating_sub(self.load()) } else { 0 }
     }
 }
 
