--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -137,7 +137,7 @@
         // evacuated or asked this host to back off.
         if !host.may_send_to(upstream) {
             run.end(Completion::Cancelled);
-            let text = "the upstream no longer accepts requests";
+            let text = "nothing more may be sent there";
             return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
         let request = build_request(call, upstream, last_event);
@@ -148,7 +148,7 @@
                 // A time-out that spans a suspension of this host says nothing about the upstream.
                 let suspended = host.resumed_at().is_some_and(|it| started <= it);
                 run.end(if suspended { Completion::Cancelled } else { Completion::Broken });
-                AttemptResult::Failed(Outcome::TimedOut, "no response in time".to_owned())
+                AttemptResult::Failed(Outcome::TimedOut, "no answer in time".to_owned())
             }
             Some(Ok(response)) => check_response(host, call, upstream, response, connection, run),
             Some(Err(_)) if connection.guard.has_stopped() => {
@@ -164,7 +164,7 @@
                 // response.
                 if !connection.reused {
                     run.end(Completion::Unreachable);
-                    let text = "the connection closed before the request was sent";
+                    let text = "the connection ended before the request";
                     return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
                 }
                 match connect(host, upstream).await {
@@ -252,7 +252,7 @@
     upstream_signals::handle_response_head(host, call, upstream, parts.status, &head);
     if !head.id_matches {
         run.end(Completion::Broken);
-        let text = "the response belongs to another request";
+        let text = "the answer belongs to another request";
         return AttemptResult::Failed(Outcome::Unknown, text.to_owned());
     }
     if head.replacement_of(&upstream.entry.id).is_some() {
@@ -262,12 +262,12 @@
         let has_backoff =
             head.retry_after.as_ref().and_then(|it| it.delay).is_some_and(|it| !it.is_zero());
         run.end(if has_backoff { Completion::BackoffRequested } else { Completion::Rejected });
-        let text = format!("rejected with {}", parts.status.as_u16());
+        let text = format!("turned away with {}", parts.status.as_u16());
         return AttemptResult::Failed(Outcome::NotRun, text);
     }
     if parts.status.is_success() && !head.is_signed {
         run.end(Completion::Broken);
-        return AttemptResult::Failed(Outcome::Unknown, "the response is not signed".to_owned());
+        return AttemptResult::Failed(Outcome::Unknown, "the answer is not signed".to_owned());
     }
     let upstream = upstream.clone();
     AttemptResult::Response(Box::new(UpstreamResponse {
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -29,7 +29,7 @@
 /// Retry delay given by a host that was suspended; it mostly catches up within this time.
 pub(crate) const SUSPENDED_RETRY: Duration = Duration::from_millis(100);
 /// Error text of that refusal.
-pub(crate) const SUSPENDED_TEXT: &str = "this host was suspended and is catching up";
+pub(crate) const SUSPENDED_TEXT: &str = "this host stood still, and hears first what has changed";
 
 /// A validated request that may be sent to an upstream.
 #[derive(Debug)]
@@ -70,10 +70,7 @@
             return Err(Failure::unavailable(SUSPENDED_TEXT, SUSPENDED_RETRY));
         }
         let Some(active_config) = host.active_config() else {
-            return Err(Failure::unavailable(
-                "this host has no configuration yet",
-                NO_CONFIG_RETRY,
-            ));
+            return Err(Failure::unavailable("no configuration is known yet", NO_CONFIG_RETRY));
         };
         let catalog = active_config.catalog;
         let (parts, body) = request.into_parts();
@@ -81,7 +78,7 @@
             .map_err(|it| Failure::rejected(StatusCode::BAD_REQUEST, it.header, it.hint))?;
         let route = find_route(&catalog, &parts.uri, &parts.headers)?;
         if route.kind.is_stream() && !host.accepts_streams() {
-            return Err(Failure::unavailable("this host is shutting down", STOPPING_RETRY));
+            return Err(Failure::unavailable("this host is about to end", STOPPING_RETRY));
         }
         let workspace = authorize(&catalog, &route, head.api_key.as_deref())?;
         let service = route.pick_service(fastrand::f64()).unwrap_or_default().to_owned();
@@ -100,13 +97,8 @@
         }
         let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let body_read = read_body(body, catalog.limits().body_bytes);
-        let timed_out = || {
-            Err(Failure::rejected(
-                StatusCode::REQUEST_TIMEOUT,
-                "body",
-                "send the whole body in time",
-            ))
-        };
+        let timed_out =
+            || Err(Failure::rejected(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
         let body = clock::timeout(timeout, body_read).await.unwrap_or_else(timed_out)?;
         let placement = PlacementRequest {
             workspace: workspace_hash,
@@ -215,9 +207,7 @@
 fn find_route(catalog: &Catalog, uri: &Uri, headers: &HeaderMap) -> Result<Arc<Route>, Failure> {
     let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let name = named.or(uri.host()).unwrap_or_default();
-    let missing = || {
-        Failure::rejected(StatusCode::NOT_FOUND, "path", "no route matches this host name and path")
-    };
+    let missing = || Failure::rejected(StatusCode::NOT_FOUND, "path", "no route takes this path");
     catalog.find_route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
@@ -228,7 +218,7 @@
 ) -> Result<Option<Arc<Workspace>>, Failure> {
     let found = key.and_then(|it| catalog.workspace_by_key(it)).cloned();
     if found.is_none() && route.access == Access::ApiKey {
-        let text = "send the key of a workspace";
+        let text = "send a key of a workspace";
         return Err(Failure::rejected(StatusCode::UNAUTHORIZED, "authorization", text));
     }
     Ok(found)
--- a/crates/portfield-host/src/exchange.rs
+++ b/crates/portfield-host/src/exchange.rs
@@ -242,19 +242,19 @@
 
     fn check_limits(&mut self) -> Result<(), Failure> {
         if self.call.remaining().is_zero() {
-            let text = "the deadline of the request has passed";
+            let text = "the time of the request is up";
             if self.may_have_run {
                 return Err(Failure::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, text));
             }
             return Err(Failure::unavailable(text, RETRY));
         }
         if self.may_have_run && !self.call.kind().is_retryable() {
-            let text = "the response broke off, and the request is not repeatable";
+            let text = "the answer broke, and the request may not run twice";
             return Err(Failure::outcome_unknown(StatusCode::BAD_GATEWAY, text));
         }
         let max = self.call.route.max_attempts;
         if max <= self.n_run || max + MAX_NOT_RUN <= self.n_run + self.n_not_run {
-            return Err(self.failure("no attempts are left".to_owned(), RETRY));
+            return Err(self.failure("no attempt is left".to_owned(), RETRY));
         }
         Ok(())
     }
@@ -285,8 +285,8 @@
         );
         self.host.metrics.count("refused{reason=\"Quarantine\"}");
         let reason = format!(
-            "{n_crashes} upstreams ended while running this request ({fingerprint}): it is in quarantine \
-             for another {} s",
+            "{n_crashes} upstreams ended while they ran this request ({fingerprint}): it is not sent to \
+             another one for {} s",
             remaining.as_secs()
         );
         Err(self.failure(reason, quarantine::whole_seconds(remaining)))
--- a/crates/portfield-host/src/forward.rs
+++ b/crates/portfield-host/src/forward.rs
@@ -52,7 +52,7 @@
         broken => {
             let cause = match broken {
                 Some(Err(err)) => attempt::error_chain(&err),
-                _ => "the response did not end in time".to_owned(),
+                _ => "the answer did not end in time".to_owned(),
             };
             run.end(Completion::Broken);
             exchange.record_broken_response(&upstream, &cause);
--- a/crates/portfield-host/src/response.rs
+++ b/crates/portfield-host/src/response.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 /// Error text after the caller disconnected; nobody reads it.
-pub(crate) const CALLER_LEFT: &str = "the caller has disconnected";
+pub(crate) const CALLER_LEFT: &str = "the caller has left";
 /// Retry delay of that response.
 pub(crate) const CALLER_LEFT_RETRY: Duration = Duration::ZERO;
 
