--- a/crates/portfield/tests/gossip_simulation/mod.rs
+++ b/crates/portfield/tests/gossip_simulation/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts that only tell and hear, in virtual time: datagrams take a while, and some are lost.
+//! Simulation in virtual time of hosts that only exchange digests; datagrams are delayed, and some
+//! are lost.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -10,15 +11,15 @@
 };
 
 pub const STEP: Duration = Duration::from_millis(1);
-/// One way between two hosts.
+/// Delay of a datagram.
 pub const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 pub const SEED: u64 = 7;
-/// Time for which a host fetches from another one what that knows and it does not.
+/// Time that a host takes to fetch from another one what it lacks.
 pub const FETCH_TIME: Duration = Duration::from_millis(30);
-/// Most other hosts that each tell every other one.
+/// Largest number of other hosts in a full mesh.
 pub const DIRECT_LIMIT: usize = 12;
 
-/// A host that only tells and hears.
+/// A host that only exchanges digests.
 pub struct Host {
     pub address: SocketAddr,
     pub data_centre: u32,
@@ -31,13 +32,13 @@
     pub sequence: u64,
     pub incarnation: u64,
     pub is_alive: bool,
-    /// When each other host's own word was last heard, itself or through the speaker.
+    /// Time of each other host's last digest, direct or relayed, by the hash of the host.
     pub last_heard: HashMap<u64, Duration>,
-    /// When the sum of each other data centre was last heard, and for how many it spoke.
+    /// Time of each other data centre's last summary, and number of hosts that it covers.
     pub summaries: HashMap<u32, (Duration, u32)>,
-    /// Version of the operator's orders that it knows.
+    /// Version of the operator's evacuation orders that it knows.
     pub orders_version: u64,
-    /// The version that it fetches, and when it has it.
+    /// Version that it is fetching, and when the fetch completes.
     pub fetching: Option<(u64, Duration)>,
     pub n_sent: u64,
     pub n_received: u64,
@@ -47,13 +48,14 @@
     pub now: Duration,
     pub hosts: Vec<Host>,
     pub in_flight: Vec<(Duration, SocketAddr, SocketAddr, Digest)>,
-    /// Of a hundred datagrams so many are lost.
+    /// Percentage of datagrams that are lost.
     pub loss: u32,
     pub rng: fastrand::Rng,
 }
 
 impl Simulation {
-    /// Builds a fleet that starts now; each host knows all others by the store, or only `n_seeds`.
+    /// Builds a fleet that starts now; each host knows all others, as from the store, or only the
+    /// first `n_seeds` of them.
     pub fn new(n_centres: u32, n_each: u32, n_seeds: Option<usize>) -> Self {
         let mut res = Self {
             now: Duration::from_millis(1),
@@ -93,7 +95,7 @@
         });
     }
 
-    /// Lets each host know of the others.
+    /// Adds the other hosts to each host's table.
     pub fn add_peers(&mut self, n_seeds: Option<usize>) {
         let all: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         for host in &mut self.hosts {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Starts a dead host anew at the same address.
+    /// Restarts a dead host at the same address.
     pub fn restart(&mut self, i: usize) {
         let known: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         let now = self.now;
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Does what a host does with a datagram.
+    /// Processes a datagram as a host does.
     pub fn receive(&mut self, i: usize, from: SocketAddr, mut digest: Digest) {
         let host = &mut self.hosts[i];
         host.n_received += 1;
@@ -250,7 +252,7 @@
         self.send(i, outgoing);
     }
 
-    /// Returns the hosts that live and speak for a data centre.
+    /// Returns the live hosts that lead a data centre.
     pub fn leaders(&self, data_centre: u32) -> Vec<usize> {
         let is_leader = |it: &&usize| self.hosts[**it].peers.topology().is_leader();
         let is_local =
@@ -259,7 +261,7 @@
         all.iter().filter(is_leader).copied().collect()
     }
 
-    /// Checks that each living host has heard lately of all of its data centre that live.
+    /// Checks that each live host has recently heard all live hosts of its data centre.
     #[track_caller]
     pub fn check_local_heard(&self, age: Duration) {
         for (host, other) in self.pairs().filter(|it| it.0.data_centre == it.1.data_centre) {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Checks that each living host has heard lately of all that live, and of none that does not.
+    /// Checks that each live host has recently heard all live hosts and counts no dead ones.
     #[track_caller]
     pub fn check_all_heard(&self, age: Duration) {
         self.check_local_heard(age);
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Returns all pairs of living hosts.
+    /// Returns all pairs of live hosts.
     pub fn pairs(&self) -> impl Iterator<Item = (&Host, &Host)> {
         let alive = || self.hosts.iter().filter(|it| it.is_alive);
         let peers_of = move |host: &Host| {
