--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission when callers ask for more than the capacity.
 
-mod agenda;
 mod engine_simulation;
+mod event_queue;
 
 use std::time::Duration;
 
--- a/crates/portfield/tests/engine_simulation/mod.rs
+++ b/crates/portfield/tests/engine_simulation/mod.rs
@@ -19,7 +19,7 @@
     wire::Digest,
 };
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 
 /// Time over which shares are computed.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -144,7 +144,7 @@
     hosts: Vec<Balancer>,
     engines: Vec<Engine>,
     candidates: Vec<Candidate>,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     n_digests: u64,
     rng: fastrand::Rng,
     outcomes: HashMap<u32, Outcomes>,
@@ -164,14 +164,14 @@
             hosts: (0..fleet.n_hosts).map(new_host).collect(),
             engines: (0..fleet.n_engines).map(|_| Engine::default()).collect(),
             candidates: (0..fleet.n_engines).map(candidate).collect(),
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             n_digests: 0,
             rng: fastrand::Rng::with_seed(seed),
             outcomes: HashMap::new(),
             tokens: HashMap::new(),
         };
         demands.iter().for_each(|it| res.schedule(it));
-        res.agenda.push(START, Event::Digest);
+        res.events.push(START, Event::Digest);
         res
     }
 
@@ -187,7 +187,7 @@
             let attempt =
                 Attempt { request: self.request(demand), first_sent: at, is_retry: false };
             self.outcomes.entry(demand.workspace).or_default().asked += 1;
-            self.agenda.push(at, Event::Attempt(attempt));
+            self.events.push(at, Event::Attempt(attempt));
         }
     }
 
@@ -219,7 +219,7 @@
     }
 
     fn run(&mut self) {
-        while let Some((now, event)) = self.agenda.pop() {
+        while let Some((now, event)) = self.events.pop() {
             match event {
                 Event::Attempt(attempt) => self.attempt(now, attempt),
                 Event::FirstToken { host, run, attempt } => {
@@ -248,11 +248,11 @@
                     attempt.request.prompt.as_ref().expect("engines' requests have prompts");
                 let first = read + FIRST_EVENT_DELAY;
                 let end = first + EVENT_TIME * (prompt.max_output_tokens / EVENT_TOKENS);
-                self.agenda.push(first, Event::FirstToken { host, run, attempt });
-                self.agenda.push(end, Event::End { host, run });
+                self.events.push(first, Event::FirstToken { host, run, attempt });
+                self.events.push(end, Event::End { host, run });
             }
             Placement::Refuse { retry_after, .. } if !attempt.is_retry => {
-                self.agenda
+                self.events
                     .push(now + retry_after, Event::Attempt(Attempt { is_retry: true, ..attempt }));
             }
             Placement::Refuse { .. } => self.outcomes_of(&attempt).refused += 1,
@@ -296,7 +296,7 @@
             peers.for_each(|it| host.merge_digest(now, it));
         }
         if now < START + self.fleet.duration {
-            self.agenda.push(now + DIGEST_PERIOD, Event::Digest);
+            self.events.push(now + DIGEST_PERIOD, Event::Digest);
         }
     }
 }
--- a/crates/portfield/tests/overload_simulation/mod.rs
+++ b/crates/portfield/tests/overload_simulation/mod.rs
@@ -8,7 +8,7 @@
 
 use portfield::balance::{AnswerKind, LoadShedder};
 
-use crate::agenda::Agenda;
+use crate::event_queue::EventQueue;
 
 /// Part of a core that a host has.
 const CPU_SHARE: f64 = 0.12;
@@ -120,7 +120,7 @@
 struct Simulation {
     workload: Workload,
     hosts: Vec<Host>,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     n_probes: u64,
     rng: fastrand::Rng,
     /// Hosts to which the caller has an idle connection; the one used last is taken first.
@@ -141,7 +141,7 @@
         let mut res = Self {
             workload,
             hosts: (0..workload.n_hosts).map(|_| Host::default()).collect(),
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             n_probes: 0,
             rng: fastrand::Rng::with_seed(seed),
             idle: Vec::new(),
@@ -150,24 +150,24 @@
         let mut at = START;
         let end = START + Duration::from_secs(workload.seconds);
         while at < end {
-            res.agenda
+            res.events
                 .push(at, Event::Attempt(Attempt { first_sent: at, sent: at, is_retry: false }));
             at += Duration::from_secs_f64(-(1.0 - res.rng.f64()).ln() / workload.rate);
         }
         let phase = res.rng.f64();
-        res.agenda.push(START + PROBE_PERIOD.mul_f64(phase), Event::ProbeAll);
+        res.events.push(START + PROBE_PERIOD.mul_f64(phase), Event::ProbeAll);
         (0..workload.n_hosts).for_each(|host| {
             let work = Work::Timer { due: START };
-            res.agenda.push(START, Event::Work { host, work });
+            res.events.push(START, Event::Work { host, work });
         });
         (0..workload.seconds)
-            .for_each(|it| res.agenda.push(START + Duration::from_secs(it), Event::Sample));
+            .for_each(|it| res.events.push(START + Duration::from_secs(it), Event::Sample));
         res
     }
 
     fn run(&mut self) {
         let end = START + Duration::from_secs(self.workload.seconds);
-        while let Some((now, event)) = self.agenda.pop() {
+        while let Some((now, event)) = self.events.pop() {
             if end <= now {
                 return;
             }
@@ -232,13 +232,13 @@
             }
             Work::Event { n_left } => {
                 let work = Work::Event { n_left: n_left - 1 };
-                self.agenda.push(now + EVENT_INTERVAL, Event::Work { host, work });
+                self.events.push(now + EVENT_INTERVAL, Event::Work { host, work });
                 EVENT_COST
             }
             Work::Timer { due } => {
                 self.hosts[host].shedder.observe(now, now.saturating_sub(due));
                 let due = now + TIMER_PERIOD;
-                self.agenda.push(due, Event::Work { host, work: Work::Timer { due } });
+                self.events.push(due, Event::Work { host, work: Work::Timer { due } });
                 Duration::ZERO
             }
             Work::Probe { number } => {
@@ -246,7 +246,7 @@
                 REFUSAL_COST
             }
         };
-        self.agenda.push(now + cost.div_f64(CPU_SHARE), Event::RunNext { host });
+        self.events.push(now + cost.div_f64(CPU_SHARE), Event::RunNext { host });
     }
 
     /// Handles a request and returns its processor time.
@@ -257,7 +257,7 @@
         let is_late = attempt.sent + OBJECTIVE < now;
         if !is_shed && !is_late {
             self.count(now, |it| &mut it.served, 1);
-            self.agenda.push(
+            self.events.push(
                 now + EVENT_INTERVAL,
                 Event::Work { host, work: Work::Event { n_left: N_EVENTS } },
             );
@@ -270,7 +270,7 @@
         self.count(now, |it| &mut it.refused, 1);
         let left = (attempt.first_sent + DEADLINE).saturating_sub(now);
         if !attempt.is_retry && retry_after <= left / 3 {
-            self.agenda
+            self.events
                 .push(now + retry_after, Event::Attempt(Attempt { is_retry: true, ..attempt }));
         }
         if is_shed { REFUSAL_COST } else { PLACEMENT_COST }
@@ -284,9 +284,9 @@
                 MAX_FAILED_PROBES <= self.hosts[host].n_failed_probes;
             self.hosts[host].pending_probe = Some(number);
             self.enqueue(now, host, Work::Probe { number });
-            self.agenda.push(now + PROBE_TIMEOUT, Event::ProbeTimeout { host, number });
+            self.events.push(now + PROBE_TIMEOUT, Event::ProbeTimeout { host, number });
         }
-        self.agenda.push(now + PROBE_PERIOD, Event::ProbeAll);
+        self.events.push(now + PROBE_PERIOD, Event::ProbeAll);
     }
 
     fn answer_probe(&mut self, host: usize, number: u64) {
--- a/crates/portfieldctl/src/quarantine.rs
+++ b/crates/portfieldctl/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that a host refuses because upstreams ended under them.
+//! The `quarantine` command: requests refused because upstreams ended while running them.
 
 use std::{fmt::Write, net::SocketAddr};
 
@@ -6,8 +6,8 @@
 use portfield_net::http1::Target;
 use serde::Deserialize;
 
-/// Page of a host's metrics address.
-const PAGE: &str = "/quarantine";
+/// Path on a host's metrics address.
+const PATH: &str = "/quarantine";
 
 #[derive(Debug, Deserialize)]
 struct Row {
@@ -17,13 +17,13 @@
     left_s: u64,
 }
 
-/// Lists the requests that a host refuses.
+/// Lists the requests that a host refuses, each with the upstreams that it ended and the time left.
 ///
 /// # Errors
 ///
-/// Where the host does not answer.
+/// Returns an error if the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
-    let refused: Vec<Row> = Target::direct(host).get(PAGE).await?;
+    let refused: Vec<Row> = Target::direct(host).get(PATH).await?;
     if refused.is_empty() {
         return Ok("no request is refused\n".to_owned());
     }
@@ -34,12 +34,12 @@
     Ok(res)
 }
 
-/// Lets a request run again at all hosts.
+/// Lifts the quarantine of a request at all hosts.
 ///
 /// # Errors
 ///
-/// Where the host does not answer, or has nothing against the request.
+/// Returns an error if the host does not answer or has not quarantined the request.
 pub(crate) async fn lift(host: SocketAddr, fingerprint: &str) -> eyre::Result<String> {
-    Target::direct(host).send(Method::Delete, &format!("{PAGE}/{fingerprint}"), Vec::new()).await?;
+    Target::direct(host).send(Method::Delete, &format!("{PATH}/{fingerprint}"), Vec::new()).await?;
     Ok(format!("{fingerprint} may run again\n"))
 }
