--- a/crates/portfield/src/balance/load_shedder.rs
+++ b/crates/portfield/src/balance/load_shedder.rs
@@ -47,8 +47,8 @@
 /// assert!(shedder.is_overloaded());
 /// let now = Duration::from_secs(13);
 /// (0..100).for_each(|_| drop(shedder.shed(now, 1, 10.0, 0.5)));
-/// assert!(shedder.shed(now, 1, 10.0, 0.5).is_some(), "who sends nearly all");
-/// assert!(shedder.shed(now, 2, 10.0, 0.5).is_none(), "who sends little");
+/// assert!(shedder.shed(now, 1, 10.0, 0.5).is_some(), "sends nearly all requests");
+/// assert!(shedder.shed(now, 2, 10.0, 0.5).is_none(), "sends few requests");
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LoadShedder {
@@ -135,7 +135,7 @@
 
     /// Returns whether the connection is to be closed after an answer to shed load.
     ///
-    /// A served request shows that this host can bear its connection; closing those too would cost
+    /// A served request shows that this host can serve its connection; closing those too would cost
     /// it its callers while it is out of rotation. A connection on which requests are refused only
     /// brings the flood back: refusals are the fastest answers, and callers reuse the most recent
     /// connection first.
--- a/crates/portfield/src/balance/store_availability.rs
+++ b/crates/portfield/src/balance/store_availability.rs
@@ -17,7 +17,7 @@
 /// let mut it = StoreAvailability::new(second * 3);
 /// (1..=9).for_each(|n| it.record(second * n));
 /// assert!(it.is_continuous(second * 2, second * 10));
-/// // Nobody heard it from 9 to 14.
+/// // Nobody reached the store from 9 to 14 s.
 /// it.record(second * 14);
 /// assert!(!it.is_continuous(second * 2, second * 15));
 /// ```
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -83,8 +83,8 @@
 /// assert!(few.iter().all(|it| GossipTopology::new(now, config, &few, 0).is_recipient(it, 1)));
 /// let many: Vec<_> = (1..60).map(remote).collect();
 /// let topology = GossipTopology::new(now, config, &many, 0);
-/// let told = many.iter().filter(|it| topology.is_recipient(it, 1)).map(|it| it.host);
-/// assert_eq!(told.collect::<Vec<_>>(), [3, 6], "the leader and its standby");
+/// let recipients = many.iter().filter(|it| topology.is_recipient(it, 1)).map(|it| it.host);
+/// assert_eq!(recipients.collect::<Vec<_>>(), [3, 6], "the leader and its standby");
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct GossipTopology {
--- a/crates/portfield/src/balance/warmup.rs
+++ b/crates/portfield/src/balance/warmup.rs
@@ -35,7 +35,7 @@
 /// let quota = |host| cold_quota(14.0, &hosts, host, 7);
 /// assert_eq!(hosts.iter().filter(|it| 0 < quota(**it)).count(), 3);
 /// assert!(hosts.iter().map(|it| quota(*it)).sum::<u32>() <= 14);
-/// assert_eq!(quota(99), 0, "it stands in another data centre");
+/// assert_eq!(quota(99), 0, "it is in another data centre");
 /// ```
 pub fn cold_quota(max_rate: f64, hosts: &[u64], host: u64, upstream: u32) -> u32 {
     let rank = |it: u64| xxh3_64_with_seed(&it.to_le_bytes(), u64::from(upstream));
--- a/crates/portfield/tests/admission.rs
+++ b/crates/portfield/tests/admission.rs
@@ -72,7 +72,7 @@
         assert!(small.refused <= small.asked / 200, "{text}");
         // Spare capacity is used all the same: the capacity is a quarter of the demand.
         assert!(0.3 <= hot.in_time_ratio(), "{text}");
-        assert!(hot.late * 50 <= hot.in_time, "sent where it can only be late: {text}");
+        assert!(hot.late * 50 <= hot.in_time, "placed although it can only be late: {text}");
     }
 }
 
--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -144,7 +144,7 @@
         }
         n += 1;
     };
-    assert!((2..10).contains(&n), "{n} requests were taken by two engines");
+    assert!((2..10).contains(&n), "{n} requests were placed on two engines");
     assert!(Duration::ZERO < retry_after && retry_after <= Duration::from_secs(2));
 }
 
@@ -243,7 +243,7 @@
         assert_eq!(assigned(it.place(now, &plain_request(), &two)).upstream, 2);
         let Placement::Refuse { reason, retry_after, .. } = it.place(now, &plain_request(), &one)
         else {
-            panic!("placed at an upstream that is left alone");
+            panic!("placed at a blocked upstream");
         };
         assert_eq!(reason, Refusal::NoUpstream);
         pauses.push(retry_after);
@@ -372,10 +372,10 @@
                 it.record_start(now, &popular, &placed);
             }
             Placement::Send(placed) => {
-                assert!(3 < n_refused, "only after it was refused much");
+                assert!(3 < n_refused, "only after several refusals");
                 assert!(
                     10_000 < placed.uncached_tokens,
-                    "the other engine keeps none of its parts"
+                    "the other engine has not cached its prefix"
                 );
                 return;
             }
