--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -252,8 +252,8 @@
         let state = self.upstreams.entry(assignment.upstream);
         state.warmup.record_sent(now);
         state.backoff.record_sent(now, self.n_runs);
-        state.local.running += 1.0;
-        state.local.pending += pending;
+        state.own.running += 1.0;
+        state.own.pending += pending;
         if let (Some(prompt), Some(engine)) = (&request.prompt, request.engine) {
             let prefixes = prompt.prefixes();
             state.record_read(pending + f64::from(prompt.max_output_tokens));
@@ -275,7 +275,7 @@
         run.has_begun = true;
         let pending = std::mem::take(&mut run.pending);
         let state = self.upstreams.entry(run.upstream);
-        state.local.pending -= pending;
+        state.own.pending -= pending;
         state.backoff.record_accepted(id);
         if run.is_engine {
             let time = now.saturating_sub(run.started);
@@ -289,8 +289,8 @@
     pub fn record_end(&mut self, now: Duration, id: RunId, completion: Completion) {
         let Some(run) = self.runs.remove(&id) else { return };
         let state = self.upstreams.entry(run.upstream);
-        state.local.running -= 1.0;
-        state.local.pending -= run.pending;
+        state.own.running -= 1.0;
+        state.own.pending -= run.pending;
         if matches!(completion, Completion::Done | Completion::Error) {
             state.backoff.record_accepted(id);
         }
@@ -394,8 +394,8 @@
     if (n_idle as f64) < n_engines as f64 * SPARE_IDLE_RATIO {
         return None;
     }
-    let is_quick = |it: &ScoredUpstream| it.times.wait + it.times.processing <= time_left_ms;
-    min_by_key(sendable().filter(is_idle).filter(is_quick), |it| it.cost)
+    let is_in_time = |it: &ScoredUpstream| it.times.wait + it.times.processing <= time_left_ms;
+    min_by_key(sendable().filter(is_idle).filter(is_in_time), |it| it.cost)
 }
 
 fn refuse_blocked(now: Duration, upstreams: impl Iterator<Item = ScoredUpstream>) -> Placement {
--- a/crates/portfield/src/balance/mod.rs
+++ b/crates/portfield/src/balance/mod.rs
@@ -59,5 +59,5 @@
 pub use shares::{ShareSnapshot, ShareStatus};
 pub use store_availability::StoreAvailability;
 pub use store_watchers::{STORE_CALL_TIMEOUT, StoreTimeouts, StoreWatchers, WatcherStatus};
-pub use topology::{GossipConfig, GossipTopology, RemoteHost};
+pub use topology::{GossipConfig, GossipTopology, Peer};
 pub use warmup::cold_quota;
--- a/crates/portfield/src/balance/peer_table.rs
+++ b/crates/portfield/src/balance/peer_table.rs
@@ -6,7 +6,7 @@
 
 use super::{
     fast_map::FastMap,
-    topology::{GossipConfig, GossipTopology, RemoteHost},
+    topology::{GossipConfig, GossipTopology, Peer},
 };
 use crate::wire::{Digest, KnownHost};
 
@@ -70,7 +70,7 @@
 pub struct PeerTable {
     config: GossipConfig,
     /// Sorted, so that recipients have the same order in every run of a process.
-    hosts: BTreeMap<SocketAddr, RemoteHost>,
+    hosts: BTreeMap<SocketAddr, Peer>,
     topology: GossipTopology,
     /// Digests that go out with the next one, by the hash of their host or data centre.
     forwards: BTreeMap<u64, Digest>,
@@ -97,7 +97,7 @@
 
     /// Recomputes the topology from the table and returns it.
     pub fn refresh_topology(&mut self, now: Duration) -> GossipTopology {
-        let hosts: Vec<RemoteHost> = self.hosts.values().copied().collect();
+        let hosts: Vec<Peer> = self.hosts.values().copied().collect();
         // Summaries count whether or not they are merged: otherwise a host that loses some peers
         // for a moment would ignore the summaries which show that these are alive.
         let leaders = self.leaders.values().filter(|it| now < it.last_heard + LEADER_DEAD_AFTER);
@@ -140,7 +140,7 @@
     /// Returns whether this host is among the first `n` of its data centre by hash, counting all
     /// known hosts, alive or not.
     pub fn is_among_first(&self, n: usize) -> bool {
-        let is_local = |it: &&RemoteHost| it.data_centre == Some(self.config.data_centre);
+        let is_local = |it: &&Peer| it.data_centre == Some(self.config.data_centre);
         let local_hosts = self.hosts.values().filter(is_local);
         local_hosts.filter(|it| it.host < self.config.host).count() < n
     }
@@ -148,7 +148,7 @@
     /// Returns the address hashes of the known hosts of a data centre, alive or not, including this
     /// host if it is there.
     pub fn hosts_in(&self, data_centre: u32) -> Vec<u64> {
-        let is_in = |it: &&RemoteHost| it.data_centre == Some(data_centre);
+        let is_in = |it: &&Peer| it.data_centre == Some(data_centre);
         let own = (self.config.data_centre == data_centre).then_some(self.config.host);
         self.hosts.values().filter(is_in).map(|it| it.host).chain(own).collect()
     }
@@ -180,11 +180,7 @@
             self.leaders.insert(digest.data_centre, leader);
             return;
         }
-        let it = RemoteHost {
-            host: digest.host,
-            data_centre: Some(digest.data_centre),
-            last_heard: now,
-        };
+        let it = Peer { host: digest.host, data_centre: Some(digest.data_centre), last_heard: now };
         let before = self.hosts.insert(address, it);
         if before.is_none_or(|it| it.is_silent(now)) {
             self.n_appeared += 1;
@@ -229,8 +225,7 @@
 
     /// Returns the addresses to which this host's digest with this sequence number is sent.
     pub fn recipients(&self, sequence: u64) -> Vec<SocketAddr> {
-        let is_recipient =
-            |it: &(&SocketAddr, &RemoteHost)| self.topology.is_recipient(it.1, sequence);
+        let is_recipient = |it: &(&SocketAddr, &Peer)| self.topology.is_recipient(it.1, sequence);
         self.hosts.iter().filter(is_recipient).map(|it| *it.0).collect()
     }
 
@@ -268,7 +263,7 @@
 
     /// Returns the hosts whose data centre is known, for a host that knows none of its own.
     pub fn known_hosts(&self) -> Vec<KnownHost> {
-        let known = |(address, it): (&SocketAddr, &RemoteHost)| {
+        let known = |(address, it): (&SocketAddr, &Peer)| {
             let data_centre = it.data_centre?;
             Some(KnownHost { address: address.to_string(), data_centre })
         };
@@ -277,8 +272,8 @@
 }
 
 /// Returns the entry of a host that has not been heard.
-fn unheard_host(address: SocketAddr) -> RemoteHost {
-    RemoteHost { host: host_hash(address), data_centre: None, last_heard: Duration::ZERO }
+fn unheard_host(address: SocketAddr) -> Peer {
+    Peer { host: host_hash(address), data_centre: None, last_heard: Duration::ZERO }
 }
 
 /// Returns the hash of a host's address, which identifies it in digests.
--- a/crates/portfield/src/balance/store_watchers.rs
+++ b/crates/portfield/src/balance/store_watchers.rs
@@ -131,7 +131,7 @@
         let n_stale = before().count() - n_fresh;
         let newest = self.hosts.values().filter(is_local).map(age).min().unwrap_or_default();
         n_fresh < WATCHERS_PER_CENTRE
-            && n_stale < WATCHERS_PER_CENTRE + n_tries(newest, self.timeouts.stale_after)
+            && n_stale < WATCHERS_PER_CENTRE + n_extra_tries(newest, self.timeouts.stale_after)
     }
 }
 
@@ -140,7 +140,7 @@
 }
 
 /// Returns how many more hosts try the store when its last answer has that age.
-fn n_tries(age: Duration, stale_after: Duration) -> usize {
+fn n_extra_tries(age: Duration, stale_after: Duration) -> usize {
     let doublings = (age.as_secs_f64() / stale_after.as_secs_f64()).log2();
     if doublings < 0.0 { 0 } else { 1 + (doublings * TRIES_PER_DOUBLING) as usize }
 }
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -55,7 +55,7 @@
 
 /// Another host, as known to this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RemoteHost {
+pub struct Peer {
     /// Hash of the host's address.
     pub host: u64,
     /// Hash of the name of its data centre, `None` while unknown.
@@ -69,19 +69,19 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::balance::{GossipConfig, GossipTopology, RemoteHost};
+/// use portfield::balance::{GossipConfig, GossipTopology, Peer};
 /// use std::time::Duration;
 ///
 /// let now = Duration::from_secs(30);
 /// let config = GossipConfig { host: 30, data_centre: 0, direct_limit: 12 };
-/// let remote = |host: u64| RemoteHost {
+/// let peer = |host: u64| Peer {
 ///     host,
 ///     data_centre: Some((host % 3) as u32),
 ///     last_heard: now,
 /// };
-/// let few: Vec<_> = (1..9).map(remote).collect();
+/// let few: Vec<_> = (1..9).map(peer).collect();
 /// assert!(few.iter().all(|it| GossipTopology::new(now, config, &few, 0).is_recipient(it, 1)));
-/// let many: Vec<_> = (1..60).map(remote).collect();
+/// let many: Vec<_> = (1..60).map(peer).collect();
 /// let topology = GossipTopology::new(now, config, &many, 0);
 /// let recipients = many.iter().filter(|it| topology.is_recipient(it, 1)).map(|it| it.host);
 /// assert_eq!(recipients.collect::<Vec<_>>(), [3, 6], "the leader and its standby");
@@ -99,7 +99,7 @@
     last_local: Duration,
 }
 
-impl RemoteHost {
+impl Peer {
     /// Returns whether the host has been silent so long that its next digest counts as a new
     /// appearance.
     pub fn is_silent(&self, now: Duration) -> bool {
@@ -115,8 +115,8 @@
 impl GossipTopology {
     /// Builds the topology from the other known hosts; `n_remote` is the number of hosts that the
     /// summaries of other data centres cover.
-    pub fn new(now: Duration, config: GossipConfig, peers: &[RemoteHost], n_remote: usize) -> Self {
-        let is_local = |it: &&RemoteHost| it.data_centre == Some(config.data_centre);
+    pub fn new(now: Duration, config: GossipConfig, peers: &[Peer], n_remote: usize) -> Self {
+        let is_local = |it: &&Peer| it.data_centre == Some(config.data_centre);
         let n_alive = peers.iter().filter(|it| it.is_alive(now)).count();
         let n_local = peers.iter().filter(is_local).filter(|it| it.is_alive(now)).count();
         // A host that has just started has heard nobody yet, so it counts the hosts it knows of.
@@ -126,7 +126,7 @@
         let last_local =
             peers.iter().filter(is_local).map(|it| it.last_heard).max().unwrap_or_default();
         // If digests stop altogether, the hosts heard last stay candidates until others are found.
-        let is_fresh = |it: &&RemoteHost| {
+        let is_fresh = |it: &&Peer| {
             !it.last_heard.is_zero() && last_local <= it.last_heard + period * LEADER_PERIODS
         };
         let mut by_hash: Vec<u64> =
@@ -159,7 +159,7 @@
     }
 
     /// Returns whether a host is sent this host's digest with this sequence number.
-    pub fn is_recipient(&self, it: &RemoteHost, sequence: u64) -> bool {
+    pub fn is_recipient(&self, it: &Peer, sequence: u64) -> bool {
         let is_occasional = sequence.is_multiple_of(SILENT_EVERY);
         if !self.is_hierarchical {
             return self.now <= it.last_heard + SILENT_AFTER || is_occasional;
@@ -204,7 +204,7 @@
     }
 
     /// Returns whether a host is known to be in another data centre.
-    pub fn is_remote(&self, it: &RemoteHost) -> bool {
+    pub fn is_remote(&self, it: &Peer) -> bool {
         it.data_centre.is_some_and(|it| it != self.config.data_centre)
     }
 
--- a/crates/portfield/src/balance/upstream_table.rs
+++ b/crates/portfield/src/balance/upstream_table.rs
@@ -25,8 +25,8 @@
 /// What this host knows of one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamState {
-    pub local: Load,
-    pub remote: Load,
+    pub own: Load,
+    pub peers: Load,
     /// Tokens that this host's requests brought into its memory.
     tokens_read: f64,
     /// Number of digests in which the totals above are still to be reported.
@@ -70,8 +70,8 @@
     fn report(&self, upstream: u32) -> wire::UpstreamLoad {
         wire::UpstreamLoad {
             upstream,
-            running: self.local.running as u32,
-            pending: self.local.pending.max(0.0) as u32,
+            running: self.own.running as u32,
+            pending: self.own.pending.max(0.0) as u32,
             read: self.tokens_read as u64,
         }
     }
@@ -79,8 +79,8 @@
     /// Returns the load from all hosts.
     pub(crate) fn total(&self) -> Load {
         Load {
-            running: self.local.running + self.remote.running,
-            pending: (self.local.pending + self.remote.pending).max(0.0),
+            running: self.own.running + self.peers.running,
+            pending: (self.own.pending + self.peers.pending).max(0.0),
         }
     }
 }
@@ -142,8 +142,7 @@
     /// Removes upstreams that are no longer known, unless they run requests of this host or have a
     /// recorded backoff: an entry that lapsed in the store may come back.
     pub(crate) fn retain(&mut self, f: impl Fn(u32) -> bool) {
-        self.upstreams
-            .retain(|id, it| f(*id) || 0.0 < it.local.running || it.backoff.is_recorded());
+        self.upstreams.retain(|id, it| f(*id) || 0.0 < it.own.running || it.backoff.is_recorded());
     }
 
     /// Queues prompt prefixes that an upstream now caches for announcement to other hosts.
@@ -159,7 +158,7 @@
         // Idle upstreams whose totals were already reported are left out, which keeps digests
         // short.
         let is_reported =
-            |it: &(&u32, &UpstreamState)| 0.0 < it.1.local.running || 0 < it.1.n_reports_left;
+            |it: &(&u32, &UpstreamState)| 0.0 < it.1.own.running || 0 < it.1.n_reports_left;
         let loads =
             self.upstreams.iter().filter(is_reported).map(|(id, it)| it.report(*id)).collect();
         self.upstreams
@@ -276,7 +275,7 @@
 
 /// Adds a peer's requests to an upstream, or removes them if `sign` is -1.
 fn apply_load(upstreams: &mut FastMap<u32, UpstreamState>, it: &wire::UpstreamLoad, sign: f64) {
-    let load = &mut upstreams.entry(it.upstream).or_default().remote;
+    let load = &mut upstreams.entry(it.upstream).or_default().peers;
     load.running = (load.running + sign * f64::from(it.running)).max(0.0);
     load.pending = (load.pending + sign * f64::from(it.pending)).max(0.0);
 }
--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -4,8 +4,8 @@
 
 use portfield::{
     balance::{
-        Assignment, Balancer, Candidate, Completion, Delivery, GossipConfig, GossipTopology,
-        PeerTable, Placement, PlacementRequest, Prompt, PromptPart, RemoteHost, Stage,
+        Assignment, Balancer, Candidate, Completion, Delivery, GossipConfig, GossipTopology, Peer,
+        PeerTable, Placement, PlacementRequest, Prompt, PromptPart, Stage,
     },
     catalog::EngineSpec,
     wire::{self, Digest},
@@ -124,11 +124,10 @@
 
 #[test]
 fn a_small_fleet_is_a_full_mesh_and_a_large_one_has_leaders() {
-    let peers = |n: u64| -> Vec<RemoteHost> {
+    let peers = |n: u64| -> Vec<Peer> {
         let centre = |host| if host % 2 == 0 { LOCAL_CENTRE } else { REMOTE_CENTRE };
-        let remote_host =
-            |host| RemoteHost { host, data_centre: Some(centre(host)), last_heard: NOW };
-        (1..=n).map(remote_host).collect()
+        let peer = |host| Peer { host, data_centre: Some(centre(host)), last_heard: NOW };
+        (1..=n).map(peer).collect()
     };
     let recipients = |own: u64, n: u64, sequence: u64| -> Vec<u64> {
         let peers = peers(n);
@@ -151,13 +150,13 @@
 
 #[test]
 fn the_standby_takes_over_from_a_silent_leader() {
-    let hosts = |n_silent: u64| -> Vec<RemoteHost> {
-        let remote_host = |host: u64| RemoteHost {
+    let hosts = |n_silent: u64| -> Vec<Peer> {
+        let peer = |host: u64| Peer {
             host,
             data_centre: Some(LOCAL_CENTRE),
             last_heard: if host <= n_silent { NOW - Duration::from_secs(3) } else { NOW },
         };
-        (1..=30).map(remote_host).collect()
+        (1..=30).map(peer).collect()
     };
     let leaders = |n_silent: u64| -> Vec<u64> {
         let is_leader = |own: &u64| {
@@ -284,10 +283,10 @@
 }
 
 /// Hosts of two data centres in a large fleet, all heard just now.
-fn large_fleet() -> Vec<RemoteHost> {
+fn large_fleet() -> Vec<Peer> {
     let centre = |host| if host % 2 == 0 { LOCAL_CENTRE } else { REMOTE_CENTRE };
-    let remote_host = |host| RemoteHost { host, data_centre: Some(centre(host)), last_heard: NOW };
-    (1..=60).map(remote_host).collect()
+    let peer = |host| Peer { host, data_centre: Some(centre(host)), last_heard: NOW };
+    (1..=60).map(peer).collect()
 }
 
 /// Merges a digest if a host would.
