--- a/crates/portfield/src/balance/load_shedder.rs
+++ b/crates/portfield/src/balance/load_shedder.rs
@@ -16,8 +16,8 @@
 const RECOVERY_TIME: Duration = Duration::from_millis(1500);
 /// Fraction of the peak load under overload below which a calm host has headroom for callers again.
 const RECOVERY_LOAD: f64 = 0.5;
-/// Time after which overload ends at any load: the usual load may be above that fraction of the
-/// peak.
+/// Time after which the overload of a calm host ends at any load: its usual load may be above that
+/// fraction of the peak.
 const MAX_OVERLOAD: Duration = Duration::from_secs(10);
 /// Lateness in milliseconds at which requests begin to be refused, and at which nearly all are: a
 /// request refused at once is served by another host.
