--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -17,8 +17,9 @@
 
 /// Time between two digests in a small fleet; a shorter period did not improve what callers get.
 const PERIOD: Duration = Duration::from_millis(50);
-/// Period per host of a data centre, which applies once it exceeds [`PERIOD`]. A leader then receives
-/// and sends about 500 datagrams a second each, a sixth of the smallest host's processor time.
+/// Period per host of a data centre, which applies once it exceeds [`PERIOD`]. A leader then
+/// receives and sends about 500 datagrams per second each way, a sixth of the smallest host's
+/// processor time.
 const PERIOD_PER_HOST: Duration = Duration::from_millis(2);
 /// Time without a digest after which a host is sent only an occasional one.
 const SILENT_AFTER: Duration = Duration::from_secs(5);
--- a/crates/portfield/src/balance/upstream_table.rs
+++ b/crates/portfield/src/balance/upstream_table.rs
@@ -171,8 +171,8 @@
     /// hosts only.
     ///
     /// Of the other hosts' totals it counts the growth since this host first heard them. With the
-    /// full totals, a restarted leader would report everything that its neighbours ever did to the
-    /// other data centres as new.
+    /// full totals, a restarted leader would report to the other data centres, as new, everything
+    /// that its neighbours ever did.
     pub(crate) fn summary(&mut self, now: Duration, data_centre: u32) -> Summary {
         let members =
             || self.peers.values().filter(|it| it.data_centre == data_centre && it.n_summed == 0);
