--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -1,4 +1,4 @@
-//! One scheduler process: members, owned shards, sessions with routers and peers.
+//! State machine of one scheduler process: members, owned shards, sessions with routers and peers.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -8,9 +8,9 @@
 };
 
 use super::{
-    decision::{Decision, Decisions, Step},
-    key::ShardKey,
-    owner::{Limits, Owner, Status},
+    decision::{Decision, DecisionLog, Step},
+    owner::{OwnerConfig, ShardOwner, ShardStatus},
+    shard_key::ShardKey,
     slots::Health,
     standby::Standby,
 };
@@ -21,183 +21,190 @@
     wire,
 };
 
-/// A host that has heard of no other for this long after its start is alone.
-const JOIN_LIMIT: Duration = Duration::from_secs(3);
-/// What a scheduler is told at its start.
+/// Time after its start until which a host that knows no other host owns no shards.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Configuration of a scheduler.
 #[derive(Debug, Clone)]
-pub struct Settings {
-    /// This host.
-    pub me: ListEntry,
-    /// Larger than that of any earlier life.
+pub struct SchedulerConfig {
+    /// This host, as in the platform's host list.
+    pub entry: ListEntry,
+    /// Incarnation of the process, larger than that of any earlier one at this host.
     pub incarnation: Incarnation,
-    /// What its owners keep to.
-    pub limits: Limits,
+    /// Limits and periods of the owners.
+    pub owner: OwnerConfig,
 }
 
-/// What happens to a scheduler.
+/// Input of a scheduler.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The platform's host list was read.
-    Listed(Vec<ListEntry>),
-    /// A configuration was read, from the platform or a peer.
-    Offered(Fleet),
+    HostList(Vec<ListEntry>),
+    /// A configuration was read from the platform or a peer.
+    Config(Fleet),
     /// A router's frame arrived.
-    Router(HostId, wire::RouterFrame),
+    RouterFrame(HostId, wire::RouterFrame),
     /// A router opened its session.
-    RouterUp(HostId),
+    RouterConnected(HostId),
     /// A router's session ended.
-    RouterDown(HostId),
+    RouterDisconnected(HostId),
     /// A peer's frame arrived.
-    Peer(wire::PeerFrame),
-    /// A frame to a peer was answered, or its answer is lost.
-    PeerSent(wire::PeerFrame, Option<wire::PeerReply>),
-    /// A probe of a host was answered, with the membership that came along.
-    Answered(HostId, wire::ProbeReply),
+    PeerFrame(wire::PeerFrame),
+    /// A peer replied to a frame, or its reply is lost.
+    PeerReply(wire::PeerFrame, Option<wire::PeerReply>),
+    /// A host answered a probe; the answer carries membership gossip.
+    ProbeReply(HostId, wire::ProbeReply),
     /// A probe was refused: nothing listens at the host's address.
-    Refused(HostId),
+    ProbeRefused(HostId),
     /// A probe arrived.
-    Probed(wire::ProbeRequest),
-    /// An upstream's load report was read, or could not be.
-    Report(UpstreamId, Health),
-    /// This host is to hand over what it owns.
+    ProbeRequest(wire::ProbeRequest),
+    /// A health check of an upstream finished.
+    UpstreamHealth(UpstreamId, Health),
+    /// This host is leaving and must hand over the shards it owns.
     Leave,
-    /// Time passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a scheduler asks its process to do.
+/// Output of a scheduler, to be carried out by its process.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a frame to a router.
-    Router(HostId, wire::OwnerFrame),
+    SendToRouter(HostId, wire::OwnerFrame),
     /// Send a frame to a peer.
-    Peer(SocketAddr, wire::PeerFrame),
-    /// Probe a host: the address to send to, the host in question, the message.
-    Probe(SocketAddr, HostId, wire::ProbeRequest),
+    SendToPeer(SocketAddr, wire::PeerFrame),
+    /// Send a probe: the address to send it to, the host that is probed, the message.
+    SendProbe(SocketAddr, HostId, wire::ProbeRequest),
     /// Fetch the configuration from a peer that has a higher revision.
-    Fetch(SocketAddr),
+    FetchConfig(SocketAddr),
 }
 
-/// One scheduler process.
+/// State machine of one scheduler process.
 #[derive(Debug)]
 pub struct Scheduler {
-    settings: Settings,
+    config: SchedulerConfig,
     pub(super) view: View,
     probes: Probes,
     pub(super) adopted: Adopted,
-    pub(super) owners: BTreeMap<ShardKey, Owner>,
+    pub(super) owners: BTreeMap<ShardKey, ShardOwner>,
+    /// Counters received as the successor of other hosts' shards.
     pub(super) standby: BTreeMap<ShardKey, Standby>,
+    /// Hosts whose routers have a session.
     routers: HashSet<HostId>,
-    told: BTreeMap<HostId, (State, Incarnation)>,
-    told_revision: Revision,
-    seen_version: (u64, Revision),
+    /// Members of this data centre as last sent to the routers.
+    sent_members: BTreeMap<HostId, (State, Incarnation)>,
+    /// Configuration revision last sent to the routers.
+    sent_revision: Revision,
+    /// Versions of membership and configuration for which ownership was last computed.
+    assigned_version: (u64, Revision),
+    /// Largest incarnation assigned to an owner so far.
     next_incarnation: Incarnation,
-    decisions: Decisions,
-    /// Until then a host that has heard of no other owns nothing.
-    joins_by: Option<Duration>,
+    decisions: DecisionLog,
+    /// Time until which a host that knows no other host owns no shards; `None` once it has joined.
+    join_deadline: Option<Duration>,
     pub(super) actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// Builds a scheduler that knows nothing but itself.
-    pub fn new(settings: Settings) -> Self {
-        let seed = settings.incarnation ^ u64::from(settings.me.address.port());
+    /// Creates a scheduler that knows only its own host.
+    pub fn new(config: SchedulerConfig) -> Self {
+        let seed = config.incarnation ^ u64::from(config.entry.address.port());
         Self {
-            view: View::new(settings.me.clone(), settings.incarnation),
+            view: View::new(config.entry.clone(), config.incarnation),
             probes: Probes::new(seed),
             adopted: Adopted::default(),
             owners: BTreeMap::new(),
             standby: BTreeMap::new(),
             routers: HashSet::new(),
-            told: BTreeMap::new(),
-            told_revision: 0,
-            seen_version: (0, 0),
-            next_incarnation: settings.incarnation,
-            decisions: Decisions::default(),
-            joins_by: Some(JOIN_LIMIT),
+            sent_members: BTreeMap::new(),
+            sent_revision: 0,
+            assigned_version: (0, 0),
+            next_incarnation: config.incarnation,
+            decisions: DecisionLog::default(),
+            join_deadline: Some(JOIN_TIMEOUT),
             actions: Vec::new(),
-            settings,
+            config,
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        self.apply(now, event);
-        self.probe(now);
-        self.reassign(now);
+        self.handle_event(now, event);
+        self.send_probes(now);
+        self.update_ownership(now);
         for it in self.owners.values_mut() {
             it.dispatch(now);
         }
         self.send_answers(now);
-        self.send_frames(now);
+        self.send_peer_frames(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns when it wants the next [`Event::Tick`] at the latest.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
-        let frames = self.owners.values().map(|it| it.next_frame().max(it.granting()));
+        let frames = self.owners.values().map(|it| it.next_frame_at().max(it.recovery_end()));
         frames.chain([self.probes.next()]).min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration in force at this host.
     pub fn fleet(&self) -> &Arc<Fleet> {
         self.adopted.fleet()
     }
 
-    /// Returns what is known of the members.
+    /// Returns this host's view of the members.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the upstreams whose load reports are wanted.
-    pub fn watched(&self) -> Vec<(UpstreamId, SocketAddr)> {
+    /// Returns the upstreams of the owned shards, which need health checks.
+    pub fn watched_upstreams(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let fleet = self.adopted.fleet();
         let all = self.owners.keys().flat_map(|it| fleet.upstreams_of(*it));
         all.map(|it| (it.id, it.address)).collect()
     }
 
-    /// Returns what the owned shards show.
-    pub fn status(&self) -> Vec<Status> {
-        self.owners.values().map(Owner::status).collect()
+    /// Returns the status of the owned shards.
+    pub fn status(&self) -> Vec<ShardStatus> {
+        self.owners.values().map(ShardOwner::status).collect()
     }
 
-    /// Returns an owned shard.
-    pub fn owner(&self, shard: ShardKey) -> Option<&Owner> {
+    /// Returns the owner of a shard, if this host owns it.
+    pub fn owner(&self, shard: ShardKey) -> Option<&ShardOwner> {
         self.owners.get(&shard)
     }
 
-    /// Returns the remembered decisions on a ticket, the oldest first.
+    /// Returns the logged decisions about a router's ticket, oldest first.
     pub fn decisions(&self, host: HostId, ticket: TicketId) -> Vec<&Decision> {
-        self.decisions.on(host, ticket).collect()
+        self.decisions.of_ticket(host, ticket).collect()
     }
 
-    fn apply(&mut self, now: Duration, event: Event) {
+    fn handle_event(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Listed(entries) => self.view.list(now, &entries),
-            Event::Offered(fleet) => self.adopt(now, fleet),
-            Event::Router(host, frame) => self.hear_router(now, host, &frame),
-            Event::RouterUp(host) => self.router_up(now, host),
-            Event::RouterDown(host) => self.router_down(now, host),
-            Event::Peer(frame) => self.hear_peer(now, &frame),
-            Event::PeerSent(frame, reply) => self.peer_sent(now, &frame, reply.as_ref()),
-            Event::Answered(host, reply) => {
+            Event::HostList(entries) => self.view.list(now, &entries),
+            Event::Config(fleet) => self.adopt_config(now, fleet),
+            Event::RouterFrame(host, frame) => self.handle_router_frame(now, host, &frame),
+            Event::RouterConnected(host) => self.add_router(now, host),
+            Event::RouterDisconnected(host) => self.remove_router(now, host),
+            Event::PeerFrame(frame) => self.handle_peer_frame(now, &frame),
+            Event::PeerReply(frame, reply) => self.handle_peer_reply(now, &frame, reply.as_ref()),
+            Event::ProbeReply(host, reply) => {
                 self.view.merge(now, Some(host), &reply.gossip);
                 if reply.alive {
                     self.probes.answered(now, &mut self.view, host);
                 }
-                self.learn_revision(host, reply.revision);
+                self.fetch_if_newer(host, reply.revision);
             }
-            Event::Refused(host) => self.probes.refused(now, &mut self.view, host),
-            Event::Probed(request) => {
+            Event::ProbeRefused(host) => self.probes.refused(now, &mut self.view, host),
+            Event::ProbeRequest(request) => {
                 let from = request.from.parse().ok();
                 self.view.merge(now, from, &request.gossip);
                 if let Some(host) = from {
-                    self.learn_revision(host, request.revision);
+                    self.fetch_if_newer(host, request.revision);
                 }
             }
-            Event::Report(id, health) => {
+            Event::UpstreamHealth(id, health) => {
                 for it in self.owners.values_mut() {
-                    it.report(now, id, health);
+                    it.record_health(now, id, health);
                 }
             }
             Event::Leave => self.view.leave(now),
@@ -209,14 +216,15 @@
     pub fn probe_reply(&mut self, request: &wire::ProbeRequest) -> wire::ProbeReply {
         let from = request.from.parse().ok();
         let mut gossip = self.view.gossip(from);
-        // A host that has no configuration yet has just started: it learns everything at once.
+        // A host without a configuration has just started: it gets all members at once.
         if request.revision == 0 && 0 < self.adopted.revision() {
             gossip = self.view.to_wire(|_| true);
         }
         wire::ProbeReply { alive: true, gossip, revision: self.adopted.revision() }
     }
 
-    fn adopt(&mut self, now: Duration, fleet: Fleet) {
+    /// Adopts a configuration, if it is newer, and applies it to the owners.
+    fn adopt_config(&mut self, now: Duration, fleet: Fleet) {
         if !self.adopted.offer(fleet) {
             return;
         }
@@ -226,44 +234,47 @@
         }
     }
 
-    fn learn_revision(&mut self, host: HostId, revision: Revision) {
+    /// Fetches the configuration of a host if its revision is newer.
+    fn fetch_if_newer(&mut self, host: HostId, revision: Revision) {
         if revision <= self.adopted.revision() {
             return;
         }
         if let Some(it) = self.view.get(host) {
-            self.actions.push(Action::Fetch(it.address));
+            self.actions.push(Action::FetchConfig(it.address));
         }
     }
 
-    fn router_up(&mut self, now: Duration, host: HostId) {
+    /// Adds a router whose session opened. If it already had one, its tickets and requests are removed
+    /// first, as it registers them again.
+    fn add_router(&mut self, now: Duration, host: HostId) {
         if !self.routers.insert(host) {
-            self.owners.values_mut().for_each(|it| it.router_gone(now, host));
+            self.owners.values_mut().for_each(|it| it.remove_router(now, host));
         }
         let frame = wire::OwnerFrame {
             answers: Vec::new(),
-            members: self.home_members(),
+            members: self.local_members(),
             revision: self.adopted.revision(),
         };
-        self.actions.push(Action::Router(host, frame));
+        self.actions.push(Action::SendToRouter(host, frame));
     }
 
-    fn router_down(&mut self, now: Duration, host: HostId) {
+    fn remove_router(&mut self, now: Duration, host: HostId) {
         self.routers.remove(&host);
-        self.owners.values_mut().for_each(|it| it.router_gone(now, host));
+        self.owners.values_mut().for_each(|it| it.remove_router(now, host));
     }
 
-    fn hear_router(&mut self, now: Duration, host: HostId, frame: &wire::RouterFrame) {
+    fn handle_router_frame(&mut self, now: Duration, host: HostId, frame: &wire::RouterFrame) {
         for report in &frame.reports {
             let Some(shard) = report.shard.as_ref().map(ShardKey::from) else { continue };
             if self.owners.contains_key(&shard) {
-                self.hear_report(now, host, shard, report);
+                self.handle_shard_report(now, host, shard, report);
             } else if !report.tickets.is_empty() || !report.running.is_empty() {
-                self.disown(host, shard);
+                self.send_not_owner(host, shard);
             }
         }
     }
 
-    fn hear_report(
+    fn handle_shard_report(
         &mut self,
         now: Duration,
         host: HostId,
@@ -273,11 +284,11 @@
         let fleet = self.adopted.fleet().clone();
         let Some(owner) = self.owners.get_mut(&shard) else { return };
         for it in &report.running {
-            let home = fleet.upstream(it.upstream).map(|it| fleet.shard_of(it));
-            owner.resume(host, it, home.filter(|it| *it != shard));
+            let home_shard = fleet.upstream(it.upstream).map(|it| fleet.shard_of(it));
+            owner.resume(host, it, home_shard.filter(|it| *it != shard));
         }
         for it in &report.progress {
-            owner.progress(host, it);
+            owner.record_progress(host, it);
         }
         for it in &report.done {
             owner.finish(now, host, it);
@@ -290,26 +301,27 @@
         }
         for it in &report.tickets {
             let step = Step::Queued { shard, hint: it.hint };
-            self.decisions.push(now, host, it.id, step);
+            self.decisions.record(now, host, it.id, step);
         }
         for it in &report.done {
             let step = Step::Ended { shard, cost: it.cost, declined: it.declined };
-            self.decisions.push(now, host, it.id, step);
+            self.decisions.record(now, host, it.id, step);
         }
     }
 
-    fn disown(&mut self, host: HostId, shard: ShardKey) {
+    /// Tells a router that this host does not own a shard.
+    fn send_not_owner(&mut self, host: HostId, shard: ShardKey) {
         let answer =
             wire::ShardAnswer { shard: Some(shard.into()), not_owner: true, ..Default::default() };
         let frame = wire::OwnerFrame {
             answers: vec![answer],
-            members: self.home_members(),
+            members: self.local_members(),
             revision: self.adopted.revision(),
         };
-        self.actions.push(Action::Router(host, frame));
+        self.actions.push(Action::SendToRouter(host, frame));
     }
 
-    fn probe(&mut self, now: Duration) {
+    fn send_probes(&mut self, now: Duration) {
         let me = self.view.me();
         for probe in self.probes.tick(now, &mut self.view) {
             let (to, host, target) = match probe {
@@ -323,55 +335,56 @@
                 revision: self.adopted.revision(),
             };
             if let Some(it) = self.view.get(to) {
-                self.actions.push(Action::Probe(it.address, host, request));
+                self.actions.push(Action::SendProbe(it.address, host, request));
             }
         }
     }
 
-    /// Returns whether this host knows the others, or has waited for them long enough. One
-    /// that took itself for the only host would own every shard of its data centre.
+    /// Returns whether this host knows another one, or [`JOIN_TIMEOUT`] is over. A host that assumes
+    /// too early that it is alone would take ownership of all shards of its data centre.
     fn has_joined(&mut self, now: Duration) -> bool {
-        if 1 < self.view.iter().count() || self.joins_by.is_some_and(|it| it <= now) {
-            self.joins_by = None;
+        if 1 < self.view.iter().count() || self.join_deadline.is_some_and(|it| it <= now) {
+            self.join_deadline = None;
         }
-        self.joins_by.is_none()
+        self.join_deadline.is_none()
     }
 
-    /// Computes anew which shards this host owns, where members or configuration changed.
-    fn reassign(&mut self, now: Duration) {
+    /// Recomputes which shards this host owns, if members or configuration changed.
+    fn update_ownership(&mut self, now: Duration) {
         if !self.has_joined(now) {
             return;
         }
         let version = (self.view.version(), self.adopted.revision());
-        if self.seen_version == version {
+        if self.assigned_version == version {
             return;
         }
-        self.seen_version = version;
+        self.assigned_version = version;
         let fleet = self.adopted.fleet().clone();
         let me = self.view.me();
-        let home = fleet.data_centre(&self.settings.me.data_centre);
-        let mut mine = Vec::new();
+        let local = fleet.data_centre(&self.config.entry.data_centre);
+        let mut owned = Vec::new();
         for service in &fleet.services {
-            let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == home);
-            mine.extend(shards.filter(|it| self.owner_host(&fleet, *it) == Some(me)));
+            let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == local);
+            owned.extend(shards.filter(|it| self.owner_host(&fleet, *it) == Some(me)));
         }
-        let lost: Vec<_> = self.owners.keys().filter(|it| !mine.contains(it)).copied().collect();
+        let lost: Vec<_> = self.owners.keys().filter(|it| !owned.contains(it)).copied().collect();
         for shard in lost {
             self.hand_over(now, shard);
         }
-        for shard in mine {
-            self.own(now, shard, &fleet);
+        for shard in owned {
+            self.take_ownership(now, shard, &fleet);
         }
-        self.tell_members();
+        self.send_members();
     }
 
-    fn own(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
+    /// Creates the owner of a shard, unless there is one, and sets its peers.
+    fn take_ownership(&mut self, now: Duration, shard: ShardKey, fleet: &Fleet) {
         if !self.owners.contains_key(&shard) {
             let standby = self.standby.remove(&shard);
-            let earlier = standby.as_ref().and_then(|it| it.newest(shard));
+            let earlier = standby.as_ref().and_then(|it| it.latest_incarnation(shard));
             let incarnation = self.new_incarnation(now, earlier);
-            let limits = self.settings.limits.clone();
-            let mut owner = Owner::new(now, shard, incarnation, limits);
+            let config = self.config.owner.clone();
+            let mut owner = ShardOwner::new(now, shard, incarnation, config);
             owner.configure(now, fleet);
             if let Some(it) = standby {
                 owner.restore(it.sets.into_values(), &it.lifts);
@@ -383,35 +396,37 @@
         }
     }
 
-    /// Returns a number above those of all earlier ownerships: hosts started at different
-    /// times, so it counts on from the host's own start, and above what the standby knows.
+    /// Returns an incarnation for an owner, above those of all earlier owners.
+    ///
+    /// It derives from the start time of the host plus the time since, so that a later owner at a
+    /// host that started earlier has a larger one, and is above `earlier`, the largest one known.
     pub(super) fn new_incarnation(
         &mut self,
         now: Duration,
         earlier: Option<Incarnation>,
     ) -> Incarnation {
-        let by_clock = self.settings.incarnation + now.as_millis() as u64;
+        let from_clock = self.config.incarnation + now.as_millis() as u64;
         let earlier = earlier.unwrap_or(0).max(self.next_incarnation);
-        self.next_incarnation = by_clock.max(earlier + 1);
+        self.next_incarnation = from_clock.max(earlier + 1);
         self.next_incarnation
     }
 
-    /// Ends the ownership of a shard: the routers register with the next owner, which
-    /// gets the counters at once.
+    /// Ends the ownership of a shard: sends its counters to the next owner, and tells its routers to
+    /// register there.
     fn hand_over(&mut self, now: Duration, shard: ShardKey) {
         let Some(mut owner) = self.owners.remove(&shard) else { return };
-        let frame = owner.last_frame();
+        let frame = owner.handover_frame();
         let fleet = self.adopted.fleet().clone();
         let next = self.owner_host(&fleet, shard);
         if let Some(it) = next.and_then(|it| self.view.get(it)) {
             let frame = wire::PeerFrame { from: self.view.me().to_string(), shards: vec![frame] };
-            self.actions.push(Action::Peer(it.address, frame));
+            self.actions.push(Action::SendToPeer(it.address, frame));
         }
         for host in owner.routers() {
-            self.disown(host, shard);
+            self.send_not_owner(host, shard);
         }
         let me = self.view.me();
-        self.decisions.push(now, me, 0, Step::HandedOver { shard });
+        self.decisions.record(now, me, 0, Step::HandedOver { shard });
     }
 
     fn send_answers(&mut self, now: Duration) {
@@ -422,36 +437,37 @@
             }
         }
         for (host, mut frame) in frames {
-            frame.answers.iter().for_each(|it| self.decisions.note_answer(now, host, it));
+            frame.answers.iter().for_each(|it| self.decisions.record_answer(now, host, it));
             frame.revision = self.adopted.revision();
-            self.actions.push(Action::Router(host, frame));
+            self.actions.push(Action::SendToRouter(host, frame));
         }
     }
 
-    pub(super) fn home_members(&self) -> Vec<wire::Member> {
-        let home = &self.settings.me.data_centre;
-        self.view.to_wire(|(_, it)| it.data_centre == *home)
+    /// Returns the members of this data centre.
+    pub(super) fn local_members(&self) -> Vec<wire::Member> {
+        let data_centre = &self.config.entry.data_centre;
+        self.view.to_wire(|(_, it)| it.data_centre == *data_centre)
     }
 
-    /// Tells the routers which members of this data centre changed.
-    fn tell_members(&mut self) {
-        let home = &self.settings.me.data_centre;
-        let told = &mut self.told;
-        let fresh = self.view.to_wire(|(host, it)| {
+    /// Sends the members of this data centre that changed, and the revision, to all routers.
+    fn send_members(&mut self) {
+        let data_centre = &self.config.entry.data_centre;
+        let sent = &mut self.sent_members;
+        let changed = self.view.to_wire(|(host, it)| {
             let now = (it.state, it.incarnation);
-            it.data_centre == *home && told.insert(*host, now) != Some(now)
+            it.data_centre == *data_centre && sent.insert(*host, now) != Some(now)
         });
         let revision = self.adopted.revision();
-        if fresh.is_empty() && self.told_revision == revision {
+        if changed.is_empty() && self.sent_revision == revision {
             return;
         }
-        self.told_revision = revision;
+        self.sent_revision = revision;
         let mut routers: Vec<_> = self.routers.iter().copied().collect();
         routers.sort_unstable();
         for host in routers {
-            let members = fresh.clone();
+            let members = changed.clone();
             let frame = wire::OwnerFrame { answers: Vec::new(), members, revision };
-            self.actions.push(Action::Router(host, frame));
+            self.actions.push(Action::SendToRouter(host, frame));
         }
     }
 }
--- a/crates/portfield/src/schedule/standby.rs
+++ b/crates/portfield/src/schedule/standby.rs
@@ -1,31 +1,31 @@
-//! What an owner sends ahead to its successor.
+//! Counters that an owner replicates to its successor.
 
 use std::collections::BTreeMap;
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{Incarnation, WorkspaceId},
     wire,
 };
 
-/// Another owner's counters, kept for the case that this host succeeds it.
+/// Counters of another host's shard, kept in case this host becomes its owner.
 #[derive(Debug, Default)]
 pub(super) struct Standby {
-    /// Counters of each ownership.
+    /// Counters of each incarnation of each owner.
     pub(super) sets: BTreeMap<(ShardKey, Incarnation), wire::UsageSet>,
-    /// Lifts of each workspace.
+    /// Lift of each workspace.
     pub(super) lifts: BTreeMap<WorkspaceId, u64>,
 }
 
 impl Standby {
-    /// Returns the latest ownership of a shard that is known.
-    pub(super) fn newest(&self, shard: ShardKey) -> Option<Incarnation> {
+    /// Returns the latest known incarnation of a shard's owner.
+    pub(super) fn latest_incarnation(&self, shard: ShardKey) -> Option<Incarnation> {
         let all = (shard, 0)..=(shard, Incarnation::MAX);
         self.sets.range(all).next_back().map(|((_, it), _)| *it)
     }
 
-    /// Takes in what the owner sent ahead.
-    pub(super) fn keep(&mut self, frame: &wire::PeerShard) {
+    /// Merges a frame that the owner sent to its successor.
+    pub(super) fn merge(&mut self, frame: &wire::PeerShard) {
         for set in &frame.sets {
             let Some(shard) = set.shard.as_ref().map(ShardKey::from) else { continue };
             let old = self.sets.entry((shard, set.incarnation)).or_default();
