--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -7,7 +7,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use http_types::Method;
-use portfield::member::ListEntry;
+use portfield::member::HostListEntry;
 use serde::{Deserialize, Serialize};
 
 use crate::http1::{self, Target};
@@ -81,8 +81,8 @@
 
 impl Host {
     /// Returns the entry for membership.
-    pub fn entry(&self) -> ListEntry {
-        ListEntry {
+    pub fn entry(&self) -> HostListEntry {
+        HostListEntry {
             host: self.scheduler.ip(),
             address: self.scheduler,
             data_centre: self.data_centre.clone(),
--- a/crates/portfield-net/src/settings.rs
+++ b/crates/portfield-net/src/settings.rs
@@ -2,18 +2,18 @@
 
 use std::{collections::HashMap, error, fmt, fs, net::SocketAddr, path::Path, time::Duration};
 
-use portfield::fleet::Mistake;
+use portfield::fleet::Diagnostic;
 use toml::{Table, Value};
 
 /// The settings file cannot be used; with every mistake found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<Diagnostic>,
 }
 
 impl Error {
     /// Returns every mistake.
-    pub fn mistakes(&self) -> &[Mistake] {
+    pub fn mistakes(&self) -> &[Diagnostic] {
         &self.mistakes
     }
 }
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the settings are not acceptable")?;
         for it in &self.mistakes {
-            write!(f, "\n  {}: {}", it.key, it.text)?;
+            write!(f, "\n  {}: {}", it.key, it.message)?;
         }
         Ok(())
     }
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct Reader {
     table: Table,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<Diagnostic>,
 }
 
 impl Reader {
@@ -207,7 +207,7 @@
     }
 
     fn mistake(&mut self, key: &str, text: String) {
-        self.mistakes.push(Mistake { key: key.to_owned(), text });
+        self.mistakes.push(Diagnostic { key: key.to_owned(), message: text });
     }
 }
 
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a replay.
 
-use portfield::{ids::UpstreamId, member::rank, schedule::ShardKey};
+use portfield::{ids::UpstreamId, member::rank_hosts, schedule::ShardKey};
 
 use super::{World, fleet::centre_name};
 use crate::{case::FaultKind, measure::Fate};
@@ -75,10 +75,10 @@
 
     /// Returns the host that owns the first shard of the first data centre.
     fn first_owner(&self) -> usize {
-        let centre = self.fleet.data_centre(&centre_name(0)).unwrap_or(0);
+        let centre = self.fleet.data_centre_id(&centre_name(0)).unwrap_or(0);
         let shard = ShardKey { service: self.fleet.services[0].id, data_centre: centre, part: 0 };
         let alive = self.hosts.iter().filter(|it| it.centre == 0 && it.scheduler.is_some());
-        let owner = rank(shard, alive.map(|it| it.ip));
+        let owner = rank_hosts(shard, alive.map(|it| it.ip));
         owner.first().map_or(0, |it| self.host(*it))
     }
 
--- a/crates/portfield-replay/src/sim/fleet.rs
+++ b/crates/portfield-replay/src/sim/fleet.rs
@@ -1,7 +1,7 @@
 //! The configuration of a case.
 
 use portfield::fleet::hash_token;
-use portfield::fleet::{Fleet, Intent, Kind, ServiceIntent, UpstreamIntent, WorkspaceIntent};
+use portfield::fleet::{Fleet, FleetSpec, Kind, ServiceSpec, UpstreamSpec, WorkspaceSpec};
 
 use crate::case::Case;
 
@@ -16,16 +16,16 @@
 /// Builds the configuration of a case: every service has its own engines.
 pub(super) fn build(case: &Case) -> Fleet {
     let deployment = &case.deployment;
-    let mut intent = Intent {
+    let mut intent = FleetSpec {
         data_centres: (0..deployment.hosts.len()).map(centre_name).collect(),
-        ..Intent::default()
+        ..FleetSpec::default()
     };
     for it in &case.load {
         if !intent.services.iter().any(|old| old.name == it.service) {
             intent.services.push(service(&it.service, deployment.token_us));
         }
         if !intent.workspaces.iter().any(|old| old.name == it.workspace) {
-            intent.workspaces.push(WorkspaceIntent {
+            intent.workspaces.push(WorkspaceSpec {
                 name: it.workspace.clone(),
                 share: it.share,
                 token_sha256: hash_token(&it.workspace),
@@ -38,7 +38,7 @@
         for (centre, n) in deployment.engines.iter().enumerate() {
             for idx in 0..*n {
                 let ip = [127, number as u8 + 1, centre as u8 + 1, idx as u8 + 1];
-                intent.upstreams.push(UpstreamIntent {
+                intent.upstreams.push(UpstreamSpec {
                     address: (ip, 8000).into(),
                     service: it.name.clone(),
                     data_centre: centre_name(centre),
@@ -50,11 +50,11 @@
             }
         }
     }
-    intent.number(&Fleet::default())
+    intent.assign_ids(&Fleet::default())
 }
 
-fn service(name: &str, token_us: u64) -> ServiceIntent {
-    ServiceIntent {
+fn service(name: &str, token_us: u64) -> ServiceSpec {
+    ServiceSpec {
         name: name.to_owned(),
         kind: Kind::Engine,
         repeatable: true,
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -18,7 +18,7 @@
 use portfield::{
     fleet::Fleet,
     ids::{HostId, TicketId, UpstreamId},
-    member::ListEntry,
+    member::HostListEntry,
     route::{self, Router},
     schedule::{self, Health, Limits, Scheduler},
     wire,
@@ -216,7 +216,7 @@
         host.ticks.1 = Duration::MAX;
         let mut router = Router::new(host.ip, fleet::centre_name(host.centre), host.lives.1);
         for (ip, address) in seeds {
-            router.seed(ip, address);
+            router.add_scheduler(ip, address);
         }
         router.connect(self.now);
         host.router = Some(router);
@@ -230,10 +230,10 @@
         others.find(|it| *it != idx).unwrap_or(idx)
     }
 
-    fn entry(&self, idx: usize) -> ListEntry {
+    fn entry(&self, idx: usize) -> HostListEntry {
         let it = &self.hosts[idx];
         let data_centre = fleet::centre_name(it.centre);
-        ListEntry { host: it.ip, address: it.address, data_centre, leaving: false }
+        HostListEntry { host: it.ip, address: it.address, data_centre, leaving: false }
     }
 
     fn at(&mut self, at: Duration, event: Event) {
@@ -277,15 +277,15 @@
             }
             Event::Frame(host, from, frame) => {
                 let now = self.now;
-                self.route(host, |it| it.hear(now, from, &frame));
+                self.route(host, |it| it.handle_frame(now, from, &frame));
             }
             Event::RouterUp(host, from) => {
                 let now = self.now;
-                self.route(host, |it| it.session_up(now, from));
+                self.route(host, |it| it.session_opened(now, from));
             }
             Event::RouterDown(host, from) => {
                 let now = self.now;
-                self.route(host, |it| it.session_down(now, from));
+                self.route(host, |it| it.session_closed(now, from));
             }
             Event::Begin(start) => self.begin(start),
             Event::Tokens(upstream, run) => self.make_tokens(upstream, run),
@@ -311,16 +311,16 @@
     fn submit(&mut self, host: usize, request: usize) {
         let it = &self.arrivals[request];
         let workspace = self.fleet.workspaces.iter().find(|old| old.name == it.workspace);
-        let service = self.fleet.service_named(&it.service);
+        let service = self.fleet.service_by_name(&it.service);
         let (Some(workspace), Some(service)) = (workspace.cloned(), service) else { return };
         let deadline = self.now + service.wait_limit();
         let wanted = route::Request {
             workspace,
             service: service.id,
-            hint: it.hint,
-            batch: it.batch,
-            prefix: it.prefix,
-            bytes: 100,
+            cost_hint: it.hint,
+            is_batch: it.batch,
+            prefix_hash: it.prefix,
+            body_bytes: 100,
             deadline,
         };
         let now = self.now;
@@ -374,17 +374,17 @@
 
     fn act_router(&mut self, idx: usize, action: route::Action) {
         match action {
-            route::Action::Dial(host, _) => self.dial(idx, host),
+            route::Action::Connect(host, _) => self.dial(idx, host),
             route::Action::Send(host, frame) => self.send_router(idx, host, frame),
-            route::Action::Start(ticket, upstream) => self.start(idx, ticket, upstream),
-            route::Action::Refuse(ticket, _, _) => {
+            route::Action::Forward(ticket, upstream) => self.start(idx, ticket, upstream),
+            route::Action::Reject(ticket, _, _) => {
                 if let Some(request) = self.hosts[idx].tickets.remove(&ticket) {
                     self.measure.turn(self.now, request, Fate::Refused);
                 }
             }
-            route::Action::Fetch(_) => {
+            route::Action::FetchConfig(_) => {
                 let fleet = self.fleet.clone();
-                self.route(idx, |it| it.offer(fleet));
+                self.route(idx, |it| it.update_fleet(fleet));
             }
         }
     }
--- a/crates/portfield-replay/src/sim/runs.rs
+++ b/crates/portfield-replay/src/sim/runs.rs
@@ -73,7 +73,7 @@
         let time = engine.time(left.min(STEP));
         self.measure.serve(now, start.request, step);
         if 0 < left {
-            self.route(start.host, |it| it.progress(start.ticket, made));
+            self.route(start.host, |it| it.record_progress(start.ticket, made));
             self.after(time, Event::Tokens(upstream, run));
         } else if cut {
             // The rest is resumed once the link is back.
--- a/crates/portfield-replay/src/slopes.rs
+++ b/crates/portfield-replay/src/slopes.rs
@@ -9,9 +9,9 @@
 };
 
 use portfield::{
-    fleet::{Fleet, Intent, Kind, ServiceIntent, UpstreamIntent, WorkspaceIntent, hash_token},
+    fleet::{Fleet, FleetSpec, Kind, ServiceSpec, UpstreamSpec, WorkspaceSpec, hash_token},
     ids::HostId,
-    member::{ListEntry, View},
+    member::{HostListEntry, Membership},
     schedule::{Health, Limits, Owner, ShardKey},
     wire,
 };
@@ -42,8 +42,8 @@
 
 /// Builds a configuration with one service.
 pub fn fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
-    let mut intent = Intent { data_centres: vec!["north".to_owned()], ..Intent::default() };
-    intent.services.push(ServiceIntent {
+    let mut intent = FleetSpec { data_centres: vec!["north".to_owned()], ..FleetSpec::default() };
+    intent.services.push(ServiceSpec {
         name: "scribe".to_owned(),
         kind: Kind::Engine,
         repeatable: true,
@@ -53,7 +53,7 @@
         shard_size: 16,
     });
     intent.workspaces = (0..n_workspaces)
-        .map(|it| WorkspaceIntent {
+        .map(|it| WorkspaceSpec {
             name: format!("workspace-{it}"),
             share: 1 + it % 8,
             token_sha256: hash_token(&it.to_string()),
@@ -62,7 +62,7 @@
         })
         .collect();
     intent.upstreams = (0..n_upstreams)
-        .map(|it| UpstreamIntent {
+        .map(|it| UpstreamSpec {
             address: SocketAddr::from(([127, 1, (it / 250) as u8, (it % 250) as u8], 8000)),
             service: "scribe".to_owned(),
             data_centre: "north".to_owned(),
@@ -72,7 +72,7 @@
             models: vec!["base".to_owned()],
         })
         .collect();
-    intent.number(&Fleet::default())
+    intent.assign_ids(&Fleet::default())
 }
 
 /// Queues, grants and ends tickets of a number of workspaces and returns the cost of one.
@@ -273,13 +273,13 @@
     let entry = |idx: u8| {
         let host = HostId::from([10, 20, 30, 100 + idx]);
         let address = SocketAddr::new(host, 9090);
-        ListEntry { host, address, data_centre: "kengarags-hall".to_owned(), leaving: false }
+        HostListEntry { host, address, data_centre: "kengarags-hall".to_owned(), leaving: false }
     };
-    let mut view = View::new(entry(1), 1_800_000_000_000);
-    view.list(Duration::ZERO, &[entry(1), entry(2)]);
+    let mut view = Membership::new(entry(1), 1_800_000_000_000);
+    view.update_hosts(Duration::ZERO, &[entry(1), entry(2)]);
     wire::ProbeRequest {
-        from: view.me().to_string(),
-        gossip: view.gossip(Some(entry(2).host)),
+        from: view.local_host().to_string(),
+        gossip: view.take_gossip(Some(entry(2).host)),
         revision: 500,
         ..Default::default()
     }
--- a/crates/portfield-router/src/call.rs
+++ b/crates/portfield-router/src/call.rs
@@ -127,7 +127,7 @@
 fn find_service<'a>(fleet: &'a Fleet, uri: &http::Uri) -> Result<(&'a Service, String), Rejection> {
     let path = uri.path().strip_prefix('/').unwrap_or_default();
     let (name, rest) = path.split_once('/').unwrap_or((path, ""));
-    let service = fleet.service_named(name).ok_or_else(|| {
+    let service = fleet.service_by_name(name).ok_or_else(|| {
         let text = format!("no service is named `{name}`");
         Rejection::bad(StatusCode::NOT_FOUND, "path", text)
     })?;
--- a/crates/portfield-router/src/exchange.rs
+++ b/crates/portfield-router/src/exchange.rs
@@ -6,7 +6,7 @@
 };
 
 use http::{Response, StatusCode};
-use portfield::route::{Outcome, Phase, Reason, Request, backoff, outcome_of};
+use portfield::route::{AttemptPhase, Outcome, RejectReason, Request, backoff, outcome_of};
 use portfield::slo::Sample;
 use portfield_net::clock;
 
@@ -94,7 +94,7 @@
         };
         n_broken += 1;
         shell.record(&call.id, 0, format!("attempt broke: {}", broken.text));
-        let certain = broken.phase <= Phase::Declined;
+        let certain = broken.phase <= AttemptPhase::Declined;
         n_ambiguous += u32::from(!certain);
         call.sent.store(0 < n_ambiguous, Ordering::Relaxed);
         let allowed = certain || call.repeatable && call.key.is_none();
@@ -117,15 +117,15 @@
     let request = Request {
         workspace: call.workspace.clone(),
         service: call.service.id,
-        hint: call.hint,
-        batch: call.batch,
-        prefix: call.prefix(),
-        bytes: call.body.len(),
+        cost_hint: call.hint,
+        is_batch: call.batch,
+        prefix_hash: call.prefix(),
+        body_bytes: call.body.len(),
         deadline,
     };
     let ticket = shell.submit(request).map_err(|_| {
         let retry = Duration::from_secs(1);
-        refused(Reason::QueueFull, retry, n_ambiguous)
+        refused(RejectReason::QueueFull, retry, n_ambiguous)
     })?;
     shell.record(&call.id, ticket.id(), "waits for a grant");
     Ok(ticket)
@@ -140,11 +140,11 @@
     let upstream = match ticket.wait().await {
         Some(Verdict::Start(it)) => it,
         Some(Verdict::Refuse(reason, retry)) => return Err(refused(reason, retry, n_ambiguous)),
-        None => return Err(refused(Reason::Timeout, backoff(5, 1.0), n_ambiguous)),
+        None => return Err(refused(RejectReason::Timeout, backoff(5, 1.0), n_ambiguous)),
     };
     let Some(place) = Place::find(&shell.fleet(), upstream) else {
         let text = "the upstream is gone".to_owned();
-        return Ok(Err(Broken { phase: Phase::Unsent, text }));
+        return Ok(Err(Broken { phase: AttemptPhase::Unsent, text }));
     };
     shell.record(&call.id, ticket.id(), format!("granted: upstream {}", place.address));
     call.sent.store(true, Ordering::Relaxed);
@@ -157,13 +157,13 @@
     }
 }
 
-fn refused(reason: Reason, retry: Duration, n_ambiguous: u32) -> Rejection {
+fn refused(reason: RejectReason, retry: Duration, n_ambiguous: u32) -> Rejection {
     let (status, text) = match reason {
-        Reason::QueueFull => {
+        RejectReason::QueueFull => {
             (StatusCode::TOO_MANY_REQUESTS, "the workspace has too much waiting already")
         }
-        Reason::Timeout => (StatusCode::SERVICE_UNAVAILABLE, "no upstream was free in time"),
+        RejectReason::Timeout => (StatusCode::SERVICE_UNAVAILABLE, "no upstream was free in time"),
     };
-    let outcome = outcome_of(Phase::Unsent, n_ambiguous);
+    let outcome = outcome_of(AttemptPhase::Unsent, n_ambiguous);
     Rejection::gave_up(status, outcome, text, Some(retry))
 }
--- a/crates/portfield-router/src/resume.rs
+++ b/crates/portfield-router/src/resume.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use http::{Response, StatusCode};
-use portfield::route::{Outcome, read_token};
+use portfield::route::{Outcome, parse_resume_token};
 
 use crate::{
     answer::{Body, Rejection},
@@ -23,7 +23,7 @@
     token: &str,
 ) -> Result<Response<Body>, Rejection> {
     let fleet = shell.fleet();
-    let found = read_token(&fleet, call.workspace.id, token);
+    let found = parse_resume_token(&fleet, call.workspace.id, token);
     let Some((upstream, stream)) = found else {
         let text = "this is not the token of a stream of this workspace";
         return Err(Rejection::bad(StatusCode::FORBIDDEN, RESUME, text));
--- a/crates/portfield-router/src/session.rs
+++ b/crates/portfield-router/src/session.rs
@@ -21,17 +21,17 @@
         Some((channel, frames.into_inner()))
     };
     let Some((channel, mut frames)) = clock::timeout(CALL_TIMEOUT, open).await.flatten() else {
-        shell.with(|it| it.session_down(clock::now(), host));
+        shell.with(|it| it.session_closed(clock::now(), host));
         return;
     };
     let number = shell.open_session(host, sender);
     log::info!(host:% = host, session = number; "scheduler up");
-    shell.with(|it| it.session_up(clock::now(), host));
+    shell.with(|it| it.session_opened(clock::now(), host));
     while let Ok(Some(frame)) = frames.message().await {
         if !shell.is_current(host, number) {
             return;
         }
-        shell.with(|it| it.hear(clock::now(), host, &frame));
+        shell.with(|it| it.handle_frame(clock::now(), host, &frame));
     }
     drop(channel);
     log::info!(host:% = host, session = number; "scheduler down");
@@ -41,7 +41,7 @@
 /// Fetches the configuration from a scheduler that has a higher revision.
 pub(crate) async fn fetch(shell: Arc<Shell>, host: HostId) {
     let above = shell.fleet().revision;
-    let address = shell.with(|it| it.address(host));
+    let address = shell.with(|it| it.scheduler_address(host));
     let Some(address) = address else { return };
     let call = async {
         let channel = connect(&shell, address).await?;
@@ -50,7 +50,7 @@
     let Some(reply) = clock::timeout(CALL_TIMEOUT, call).await.flatten() else { return };
     let Ok(fleet) = serde_json::from_str::<Fleet>(&reply.into_inner().fleet) else { return };
     let revision = fleet.revision;
-    shell.with(|it| it.offer(fleet));
+    shell.with(|it| it.update_fleet(fleet));
     log::info!(revision; "configuration offered");
 }
 
--- a/crates/portfield-router/src/shell.rs
+++ b/crates/portfield-router/src/shell.rs
@@ -15,7 +15,7 @@
 use portfield::{
     fleet::{Fleet, Service},
     ids::{HostId, ServiceId, TicketId, UpstreamId, WorkspaceId},
-    route::{Action, Budget, Full, Reason, Request, Router},
+    route::{Action, QueueFull, RejectReason, Request, RetryBudget, Router},
     slo::{Sample, SlidingWindows},
     wire,
 };
@@ -44,7 +44,7 @@
     /// Send the request to this upstream.
     Start(UpstreamId),
     /// Give up; come back after the time given.
-    Refuse(Reason, Duration),
+    Refuse(RejectReason, Duration),
 }
 
 /// One step of a request, for operators.
@@ -80,7 +80,7 @@
     verdicts: HashMap<TicketId, Sender<Verdict>>,
     sessions: HashMap<HostId, (u64, Sender<wire::RouterFrame>)>,
     n_sessions: u64,
-    budget: Budget,
+    budget: RetryBudget,
     records: VecDeque<Record>,
     windows: SlidingWindows,
     firsts: BTreeMap<ServiceId, Histogram<u64>>,
@@ -108,7 +108,7 @@
         let life = clock::life();
         let mut core = Router::new(address.ip(), settings.data_centre.clone(), life & 0xff_ffff);
         for it in &settings.schedulers {
-            core.seed(it.ip(), *it);
+            core.add_scheduler(it.ip(), *it);
         }
         core.connect(clock::now());
         let state = State {
@@ -116,7 +116,7 @@
             verdicts: HashMap::new(),
             sessions: HashMap::new(),
             n_sessions: 0,
-            budget: Budget::full(),
+            budget: RetryBudget::full(),
             records: VecDeque::new(),
             windows: SlidingWindows::default(),
             firsts: BTreeMap::new(),
@@ -179,7 +179,7 @@
     }
 
     /// Registers a request; the ticket tells what comes of it.
-    pub(crate) fn submit(self: &Arc<Self>, request: Request) -> Result<Ticket, Full> {
+    pub(crate) fn submit(self: &Arc<Self>, request: Request) -> Result<Ticket, QueueFull> {
         let (sender, receiver) = async_channel::bounded(1);
         let mut state = self.lock();
         let id = state.core.submit(clock::now(), request)?;
@@ -196,12 +196,12 @@
 
     /// Pays for a retry, if the budget allows it.
     pub(crate) fn spend_retry(&self) -> bool {
-        self.lock().budget.spend()
+        self.lock().budget.withdraw()
     }
 
     /// Counts a request towards the retry budget.
     pub(crate) fn earn_retry(&self) {
-        self.lock().budget.earn();
+        self.lock().budget.deposit();
     }
 
     /// Remembers one step of a request.
@@ -320,12 +320,12 @@
             return;
         }
         self.lock().sessions.remove(&host);
-        self.with(|it| it.session_down(clock::now(), host));
+        self.with(|it| it.session_closed(clock::now(), host));
     }
 
     fn act(self: &Arc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Dial(host, address) => {
+            Action::Connect(host, address) => {
                 self.rt.spawn(session::run(self.clone(), host, address));
             }
             Action::Send(host, frame) => {
@@ -333,9 +333,9 @@
                     let _ = sender.try_send(frame);
                 }
             }
-            Action::Start(id, upstream) => tell(state, id, Verdict::Start(upstream)),
-            Action::Refuse(id, reason, retry) => tell(state, id, Verdict::Refuse(reason, retry)),
-            Action::Fetch(host) => self.rt.spawn(session::fetch(self.clone(), host)),
+            Action::Forward(id, upstream) => tell(state, id, Verdict::Start(upstream)),
+            Action::Reject(id, reason, retry) => tell(state, id, Verdict::Refuse(reason, retry)),
+            Action::FetchConfig(host) => self.rt.spawn(session::fetch(self.clone(), host)),
         }
     }
 
--- a/crates/portfield-router/src/ticket.rs
+++ b/crates/portfield-router/src/ticket.rs
@@ -33,7 +33,7 @@
 
     /// Counts what the request has cost so far.
     pub(crate) fn progress(&self, cost: u32) {
-        self.shell.with(|it| it.progress(self.id, cost));
+        self.shell.with(|it| it.record_progress(self.id, cost));
     }
 
     /// Ends a request that was answered.
@@ -53,7 +53,7 @@
     fn drop(&mut self) {
         self.shell.forget(self.id);
         if !self.ended {
-            self.shell.with(|it| it.withdraw(self.id));
+            self.shell.with(|it| it.cancel(self.id));
         }
     }
 }
--- a/crates/portfield-router/src/upstream.rs
+++ b/crates/portfield-router/src/upstream.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, Request, Response, header};
 use http_body_util::Full;
 use hyper::{body::Incoming, client::conn::http1};
-use portfield::{fleet::Fleet, ids::UpstreamId, route::Phase};
+use portfield::{fleet::Fleet, ids::UpstreamId, route::AttemptPhase};
 use portfield_net::{clock, socket::Socket};
 
 use crate::{
@@ -32,12 +32,12 @@
 /// An attempt that got no answer, and how far it came.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Broken {
-    pub phase: Phase,
+    pub phase: AttemptPhase,
     pub text: String,
 }
 
 impl Broken {
-    fn new(phase: Phase, text: impl Into<String>) -> Self {
+    fn new(phase: AttemptPhase, text: impl Into<String>) -> Self {
         Self { phase, text: text.into() }
     }
 }
@@ -78,7 +78,7 @@
     let response = exchange(shell, place, request).await?;
     let declined = response.headers().get(OUTCOME).is_some_and(|it| it == "not-run");
     if declined && response.status().is_server_error() {
-        return Err(Broken::new(Phase::Declined, "the upstream did not run it"));
+        return Err(Broken::new(AttemptPhase::Declined, "the upstream did not run it"));
     }
     Ok(response)
 }
@@ -119,17 +119,17 @@
     let home = shell.settings.data_centre == place.data_centre;
     let data_centre = if home { "" } else { place.data_centre.as_str() };
     let stream = links.connect(data_centre, place.address).await;
-    let stream = stream.map_err(|err| Broken::new(Phase::Unsent, err.to_string()))?;
+    let stream = stream.map_err(|err| Broken::new(AttemptPhase::Unsent, err.to_string()))?;
     let handshake = http1::handshake(Socket::from(stream)).await;
     let (mut sender, connection) =
-        handshake.map_err(|err| Broken::new(Phase::Unsent, err.to_string()))?;
+        handshake.map_err(|err| Broken::new(AttemptPhase::Unsent, err.to_string()))?;
     shell.rt.spawn(async move {
         let _ = connection.await;
     });
-    let late = || Err(Broken::new(Phase::Sent, "no answer in time"));
+    let late = || Err(Broken::new(AttemptPhase::Sent, "no answer in time"));
     let answer = async {
         let res = sender.send_request(request).await;
-        res.map_err(|err| Broken::new(Phase::Sent, err.to_string()))
+        res.map_err(|err| Broken::new(AttemptPhase::Sent, err.to_string()))
     };
     clock::timeout(shell.settings.answer_timeout, answer).await.unwrap_or_else(late)
 }
--- a/crates/portfield-scheduler/src/admin.rs
+++ b/crates/portfield-scheduler/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin port: readiness, status, decisions.
 
 use http_types::{Request, Response};
-use portfield::{member::State, schedule::Scheduler};
+use portfield::{member::MemberState, schedule::Scheduler};
 use portfield_net::{http1::json, rpc};
 use serde_json::{Value, json};
 
@@ -30,10 +30,10 @@
         .iter()
         .map(|(host, it)| {
             let state = match it.state {
-                State::Alive => "alive",
-                State::Suspect => "suspect",
-                State::Dead => "dead",
-                State::Leaving => "leaving",
+                MemberState::Alive => "alive",
+                MemberState::Suspect => "suspect",
+                MemberState::Dead => "dead",
+                MemberState::Leaving => "leaving",
             };
             json!({ "host": host, "data_centre": it.data_centre, "state": state })
         })
@@ -57,7 +57,7 @@
         })
         .collect();
     json!({
-        "host": core.view().me(),
+        "host": core.view().local_host(),
         "revision": core.fleet().revision,
         "control_sent": sent,
         "control_received": received,
--- a/crates/portfield-scheduler/src/shell.rs
+++ b/crates/portfield-scheduler/src/shell.rs
@@ -12,7 +12,7 @@
 use portfield::{
     fleet::Fleet,
     ids::HostId,
-    member::ListEntry,
+    member::HostListEntry,
     schedule::{self, Action, Event, Scheduler},
     wire,
 };
@@ -66,7 +66,7 @@
 impl Shell {
     /// Builds the state; `address` is the one it is bound to.
     pub(crate) fn new(rt: Runtime, settings: &Settings, address: SocketAddr) -> Arc<Self> {
-        let me = ListEntry {
+        let me = HostListEntry {
             host: address.ip(),
             address,
             data_centre: settings.data_centre.clone(),
@@ -170,7 +170,7 @@
     /// Probes a host in another host's place.
     pub(crate) async fn probe_for(self: &Arc<Self>, target: HostId) -> bool {
         let request = self.read(|it| wire::ProbeRequest {
-            from: it.view().me().to_string(),
+            from: it.view().local_host().to_string(),
             revision: it.fleet().revision,
             ..Default::default()
         });
@@ -182,7 +182,7 @@
     /// Sends a probe to an address that no host is known for yet.
     pub(crate) async fn probe_seed(self: &Arc<Self>, address: SocketAddr) {
         let request = self.read(|it| wire::ProbeRequest {
-            from: it.view().me().to_string(),
+            from: it.view().local_host().to_string(),
             ..Default::default()
         });
         if let Ok(reply) = self.ask(address, request).await {
--- a/crates/portfield/src/fleet/revision.rs
+++ b/crates/portfield/src/fleet/current.rs
@@ -10,21 +10,21 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::fleet::{Adopted, Fleet};
+/// use portfield::fleet::{CurrentFleet, Fleet};
 ///
-/// let mut adopted = Adopted::default();
-/// assert!(adopted.offer(Fleet { revision: 2, ..Fleet::default() }));
-/// assert!(!adopted.offer(Fleet { revision: 1, ..Fleet::default() }));
+/// let mut adopted = CurrentFleet::default();
+/// assert!(adopted.update(Fleet { revision: 2, ..Fleet::default() }));
+/// assert!(!adopted.update(Fleet { revision: 1, ..Fleet::default() }));
 /// assert_eq!(adopted.revision(), 2);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Adopted {
+pub struct CurrentFleet {
     fleet: Arc<Fleet>,
 }
 
-impl Adopted {
+impl CurrentFleet {
     /// Adopts a configuration if its revision is higher; returns whether it was.
-    pub fn offer(&mut self, fleet: Fleet) -> bool {
+    pub fn update(&mut self, fleet: Fleet) -> bool {
         if fleet.revision <= self.fleet.revision {
             return false;
         }
--- a/crates/portfield/src/fleet/error.rs
+++ b/crates/portfield/src/fleet/error.rs
@@ -15,32 +15,32 @@
     Corrupt,
 }
 
-/// One mistake in a configuration, with the key it stands under.
+/// One diagnostic in a configuration, with the key it stands under.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct Diagnostic {
     /// Path of the key, such as `workspace[2].share`.
     pub key: String,
     /// What is wrong, and what to write instead.
-    pub text: String,
+    pub message: String,
 }
 
-/// An error of the configuration layer, with every mistake found.
+/// An error of the configuration layer, with every diagnostic found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
-    mistakes: Vec<Mistake>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl Error {
     /// Builds an error of a kind.
-    pub(crate) fn new(kind: ErrorKind, mistakes: Vec<Mistake>) -> Self {
-        Self { kind, mistakes }
+    pub(crate) fn new(kind: ErrorKind, diagnostics: Vec<Diagnostic>) -> Self {
+        Self { kind, diagnostics }
     }
 
     /// Builds an error with a single mistake.
-    pub(crate) fn single(kind: ErrorKind, key: &str, text: impl Into<String>) -> Self {
-        let mistake = Mistake { key: key.to_owned(), text: text.into() };
-        Self::new(kind, vec![mistake])
+    pub(crate) fn single(kind: ErrorKind, key: &str, message: impl Into<String>) -> Self {
+        let diagnostic = Diagnostic { key: key.to_owned(), message: message.into() };
+        Self::new(kind, vec![diagnostic])
     }
 
     /// Returns the kind, for a caller that decides by it.
@@ -48,9 +48,9 @@
         self.kind
     }
 
-    /// Returns every mistake that was found.
-    pub fn mistakes(&self) -> &[Mistake] {
-        &self.mistakes
+    /// Returns every diagnostic that was found.
+    pub fn diagnostics(&self) -> &[Diagnostic] {
+        &self.diagnostics
     }
 }
 
@@ -63,8 +63,8 @@
             ErrorKind::Corrupt => "the stored plan is damaged; make a new one",
         };
         f.write_str(head)?;
-        for it in &self.mistakes {
-            write!(f, "\n  {}: {}", it.key, it.text)?;
+        for it in &self.diagnostics {
+            write!(f, "\n  {}: {}", it.key, it.message)?;
         }
         Ok(())
     }
--- a/crates/portfield/src/fleet/mod.rs
+++ b/crates/portfield/src/fleet/mod.rs
@@ -1,14 +1,14 @@
 //! The configuration of the fleet: what operators state, what it changes, what is in force.
 
+mod current;
 mod error;
-mod intent;
 mod model;
 mod plan;
-mod revision;
+mod spec;
 
-pub use error::{Error, ErrorKind, Mistake};
-pub use intent::{Intent, ServiceIntent, UpstreamIntent, WorkspaceIntent};
+pub use current::CurrentFleet;
+pub use error::{Diagnostic, Error, ErrorKind};
 pub(crate) use model::hex;
 pub use model::{DataCentre, Fleet, Kind, Service, Upstream, Workspace, hash_token};
 pub use plan::{Change, Plan};
-pub use revision::Adopted;
+pub use spec::{FleetSpec, ServiceSpec, UpstreamSpec, WorkspaceSpec};
--- a/crates/portfield/src/fleet/model.rs
+++ b/crates/portfield/src/fleet/model.rs
@@ -119,7 +119,7 @@
     }
 
     /// Finds a service by name.
-    pub fn service_named(&self, name: &str) -> Option<&Service> {
+    pub fn service_by_name(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|it| it.name == name)
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Finds a data centre by name.
-    pub fn data_centre(&self, name: &str) -> Option<DataCentreId> {
+    pub fn data_centre_id(&self, name: &str) -> Option<DataCentreId> {
         self.data_centres.iter().find(|it| it.name == name).map(|it| it.id)
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Returns the upstreams of a shard.
-    pub fn upstreams_of(&self, shard: ShardKey) -> impl Iterator<Item = &Upstream> + '_ {
+    pub fn upstreams_in_shard(&self, shard: ShardKey) -> impl Iterator<Item = &Upstream> + '_ {
         let n_parts = self.n_parts(shard.service, shard.data_centre);
         self.upstreams.iter().filter(move |it| {
             it.service == shard.service
--- a/crates/portfield/src/fleet/plan.rs
+++ b/crates/portfield/src/fleet/plan.rs
@@ -7,8 +7,8 @@
 
 use super::{
     error::{Error, ErrorKind},
-    intent::Intent,
     model::{Fleet, hex},
+    spec::FleetSpec,
 };
 use crate::ids::Revision;
 
@@ -60,18 +60,18 @@
     /// # Examples
     ///
     /// ```
-    /// use portfield::fleet::{Fleet, Intent, Plan};
+    /// use portfield::fleet::{Fleet, FleetSpec, Plan};
     ///
-    /// let intent = Intent::parse("data_centres = ['north']").unwrap();
+    /// let intent = FleetSpec::parse("data_centres = ['north']").unwrap();
     /// let plan = Plan::new(&intent, &Fleet::default());
     /// assert_eq!(plan.changes[0].to_string(), "+ data centre north");
     /// ```
-    pub fn new(intent: &Intent, base: &Fleet) -> Self {
-        Self::between(base, intent.number(base))
+    pub fn new(intent: &FleetSpec, base: &Fleet) -> Self {
+        Self::diff(base, intent.assign_ids(base))
     }
 
     /// Compares a changed configuration with the one in force.
-    pub fn between(base: &Fleet, mut fleet: Fleet) -> Self {
+    pub fn diff(base: &Fleet, mut fleet: Fleet) -> Self {
         fleet.revision = base.revision + 1;
         let changes = compare(base, &fleet);
         Self { base: base.revision, changes, fleet }
@@ -91,7 +91,7 @@
     ///
     /// [`ErrorKind::Stale`] with what changed since, [`ErrorKind::Corrupt`] where the
     /// content does not match `id`.
-    pub fn check(&self, id: &str, current: &Fleet) -> Result<(), Error> {
+    pub fn verify(&self, id: &str, current: &Fleet) -> Result<(), Error> {
         if self.id() != id {
             return Err(Error::single(ErrorKind::Corrupt, "plan", id));
         }
--- a/crates/portfield/src/fleet/intent.rs
+++ b/crates/portfield/src/fleet/spec.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    error::{Error, ErrorKind, Mistake},
+    error::{Diagnostic, Error, ErrorKind},
     model::{DataCentre, Fleet, Kind, Service, Upstream, Workspace},
 };
 
@@ -17,24 +17,24 @@
 /// The whole configuration as an operator states it.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Intent {
+pub struct FleetSpec {
     /// Names of the data centres.
     pub data_centres: Vec<String>,
     /// Services.
     #[serde(default, rename = "service")]
-    pub services: Vec<ServiceIntent>,
+    pub services: Vec<ServiceSpec>,
     /// Workspaces.
     #[serde(default, rename = "workspace")]
-    pub workspaces: Vec<WorkspaceIntent>,
+    pub workspaces: Vec<WorkspaceSpec>,
     /// Upstreams.
     #[serde(default, rename = "upstream")]
-    pub upstreams: Vec<UpstreamIntent>,
+    pub upstreams: Vec<UpstreamSpec>,
 }
 
 /// A service as stated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceIntent {
+pub struct ServiceSpec {
     /// Its name.
     pub name: String,
     /// `engine` or `plain`.
@@ -59,7 +59,7 @@
 /// A workspace as stated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkspaceIntent {
+pub struct WorkspaceSpec {
     /// Its name.
     pub name: String,
     /// Weight of its service against the others'.
@@ -77,7 +77,7 @@
 /// An upstream as stated; its address names it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct UpstreamIntent {
+pub struct UpstreamSpec {
     /// Where it listens.
     pub address: SocketAddr,
     /// Name of its service.
@@ -116,7 +116,7 @@
     16 << 20
 }
 
-impl Intent {
+impl FleetSpec {
     /// Reads an intent from TOML and checks it.
     ///
     /// # Errors
@@ -127,25 +127,25 @@
     /// # Examples
     ///
     /// ```
-    /// use portfield::fleet::Intent;
+    /// use portfield::fleet::FleetSpec;
     ///
-    /// let intent = Intent::parse("data_centres = ['north']").unwrap();
+    /// let spec = FleetSpec::parse("data_centres = ['north']").unwrap();
     /// assert_eq!(intent.data_centres, ["north"]);
-    /// let err = Intent::parse("data_centre = []").unwrap_err();
+    /// let err = FleetSpec::parse("data_centre = []").unwrap_err();
     /// assert!(err.to_string().contains("data_centre"));
     /// ```
     pub fn parse(text: &str) -> Result<Self, Error> {
         let res: Self = toml::from_str(text)
             .map_err(|err| Error::single(ErrorKind::Syntax, "file", err.to_string()))?;
-        let mistakes = res.mistakes();
-        if mistakes.is_empty() {
+        let diagnostics = res.validate();
+        if diagnostics.is_empty() {
             return Ok(res);
         }
-        Err(Error::new(ErrorKind::Invalid, mistakes))
+        Err(Error::new(ErrorKind::Invalid, diagnostics))
     }
 
     /// Numbers the parts; what `base` already has keeps its number.
-    pub fn number(&self, base: &Fleet) -> Fleet {
+    pub fn assign_ids(&self, base: &Fleet) -> Fleet {
         let mut next_id = base.next_id.max(1);
         let mut fresh = || {
             next_id += 1;
@@ -153,24 +153,24 @@
         };
         let mut res = Fleet { revision: base.revision + 1, ..Fleet::default() };
         for name in &self.data_centres {
-            let id = base.data_centre(name).unwrap_or_else(&mut fresh);
+            let id = base.data_centre_id(name).unwrap_or_else(&mut fresh);
             res.data_centres.push(DataCentre { id, name: name.clone() });
         }
         for it in &self.services {
-            let id = base.service_named(&it.name).map_or_else(&mut fresh, |it| it.id);
-            res.services.push(it.number(id));
+            let id = base.service_by_name(&it.name).map_or_else(&mut fresh, |it| it.id);
+            res.services.push(it.with_id(id));
         }
         for it in &self.workspaces {
             let old = base.workspaces.iter().find(|old| old.name == it.name);
             let id = old.map_or_else(&mut fresh, |it| it.id);
-            res.workspaces.push(it.number(id));
+            res.workspaces.push(it.with_id(id));
         }
         for it in &self.upstreams {
             let old = base.upstreams.iter().find(|old| old.address == it.address);
             let id = old.map_or_else(&mut fresh, |it| it.id);
-            let service = res.service_named(&it.service).map_or(0, |it| it.id);
-            let data_centre = res.data_centre(&it.data_centre).unwrap_or(0);
-            res.upstreams.push(it.number(id, service, data_centre));
+            let service = res.service_by_name(&it.service).map_or(0, |it| it.id);
+            let data_centre = res.data_centre_id(&it.data_centre).unwrap_or(0);
+            res.upstreams.push(it.with_id(id, service, data_centre));
         }
         res.next_id = next_id;
         res.data_centres.sort_by_key(|it| it.id);
@@ -180,7 +180,7 @@
         res
     }
 
-    fn mistakes(&self) -> Vec<Mistake> {
+    fn validate(&self) -> Vec<Diagnostic> {
         let mut res = Vec::new();
         let names = self.data_centres.iter().map(String::as_str);
         check_unique("data_centres", names, &mut res);
@@ -199,8 +199,8 @@
     }
 }
 
-impl ServiceIntent {
-    fn number(&self, id: u32) -> Service {
+impl ServiceSpec {
+    fn with_id(&self, id: u32) -> Service {
         Service {
             id,
             name: self.name.clone(),
@@ -213,7 +213,7 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Mistake>) {
+    fn check(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("service[{idx}].{field}");
         if !self.name.bytes().all(|it| it.is_ascii_alphanumeric() || it == b'-') {
             push(res, key("name"), "use letters, digits and dashes only");
@@ -227,8 +227,8 @@
     }
 }
 
-impl WorkspaceIntent {
-    fn number(&self, id: u32) -> Workspace {
+impl WorkspaceSpec {
+    fn with_id(&self, id: u32) -> Workspace {
         Workspace {
             id,
             name: self.name.clone(),
@@ -239,7 +239,7 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Mistake>) {
+    fn check(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("workspace[{idx}].{field}");
         if !(1..=MAX_SHARE).contains(&self.share) {
             push(res, key("share"), format!("must be between 1 and {MAX_SHARE}"));
@@ -255,8 +255,8 @@
     }
 }
 
-impl UpstreamIntent {
-    fn number(&self, id: u32, service: u32, data_centre: u32) -> Upstream {
+impl UpstreamSpec {
+    fn with_id(&self, id: u32, service: u32, data_centre: u32) -> Upstream {
         Upstream {
             id,
             service,
@@ -269,7 +269,7 @@
         }
     }
 
-    fn check(&self, idx: usize, intent: &Intent, res: &mut Vec<Mistake>) {
+    fn check(&self, idx: usize, intent: &FleetSpec, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("upstream[{idx}].{field}");
         if !intent.services.iter().any(|it| it.name == self.service) {
             push(res, key("service"), format!("no service is named `{}`", self.service));
@@ -284,7 +284,7 @@
     }
 }
 
-fn check_unique<'a>(key: &str, names: impl Iterator<Item = &'a str>, res: &mut Vec<Mistake>) {
+fn check_unique<'a>(key: &str, names: impl Iterator<Item = &'a str>, res: &mut Vec<Diagnostic>) {
     let mut seen = HashSet::new();
     for name in names {
         if name.is_empty() {
@@ -295,6 +295,6 @@
     }
 }
 
-fn push(res: &mut Vec<Mistake>, key: String, text: impl Into<String>) {
-    res.push(Mistake { key, text: text.into() });
+fn push(res: &mut Vec<Diagnostic>, key: String, message: impl Into<String>) {
+    res.push(Diagnostic { key, message: message.into() });
 }
--- a/crates/portfield/src/member/view.rs
+++ b/crates/portfield/src/member/membership.rs
@@ -16,7 +16,7 @@
 
 /// How a member is believed to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It missed a probe and may refute it.
@@ -27,7 +27,7 @@
     Leaving,
 }
 
-impl State {
+impl MemberState {
     fn from_wire(state: u32) -> Self {
         match state {
             0 => Self::Alive,
@@ -40,7 +40,7 @@
 
 /// One host of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListEntry {
+pub struct HostListEntry {
     /// The host.
     pub host: HostId,
     /// Address of its scheduler.
@@ -53,13 +53,13 @@
 
 /// One member.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Info {
+pub struct MemberInfo {
     /// Address of its scheduler.
     pub address: SocketAddr,
     /// Name of its data centre.
     pub data_centre: String,
     /// How it is believed to be.
-    pub state: State,
+    pub state: MemberState,
     /// The life that the state speaks of.
     pub incarnation: Incarnation,
     /// When the state was learned.
@@ -70,19 +70,19 @@
 
 /// All members as one host knows them.
 #[derive(Debug, Clone)]
-pub struct View {
+pub struct Membership {
     me: HostId,
-    members: BTreeMap<HostId, Info>,
+    members: BTreeMap<HostId, MemberInfo>,
     version: u64,
 }
 
-impl View {
+impl Membership {
     /// Builds a view that has only this host.
-    pub fn new(me: ListEntry, incarnation: Incarnation) -> Self {
-        let info = Info {
+    pub fn new(me: HostListEntry, incarnation: Incarnation) -> Self {
+        let info = MemberInfo {
             address: me.address,
             data_centre: me.data_centre,
-            state: State::Alive,
+            state: MemberState::Alive,
             incarnation,
             since: Duration::ZERO,
             listed: true,
@@ -93,7 +93,7 @@
     }
 
     /// Returns this host.
-    pub fn me(&self) -> HostId {
+    pub fn local_host(&self) -> HostId {
         self.me
     }
 
@@ -103,24 +103,29 @@
     }
 
     /// Returns a member.
-    pub fn get(&self, host: HostId) -> Option<&Info> {
+    pub fn get(&self, host: HostId) -> Option<&MemberInfo> {
         self.members.get(&host)
     }
 
     /// Returns every member.
-    pub fn iter(&self) -> impl Iterator<Item = (HostId, &Info)> {
+    pub fn iter(&self) -> impl Iterator<Item = (HostId, &MemberInfo)> {
         self.members.iter().map(|(host, info)| (*host, info))
     }
 
     /// Returns the hosts of a data centre that may own shards.
-    pub fn owners<'a>(&'a self, data_centre: &'a str) -> impl Iterator<Item = HostId> + 'a {
+    pub fn owner_candidates<'a>(
+        &'a self,
+        data_centre: &'a str,
+    ) -> impl Iterator<Item = HostId> + 'a {
         self.iter()
-            .filter(move |(_, it)| it.data_centre == data_centre && it.state <= State::Suspect)
+            .filter(move |(_, it)| {
+                it.data_centre == data_centre && it.state <= MemberState::Suspect
+            })
             .map(|(host, _)| host)
     }
 
     /// Takes in the platform's host list.
-    pub fn list(&mut self, now: Duration, entries: &[ListEntry]) {
+    pub fn update_hosts(&mut self, now: Duration, entries: &[HostListEntry]) {
         for info in self.members.values_mut() {
             info.listed = false;
         }
@@ -128,10 +133,10 @@
             let me = self.me;
             let info = self.members.entry(it.host).or_insert_with(|| {
                 self.version += 1;
-                Info {
+                MemberInfo {
                     address: it.address,
                     data_centre: it.data_centre.clone(),
-                    state: State::Alive,
+                    state: MemberState::Alive,
                     incarnation: 0,
                     since: now,
                     listed: true,
@@ -139,8 +144,8 @@
                 }
             });
             info.listed = true;
-            if it.leaving && info.state == State::Alive && it.host != me {
-                self.set(now, it.host, State::Leaving);
+            if it.leaving && info.state == MemberState::Alive && it.host != me {
+                self.set_state(now, it.host, MemberState::Leaving);
             }
         }
         self.forget(now);
@@ -160,7 +165,7 @@
             let (Ok(host), Ok(address)) = (it.host.parse(), it.address.parse()) else {
                 continue;
             };
-            let state = State::from_wire(it.state);
+            let state = MemberState::from_wire(it.state);
             if host == self.me {
                 self.refute(now, it.incarnation, state);
                 continue;
@@ -170,12 +175,12 @@
             if !is_news(old, it.incarnation, state, is_beside && !self.is_home(&it.data_centre)) {
                 continue;
             }
-            if matches!(state, State::Suspect | State::Dead) && !is_beside {
+            if matches!(state, MemberState::Suspect | MemberState::Dead) && !is_beside {
                 continue;
             }
             let changed = old.is_none_or(|old| old.state != state || old.address != address);
             self.version += u64::from(changed);
-            let info = Info {
+            let info = MemberInfo {
                 address,
                 data_centre: it.data_centre.clone(),
                 state,
@@ -189,7 +194,7 @@
     }
 
     /// Sets a member's state within its present life.
-    pub fn set(&mut self, now: Duration, host: HostId, state: State) {
+    pub fn set_state(&mut self, now: Duration, host: HostId, state: MemberState) {
         let spread = self.n_spread();
         let Some(info) = self.members.get_mut(&host) else { return };
         if info.state == state {
@@ -203,12 +208,12 @@
 
     /// Starts this host's leave: it owns nothing from here on.
     pub fn leave(&mut self, now: Duration) {
-        self.set(now, self.me, State::Leaving);
+        self.set_state(now, self.me, MemberState::Leaving);
     }
 
     /// Returns the updates to send with a message to `to`: always this host itself and
     /// what is believed of the receiver, so that it can refute it.
-    pub fn gossip(&mut self, to: Option<HostId>) -> Vec<wire::Member> {
+    pub fn take_gossip(&mut self, to: Option<HostId>) -> Vec<wire::Member> {
         let me = self.me;
         let mut res: Vec<_> = [Some(me), to]
             .into_iter()
@@ -224,7 +229,7 @@
     }
 
     /// Returns the members that `f` picks for the wire.
-    pub fn to_wire(&self, f: impl FnMut(&(HostId, &Info)) -> bool) -> Vec<wire::Member> {
+    pub fn to_wire(&self, f: impl FnMut(&(HostId, &MemberInfo)) -> bool) -> Vec<wire::Member> {
         self.iter().filter(f).map(|(host, info)| to_wire(host, info)).collect()
     }
 
@@ -232,7 +237,7 @@
         self.members.get(&self.me).is_some_and(|it| it.data_centre == data_centre)
     }
 
-    fn refute(&mut self, now: Duration, incarnation: Incarnation, state: State) {
+    fn refute(&mut self, now: Duration, incarnation: Incarnation, state: MemberState) {
         let spread = self.n_spread();
         let Some(info) = self.members.get_mut(&self.me) else { return };
         if incarnation < info.incarnation || state == info.state {
@@ -247,7 +252,8 @@
         let me = self.me;
         let n_old = self.members.len();
         self.members.retain(|host, it| {
-            let gone = !it.listed && State::Dead <= it.state && it.since + FORGET_AFTER <= now;
+            let gone =
+                !it.listed && MemberState::Dead <= it.state && it.since + FORGET_AFTER <= now;
             *host == me || !gone
         });
         self.version += u64::from(self.members.len() != n_old);
@@ -261,9 +267,9 @@
 /// Returns whether a statement overrides what is known: within one life the worse state
 /// does, but a statement on a host of the sender's own data centre does in any case.
 fn is_news(
-    old: Option<&Info>,
+    old: Option<&MemberInfo>,
     incarnation: Incarnation,
-    state: State,
+    state: MemberState,
     has_authority: bool,
 ) -> bool {
     let Some(old) = old else { return true };
@@ -272,7 +278,7 @@
     overrides || has_authority && differs && old.incarnation <= incarnation
 }
 
-fn to_wire(host: HostId, info: &Info) -> wire::Member {
+fn to_wire(host: HostId, info: &MemberInfo) -> wire::Member {
     wire::Member {
         host: host.to_string(),
         address: info.address.to_string(),
--- a/crates/portfield/src/member/mod.rs
+++ b/crates/portfield/src/member/mod.rs
@@ -5,10 +5,10 @@
 //! period whatever the size, indirect probes before a verdict, a suspicion that the
 //! suspect can refute, and updates piggy-backed on the probes.
 
+mod membership;
 mod probe;
 mod rendezvous;
-mod view;
 
-pub use probe::{Probe, Probes};
-pub use rendezvous::{choose_part, rank};
-pub use view::{Info, ListEntry, State, View};
+pub use membership::{HostListEntry, MemberInfo, MemberState, Membership};
+pub use probe::{Probe, Prober};
+pub use rendezvous::{choose_part, rank_hosts};
--- a/crates/portfield/src/member/probe.rs
+++ b/crates/portfield/src/member/probe.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::view::{State, View};
+use super::membership::{MemberState, Membership};
 use crate::ids::HostId;
 
 /// Time between two probes that one host sends.
@@ -34,9 +34,9 @@
     },
 }
 
-/// Probes under way.
+/// Prober under way.
 #[derive(Debug, Clone)]
-pub struct Probes {
+pub struct Prober {
     rng: fastrand::Rng,
     order: Vec<HostId>,
     open: BTreeMap<HostId, (Duration, Stage)>,
@@ -50,7 +50,7 @@
     Indirect,
 }
 
-impl Probes {
+impl Prober {
     /// Builds the state; `seed` only spreads the order of probing.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Returns when [`Probes::tick`] has something to do next.
-    pub fn next(&self) -> Duration {
+    /// Returns when [`Prober::tick`] has something to do next.
+    pub fn next_tick(&self) -> Duration {
         let open = self.open.values().map(|(at, stage)| *at + timeout(*stage)).min();
         open.map_or(self.next, |it| it.min(self.next))
     }
 
     /// Sends what is due, and passes verdicts on members that did not answer.
-    pub fn tick(&mut self, now: Duration, view: &mut View) -> Vec<Probe> {
+    pub fn tick(&mut self, now: Duration, view: &mut Membership) -> Vec<Probe> {
         let mut res = Vec::new();
         self.expire(now, view, &mut res);
         confirm(now, view);
@@ -86,24 +86,24 @@
     }
 
     /// Takes in the answer to a probe of `host`, its own or by way of another member.
-    pub fn answered(&mut self, now: Duration, view: &mut View, host: HostId) {
+    pub fn handle_ack(&mut self, now: Duration, view: &mut Membership, host: HostId) {
         self.open.remove(&host);
         // NOTE: a dead member comes back by its own refutation, never by an old answer.
-        if view.get(host).is_some_and(|it| it.state == State::Suspect) {
-            view.set(now, host, State::Alive);
+        if view.get(host).is_some_and(|it| it.state == MemberState::Suspect) {
+            view.set_state(now, host, MemberState::Alive);
         }
     }
 
     /// Takes in that nothing listens at `host`'s address: its process has ended, and no
     /// suspicion is needed. A new process there refutes it with its new incarnation.
-    pub fn refused(&mut self, now: Duration, view: &mut View, host: HostId) {
+    pub fn handle_refused(&mut self, now: Duration, view: &mut Membership, host: HostId) {
         self.open.remove(&host);
-        if view.get(host).is_some_and(|it| it.state <= State::Suspect) {
-            view.set(now, host, State::Dead);
+        if view.get(host).is_some_and(|it| it.state <= MemberState::Suspect) {
+            view.set_state(now, host, MemberState::Dead);
         }
     }
 
-    fn expire(&mut self, now: Duration, view: &mut View, res: &mut Vec<Probe>) {
+    fn expire(&mut self, now: Duration, view: &mut Membership, res: &mut Vec<Probe>) {
         let late: Vec<_> = self
             .open
             .iter()
@@ -122,11 +122,11 @@
         }
     }
 
-    fn helpers(&mut self, view: &View, target: HostId) -> Vec<Probe> {
-        let me = view.me();
+    fn helpers(&mut self, view: &Membership, target: HostId) -> Vec<Probe> {
+        let me = view.local_host();
         let mut all: Vec<_> = view
             .iter()
-            .filter(|(host, it)| *host != me && *host != target && it.state == State::Alive)
+            .filter(|(host, it)| *host != me && *host != target && it.state == MemberState::Alive)
             .map(|(host, _)| host)
             .collect();
         self.rng.shuffle(&mut all);
@@ -135,28 +135,29 @@
 
     /// Chooses the members to probe: one of this data centre in its turn, and now and then
     /// one of another and one that is dead, which must not delay the first.
-    fn choose(&mut self, view: &View) -> Vec<HostId> {
-        let me = view.me();
+    fn choose(&mut self, view: &Membership) -> Vec<HostId> {
+        let me = view.local_host();
         let Some(home) = view.get(me).map(|it| &it.data_centre) else { return Vec::new() };
         let mut res: Vec<_> = self.choose_local(view, home).into_iter().collect();
         if self.round.is_multiple_of(REMOTE_EVERY) {
-            let remote =
-                view.iter().filter(|(_, it)| it.data_centre != *home && it.state <= State::Suspect);
+            let remote = view
+                .iter()
+                .filter(|(_, it)| it.data_centre != *home && it.state <= MemberState::Suspect);
             let remote: Vec<_> = remote.map(|(host, _)| host).collect();
             res.extend(self.rng.choice(remote));
         }
         if self.round.is_multiple_of(DEAD_EVERY) {
-            let dead = view.iter().filter(|(_, it)| it.state == State::Dead);
+            let dead = view.iter().filter(|(_, it)| it.state == MemberState::Dead);
             let dead: Vec<_> = dead.map(|(host, _)| host).collect();
             res.extend(self.rng.choice(dead));
         }
         res
     }
 
-    fn choose_local(&mut self, view: &View, home: &str) -> Option<HostId> {
-        let me = view.me();
+    fn choose_local(&mut self, view: &Membership, home: &str) -> Option<HostId> {
+        let me = view.local_host();
         if self.order.is_empty() {
-            self.order = view.owners(home).filter(|it| *it != me).collect();
+            self.order = view.owner_candidates(home).filter(|it| *it != me).collect();
             self.rng.shuffle(&mut self.order);
         }
         self.order.pop()
@@ -170,20 +171,20 @@
     }
 }
 
-fn suspect(now: Duration, view: &mut View, host: HostId) {
-    if view.get(host).is_some_and(|it| it.state == State::Alive) {
-        view.set(now, host, State::Suspect);
+fn suspect(now: Duration, view: &mut Membership, host: HostId) {
+    if view.get(host).is_some_and(|it| it.state == MemberState::Alive) {
+        view.set_state(now, host, MemberState::Suspect);
     }
 }
 
 /// Declares dead whoever has been suspected for too long, and whoever left long ago.
-fn confirm(now: Duration, view: &mut View) {
+fn confirm(now: Duration, view: &mut Membership) {
     let late: Vec<_> = view
         .iter()
-        .filter(|(_, it)| it.state == State::Suspect && it.since + SUSPICION <= now)
+        .filter(|(_, it)| it.state == MemberState::Suspect && it.since + SUSPICION <= now)
         .map(|(host, _)| host)
         .collect();
     for host in late {
-        view.set(now, host, State::Dead);
+        view.set_state(now, host, MemberState::Dead);
     }
 }
--- a/crates/portfield/src/member/rendezvous.rs
+++ b/crates/portfield/src/member/rendezvous.rs
@@ -12,15 +12,15 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::{member::rank, schedule::ShardKey};
+/// use portfield::{member::rank_hosts, schedule::ShardKey};
 ///
 /// let hosts: Vec<_> = (1..5).map(|it| std::net::IpAddr::from([127, 0, 0, it])).collect();
 /// let shard = ShardKey { service: 1, data_centre: 1, part: 0 };
-/// let all = rank(shard, hosts.iter().copied());
-/// let rest = rank(shard, hosts.iter().copied().filter(|it| *it != all[0]));
+/// let all = rank_hosts(shard, hosts.iter().copied());
+/// let rest = rank_hosts(shard, hosts.iter().copied().filter(|it| *it != all[0]));
 /// assert_eq!(rest, all[1..]);
 /// ```
-pub fn rank(shard: ShardKey, hosts: impl Iterator<Item = HostId>) -> Vec<HostId> {
+pub fn rank_hosts(shard: ShardKey, hosts: impl Iterator<Item = HostId>) -> Vec<HostId> {
     let mut res: Vec<_> = hosts.map(|it| (Reverse(weight(shard, it)), it)).collect();
     res.sort_unstable();
     res.into_iter().map(|(_, it)| it).collect()
--- a/crates/portfield/src/route/admission.rs
+++ b/crates/portfield/src/route/admission.rs
@@ -6,7 +6,7 @@
 
 /// A workspace has as much waiting at this router as it may.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Held {
@@ -30,10 +30,10 @@
 ///     queue_bytes: 100,
 /// };
 /// let mut admission = Admission::default();
-/// assert!(admission.enter(&workspace, 60).is_ok());
-/// assert!(admission.enter(&workspace, 10).is_err());
-/// admission.leave(1, 60);
-/// assert!(admission.enter(&workspace, 10).is_ok());
+/// assert!(admission.admit(&workspace, 60).is_ok());
+/// assert!(admission.admit(&workspace, 10).is_err());
+/// admission.release(1, 60);
+/// assert!(admission.admit(&workspace, 10).is_ok());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     ///
-    /// [`Full`] where the count or the bytes are used up.
-    pub fn enter(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), Full> {
+    /// [`QueueFull`] where the count or the bytes are used up.
+    pub fn admit(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), QueueFull> {
         let held = self.held.entry(workspace.id).or_default();
         if workspace.queue <= held.requests || workspace.queue_bytes < held.bytes + bytes {
-            return Err(Full);
+            return Err(QueueFull);
         }
         held.requests += 1;
         held.bytes += bytes;
@@ -57,7 +57,7 @@
     }
 
     /// Notes that a request no longer waits.
-    pub fn leave(&mut self, id: WorkspaceId, bytes: usize) {
+    pub fn release(&mut self, id: WorkspaceId, bytes: usize) {
         let Some(held) = self.held.get_mut(&id) else { return };
         held.requests -= 1;
         held.bytes -= bytes;
--- a/crates/portfield/src/route/mod.rs
+++ b/crates/portfield/src/route/mod.rs
@@ -5,13 +5,13 @@
 
 mod admission;
 mod outcome;
-mod placing;
+mod placement;
 mod resume;
 mod retry;
 mod router;
 
-pub use admission::{Admission, Full};
-pub use outcome::{Outcome, Phase, outcome_of};
-pub use resume::{read_token, resume_token};
-pub use retry::{Budget, backoff};
-pub use router::{Action, Reason, Request, Router};
+pub use admission::{Admission, QueueFull};
+pub use outcome::{AttemptPhase, Outcome, outcome_of};
+pub use resume::{parse_resume_token, resume_token};
+pub use retry::{RetryBudget, backoff};
+pub use router::{Action, RejectReason, Request, Router};
--- a/crates/portfield/src/route/outcome.rs
+++ b/crates/portfield/src/route/outcome.rs
@@ -4,7 +4,7 @@
 
 /// How far an attempt to send a request upstream came before it broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum AttemptPhase {
     /// No connection, or none of the request was written to it.
     Unsent,
     /// The upstream said by itself that it did not run the request.
@@ -12,7 +12,7 @@
     /// Some of the request may have been written.
     Sent,
     /// The answer's head has arrived.
-    Answering,
+    Responding,
 }
 
 /// What is said to the caller of a request that got no whole answer.
@@ -40,13 +40,13 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::route::{Outcome, Phase, outcome_of};
+/// use portfield::route::{Outcome, AttemptPhase, outcome_of};
 ///
-/// assert_eq!(outcome_of(Phase::Unsent, 0), Outcome::NotRun);
-/// assert_eq!(outcome_of(Phase::Unsent, 1), Outcome::Unknown);
-/// assert_eq!(outcome_of(Phase::Sent, 0), Outcome::Unknown);
+/// assert_eq!(outcome_of(AttemptPhase::Unsent, 0), Outcome::NotRun);
+/// assert_eq!(outcome_of(AttemptPhase::Unsent, 1), Outcome::Unknown);
+/// assert_eq!(outcome_of(AttemptPhase::Sent, 0), Outcome::Unknown);
 /// ```
-pub fn outcome_of(phase: Phase, n_ambiguous: u32) -> Outcome {
-    let certain = phase <= Phase::Declined && n_ambiguous == 0;
+pub fn outcome_of(phase: AttemptPhase, n_ambiguous: u32) -> Outcome {
+    let certain = phase <= AttemptPhase::Declined && n_ambiguous == 0;
     if certain { Outcome::NotRun } else { Outcome::Unknown }
 }
--- a/crates/portfield/src/route/placing.rs
+++ b/crates/portfield/src/route/placement.rs
@@ -5,7 +5,7 @@
 use super::router::{Action, Router, Stage, Timer};
 use crate::{
     ids::{HostId, ServiceId, TicketId},
-    member::{choose_part, rank},
+    member::{choose_part, rank_hosts},
     schedule::ShardKey,
     wire,
 };
@@ -31,16 +31,16 @@
         let moved: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, it)| it.shard != self.home_shard(it.request.service))
+            .filter(|(_, it)| it.shard != self.local_shard(it.request.service))
             .map(|(id, _)| *id)
             .collect();
         self.homeless.extend(moved);
     }
 
     /// Returns the shard of this data centre that this router's requests go to.
-    pub(super) fn home_shard(&self, service: ServiceId) -> ShardKey {
+    pub(super) fn local_shard(&self, service: ServiceId) -> ShardKey {
         let fleet = self.adopted.fleet();
-        let data_centre = fleet.data_centre(&self.data_centre).unwrap_or(0);
+        let data_centre = fleet.data_centre_id(&self.data_centre).unwrap_or(0);
         let n_parts = fleet.n_parts(service, data_centre);
         let spread = ShardKey { service, data_centre, part: 0 };
         let part = choose_part(spread, n_parts, self.host);
@@ -56,7 +56,7 @@
     /// Registers a ticket or a running request with the shard's owner.
     pub(super) fn place(&mut self, now: Duration, id: TicketId) {
         let Some(entry) = self.entries.get(&id) else { return };
-        let shard = self.home_shard(entry.request.service);
+        let shard = self.local_shard(entry.request.service);
         let Some(host) = self.owner(shard) else {
             self.homeless.insert(id);
             self.place_later(now);
@@ -90,9 +90,9 @@
                 let ticket = wire::Ticket {
                     id,
                     workspace: request.workspace.id,
-                    hint: request.hint,
-                    class: u32::from(request.batch),
-                    prefix: request.prefix,
+                    hint: request.cost_hint,
+                    class: u32::from(request.is_batch),
+                    prefix: request.prefix_hash,
                     waited: now.saturating_sub(entry.since).as_millis() as u32,
                 };
                 self.report(host, shard).tickets.push(ticket);
@@ -123,7 +123,7 @@
 
     pub(super) fn owner(&self, shard: ShardKey) -> Option<HostId> {
         let alive = self.schedulers.iter().filter(|(_, it)| it.state <= 1 && 0 < it.incarnation);
-        rank(shard, alive.map(|(host, _)| *host)).first().copied()
+        rank_hosts(shard, alive.map(|(host, _)| *host)).first().copied()
     }
 
     pub(super) fn dial(&mut self, now: Duration, host: HostId) {
@@ -132,6 +132,6 @@
             return;
         }
         it.dialed = Some(now);
-        self.actions.push(Action::Dial(host, it.address));
+        self.actions.push(Action::Connect(host, it.address));
     }
 }
--- a/crates/portfield/src/route/resume.rs
+++ b/crates/portfield/src/route/resume.rs
@@ -19,12 +19,12 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::{fleet::Fleet, route::{read_token, resume_token}};
+/// use portfield::{fleet::Fleet, route::{parse_resume_token, resume_token}};
 ///
 /// let fleet = Fleet::default();
 /// let token = resume_token(&fleet, 1, 7, "s-12");
-/// assert_eq!(read_token(&fleet, 1, &token), Some((7, "s-12")));
-/// assert_eq!(read_token(&fleet, 2, &token), None);
+/// assert_eq!(parse_resume_token(&fleet, 1, &token), Some((7, "s-12")));
+/// assert_eq!(parse_resume_token(&fleet, 2, &token), None);
 /// ```
 pub fn resume_token(
     fleet: &Fleet,
@@ -37,7 +37,7 @@
 
 /// Reads a token; none if it is not one of this workspace, or if the workspaces of the
 /// configuration have changed since it was given.
-pub fn read_token<'a>(
+pub fn parse_resume_token<'a>(
     fleet: &Fleet,
     workspace: WorkspaceId,
     token: &'a str,
--- a/crates/portfield/src/route/retry.rs
+++ b/crates/portfield/src/route/retry.rs
@@ -18,32 +18,32 @@
 /// # Examples
 ///
 /// ```
-/// use portfield::route::Budget;
+/// use portfield::route::RetryBudget;
 ///
-/// let mut budget = Budget::default();
-/// assert!(!budget.spend());
-/// (0..10).for_each(|_| budget.earn());
-/// assert!(budget.spend());
-/// assert!(!budget.spend());
+/// let mut budget = RetryBudget::default();
+/// assert!(!budget.withdraw());
+/// (0..10).for_each(|_| budget.deposit());
+/// assert!(budget.withdraw());
+/// assert!(!budget.withdraw());
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     saved: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Builds a budget that is full.
     pub fn full() -> Self {
         Self { saved: MAX_SAVED }
     }
 
     /// Counts a request.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + EARNED).min(MAX_SAVED);
     }
 
     /// Pays for a retry, if there is enough.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let enough = PRICE <= self.saved;
         if enough {
             self.saved -= PRICE;
--- a/crates/portfield/src/route/router.rs
+++ b/crates/portfield/src/route/router.rs
@@ -7,9 +7,9 @@
     time::Duration,
 };
 
-use super::admission::{Admission, Full};
+use super::admission::{Admission, QueueFull};
 use crate::{
-    fleet::{Adopted, Fleet, Workspace},
+    fleet::{CurrentFleet, Fleet, Workspace},
     ids::{HostId, Incarnation, Revision, ServiceId, TicketId, UpstreamId},
     schedule::ShardKey,
     timer::Timers,
@@ -35,20 +35,20 @@
     /// What it calls.
     pub service: ServiceId,
     /// Cost hint in tokens, zero for none.
-    pub hint: u32,
+    pub cost_hint: u32,
     /// It may wait behind interactive requests of its workspace.
-    pub batch: bool,
+    pub is_batch: bool,
     /// Hash of the prompt's prefix, zero for none.
-    pub prefix: u32,
+    pub prefix_hash: u32,
     /// Bytes of its body.
-    pub bytes: usize,
+    pub body_bytes: usize,
     /// Instant at which it is given up on.
     pub deadline: Duration,
 }
 
 /// Why a request that waited will not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// Its workspace has too much waiting.
     QueueFull,
     /// No grant came in time.
@@ -59,15 +59,15 @@
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Open a session with a scheduler.
-    Dial(HostId, SocketAddr),
+    Connect(HostId, SocketAddr),
     /// Send a frame over a session.
     Send(HostId, wire::RouterFrame),
     /// Send the request upstream.
-    Start(TicketId, UpstreamId),
+    Forward(TicketId, UpstreamId),
     /// Refuse the request as not run; come back after the time given.
-    Refuse(TicketId, Reason, Duration),
+    Reject(TicketId, RejectReason, Duration),
     /// Fetch the configuration from the scheduler of a host.
-    Fetch(HostId),
+    FetchConfig(HostId),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -118,7 +118,7 @@
 pub struct Router {
     pub(super) data_centre: String,
     pub(super) host: HostId,
-    pub(super) adopted: Adopted,
+    pub(super) adopted: CurrentFleet,
     pub(super) schedulers: BTreeMap<HostId, Scheduler>,
     pub(super) entries: HashMap<TicketId, Entry>,
     pub(super) homeless: BTreeSet<TicketId>,
@@ -139,7 +139,7 @@
         Self {
             data_centre: data_centre.into(),
             host,
-            adopted: Adopted::default(),
+            adopted: CurrentFleet::default(),
             schedulers: BTreeMap::new(),
             entries: HashMap::new(),
             homeless: BTreeSet::new(),
@@ -170,19 +170,19 @@
     }
 
     /// Returns the address of a host's scheduler.
-    pub fn address(&self, host: HostId) -> Option<SocketAddr> {
+    pub fn scheduler_address(&self, host: HostId) -> Option<SocketAddr> {
         self.schedulers.get(&host).map(|it| it.address)
     }
 
     /// Adopts a configuration if its revision is higher.
-    pub fn offer(&mut self, fleet: Fleet) {
-        if self.adopted.offer(fleet) {
+    pub fn update_fleet(&mut self, fleet: Fleet) {
+        if self.adopted.update(fleet) {
             self.evict_all();
         }
     }
 
     /// Names a scheduler to begin with, before any membership is known.
-    pub fn seed(&mut self, host: HostId, address: SocketAddr) {
+    pub fn add_scheduler(&mut self, host: HostId, address: SocketAddr) {
         self.schedulers.entry(host).or_insert(Scheduler {
             address,
             state: 0,
@@ -207,12 +207,12 @@
     ///
     /// # Errors
     ///
-    /// [`Full`] where its workspace has too much waiting here.
-    pub fn submit(&mut self, now: Duration, request: Request) -> Result<TicketId, Full> {
-        self.admission.enter(&request.workspace, request.bytes)?;
+    /// [`QueueFull`] where its workspace has too much waiting here.
+    pub fn submit(&mut self, now: Duration, request: Request) -> Result<TicketId, QueueFull> {
+        self.admission.admit(&request.workspace, request.body_bytes)?;
         self.next_id += 1;
         let id = self.next_id;
-        let shard = self.home_shard(request.service);
+        let shard = self.local_shard(request.service);
         self.timers.schedule(request.deadline, Timer::Deadline(id));
         self.entries.insert(id, Entry { request, shard, since: now, stage: Stage::Homeless });
         self.place(now, id);
@@ -220,7 +220,7 @@
     }
 
     /// Withdraws a request: its caller hung up, or it is done with.
-    pub fn withdraw(&mut self, id: TicketId) {
+    pub fn cancel(&mut self, id: TicketId) {
         let Some(entry) = self.entries.remove(&id) else { return };
         self.homeless.remove(&id);
         match entry.stage {
@@ -229,17 +229,17 @@
                 self.report(host, entry.shard).done.push(done);
             }
             Stage::Queued(host) => {
-                self.admission.leave(entry.request.workspace.id, entry.request.bytes);
+                self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
                 self.report(host, entry.shard).cancels.push(id);
             }
             Stage::Homeless => {
-                self.admission.leave(entry.request.workspace.id, entry.request.bytes);
+                self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
             }
         }
     }
 
     /// Counts what a running request has cost so far, in tokens.
-    pub fn progress(&mut self, id: TicketId, cost: u32) {
+    pub fn record_progress(&mut self, id: TicketId, cost: u32) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Stage::Runs(_, run) = &mut entry.stage else { return };
         run.cost = cost;
@@ -259,7 +259,7 @@
     }
 
     /// Notes that a session is open: everything that belongs there is registered.
-    pub fn session_up(&mut self, now: Duration, host: HostId) {
+    pub fn session_opened(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
             it.up = true;
             it.dialed = None;
@@ -268,7 +268,7 @@
     }
 
     /// Notes that a session ended or could not be opened.
-    pub fn session_down(&mut self, now: Duration, host: HostId) {
+    pub fn session_closed(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
             it.up = false;
             it.dialed = Some(now);
@@ -287,7 +287,7 @@
     }
 
     /// Takes in a scheduler's frame.
-    pub fn hear(&mut self, now: Duration, from: HostId, frame: &wire::OwnerFrame) {
+    pub fn handle_frame(&mut self, now: Duration, from: HostId, frame: &wire::OwnerFrame) {
         let has_news = self.hear_members(now, &frame.members);
         self.hear_revision(from, frame.revision);
         for answer in &frame.answers {
@@ -301,7 +301,7 @@
             }
             for it in &answer.refusals {
                 let retry = Duration::from_millis(u64::from(it.retry));
-                self.refuse(it.ticket, Reason::QueueFull, retry);
+                self.refuse(it.ticket, RejectReason::QueueFull, retry);
             }
         }
         // Without news an owner that denied a ticket would deny it again at once.
@@ -355,16 +355,16 @@
     fn expire(&mut self, id: TicketId) {
         let waits = self.entries.get(&id).is_some_and(|it| !matches!(it.stage, Stage::Runs(..)));
         if waits {
-            self.refuse(id, Reason::Timeout, Duration::from_secs(1));
+            self.refuse(id, RejectReason::Timeout, Duration::from_secs(1));
         }
     }
 
-    fn refuse(&mut self, id: TicketId, reason: Reason, retry: Duration) {
+    fn refuse(&mut self, id: TicketId, reason: RejectReason, retry: Duration) {
         if !self.entries.contains_key(&id) {
             return;
         }
-        self.withdraw(id);
-        self.actions.push(Action::Refuse(id, reason, retry));
+        self.cancel(id);
+        self.actions.push(Action::Reject(id, reason, retry));
     }
 
     fn granted(&mut self, now: Duration, from: HostId, shard: ShardKey, grant: &wire::Grant) {
@@ -393,8 +393,8 @@
                 reported: 0,
             },
         );
-        self.admission.leave(entry.request.workspace.id, entry.request.bytes);
-        self.actions.push(Action::Start(id, grant.upstream));
+        self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
+        self.actions.push(Action::Forward(id, grant.upstream));
     }
 
     fn report_progress(&mut self) {
@@ -430,7 +430,7 @@
             self.schedulers.insert(host, Scheduler { up, dialed, ..fresh });
             if up && it.state == DEAD {
                 // The connection to a host without power may seem open for long.
-                self.session_down(now, host);
+                self.session_closed(now, host);
             }
         }
         has_news
@@ -438,7 +438,7 @@
 
     fn hear_revision(&mut self, from: HostId, revision: Revision) {
         if self.adopted.revision() < revision {
-            self.actions.push(Action::Fetch(from));
+            self.actions.push(Action::FetchConfig(from));
         }
     }
 
--- a/crates/portfield/src/schedule/exchange.rs
+++ b/crates/portfield/src/schedule/exchange.rs
@@ -7,7 +7,7 @@
     peer::Arrival,
     scheduler::{Action, Scheduler},
 };
-use crate::{fleet::Fleet, ids::HostId, member::rank, wire};
+use crate::{fleet::Fleet, ids::HostId, member::rank_hosts, wire};
 
 impl Scheduler {
     /// Builds the answer to a peer's frame: what in it went to the wrong host.
@@ -81,7 +81,7 @@
 
     pub(super) fn owner_host(&self, fleet: &Fleet, shard: ShardKey) -> Option<HostId> {
         let name = fleet.data_centre_name(shard.data_centre);
-        rank(shard, self.view.owners(name)).first().copied()
+        rank_hosts(shard, self.view.owner_candidates(name)).first().copied()
     }
 
     /// Returns the host to send a frame to: the owner, or this shard's own successor.
@@ -90,12 +90,12 @@
             return self.owner_host(fleet, to);
         }
         let name = fleet.data_centre_name(to.data_centre);
-        rank(to, self.view.owners(name)).get(1).copied()
+        rank_hosts(to, self.view.owner_candidates(name)).get(1).copied()
     }
 
     pub(super) fn send_frames(&mut self, now: Duration) {
         let fleet = self.adopted.fleet().clone();
-        let me = self.view.me();
+        let me = self.view.local_host();
         let mut batches: BTreeMap<HostId, Vec<wire::PeerShard>> = BTreeMap::new();
         let frames: Vec<_> = self.owners.values_mut().flat_map(|it| it.frames(now)).collect();
         for frame in frames {
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -148,7 +148,7 @@
         self.mean_share = (sum / self.shares.len().max(1) as u32).max(1);
         let gap = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
         self.objective = Duration::from_millis(gap);
-        self.slots.configure(now, fleet.upstreams_of(self.shard));
+        self.slots.configure(now, fleet.upstreams_in_shard(self.shard));
     }
 
     /// Returns when it grants its first slot.
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -15,9 +15,9 @@
     standby::Standby,
 };
 use crate::{
-    fleet::{Adopted, Fleet},
+    fleet::{CurrentFleet, Fleet},
     ids::{HostId, Incarnation, Revision, TicketId, UpstreamId},
-    member::{ListEntry, Probe, Probes, State, View},
+    member::{HostListEntry, MemberState, Membership, Probe, Prober},
     wire,
 };
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This host.
-    pub me: ListEntry,
+    pub me: HostListEntry,
     /// Larger than that of any earlier life.
     pub incarnation: Incarnation,
     /// What its owners keep to.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The platform's host list was read.
-    Listed(Vec<ListEntry>),
+    Listed(Vec<HostListEntry>),
     /// A configuration was read, from the platform or a peer.
     Offered(Fleet),
     /// A router's frame arrived.
@@ -82,13 +82,13 @@
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
-    pub(super) view: View,
-    probes: Probes,
-    pub(super) adopted: Adopted,
+    pub(super) view: Membership,
+    probes: Prober,
+    pub(super) adopted: CurrentFleet,
     pub(super) owners: BTreeMap<ShardKey, Owner>,
     pub(super) standby: BTreeMap<ShardKey, Standby>,
     routers: HashSet<HostId>,
-    told: BTreeMap<HostId, (State, Incarnation)>,
+    told: BTreeMap<HostId, (MemberState, Incarnation)>,
     told_revision: Revision,
     seen_version: (u64, Revision),
     next_incarnation: Incarnation,
@@ -103,9 +103,9 @@
     pub fn new(settings: Settings) -> Self {
         let seed = settings.incarnation ^ u64::from(settings.me.address.port());
         Self {
-            view: View::new(settings.me.clone(), settings.incarnation),
-            probes: Probes::new(seed),
-            adopted: Adopted::default(),
+            view: Membership::new(settings.me.clone(), settings.incarnation),
+            probes: Prober::new(seed),
+            adopted: CurrentFleet::default(),
             owners: BTreeMap::new(),
             standby: BTreeMap::new(),
             routers: HashSet::new(),
@@ -136,7 +136,7 @@
     /// Returns when it wants the next [`Event::Tick`] at the latest.
     pub fn next_tick(&self) -> Duration {
         let frames = self.owners.values().map(|it| it.next_frame().max(it.granting()));
-        frames.chain([self.probes.next()]).min().unwrap_or(Duration::MAX)
+        frames.chain([self.probes.next_tick()]).min().unwrap_or(Duration::MAX)
     }
 
     /// Returns the configuration in force here.
@@ -145,14 +145,14 @@
     }
 
     /// Returns what is known of the members.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &Membership {
         &self.view
     }
 
     /// Returns the upstreams whose load reports are wanted.
     pub fn watched(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let fleet = self.adopted.fleet();
-        let all = self.owners.keys().flat_map(|it| fleet.upstreams_of(*it));
+        let all = self.owners.keys().flat_map(|it| fleet.upstreams_in_shard(*it));
         all.map(|it| (it.id, it.address)).collect()
     }
 
@@ -173,7 +173,7 @@
 
     fn apply(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Listed(entries) => self.view.list(now, &entries),
+            Event::Listed(entries) => self.view.update_hosts(now, &entries),
             Event::Offered(fleet) => self.adopt(now, fleet),
             Event::Router(host, frame) => self.hear_router(now, host, &frame),
             Event::RouterUp(host) => self.router_up(now, host),
@@ -183,11 +183,11 @@
             Event::Answered(host, reply) => {
                 self.view.merge(now, Some(host), &reply.gossip);
                 if reply.alive {
-                    self.probes.answered(now, &mut self.view, host);
+                    self.probes.handle_ack(now, &mut self.view, host);
                 }
                 self.learn_revision(host, reply.revision);
             }
-            Event::Refused(host) => self.probes.refused(now, &mut self.view, host),
+            Event::Refused(host) => self.probes.handle_refused(now, &mut self.view, host),
             Event::Probed(request) => {
                 let from = request.from.parse().ok();
                 self.view.merge(now, from, &request.gossip);
@@ -208,7 +208,7 @@
     /// Builds the answer to a probe.
     pub fn probe_reply(&mut self, request: &wire::ProbeRequest) -> wire::ProbeReply {
         let from = request.from.parse().ok();
-        let mut gossip = self.view.gossip(from);
+        let mut gossip = self.view.take_gossip(from);
         // A host that has no configuration yet has just started: it learns everything at once.
         if request.revision == 0 && 0 < self.adopted.revision() {
             gossip = self.view.to_wire(|_| true);
@@ -217,7 +217,7 @@
     }
 
     fn adopt(&mut self, now: Duration, fleet: Fleet) {
-        if !self.adopted.offer(fleet) {
+        if !self.adopted.update(fleet) {
             return;
         }
         let fleet = self.adopted.fleet().clone();
@@ -310,7 +310,7 @@
     }
 
     fn probe(&mut self, now: Duration) {
-        let me = self.view.me();
+        let me = self.view.local_host();
         for probe in self.probes.tick(now, &mut self.view) {
             let (to, host, target) = match probe {
                 Probe::Direct(host) => (host, host, String::new()),
@@ -319,7 +319,7 @@
             let request = wire::ProbeRequest {
                 from: me.to_string(),
                 target,
-                gossip: self.view.gossip(Some(host)),
+                gossip: self.view.take_gossip(Some(host)),
                 revision: self.adopted.revision(),
             };
             if let Some(it) = self.view.get(to) {
@@ -348,8 +348,8 @@
         }
         self.seen_version = version;
         let fleet = self.adopted.fleet().clone();
-        let me = self.view.me();
-        let home = fleet.data_centre(&self.settings.me.data_centre);
+        let me = self.view.local_host();
+        let home = fleet.data_centre_id(&self.settings.me.data_centre);
         let mut mine = Vec::new();
         for service in &fleet.services {
             let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == home);
@@ -404,13 +404,14 @@
         let fleet = self.adopted.fleet().clone();
         let next = self.owner_host(&fleet, shard);
         if let Some(it) = next.and_then(|it| self.view.get(it)) {
-            let frame = wire::PeerFrame { from: self.view.me().to_string(), shards: vec![frame] };
+            let frame =
+                wire::PeerFrame { from: self.view.local_host().to_string(), shards: vec![frame] };
             self.actions.push(Action::Peer(it.address, frame));
         }
         for host in owner.routers() {
             self.disown(host, shard);
         }
-        let me = self.view.me();
+        let me = self.view.local_host();
         self.decisions.push(now, me, 0, Step::HandedOver { shard });
     }
 
--- a/crates/portfield/tests/loans.rs
+++ b/crates/portfield/tests/loans.rs
@@ -3,7 +3,7 @@
 use std::{net::IpAddr, time::Duration};
 
 use portfield::{
-    fleet::{Fleet, Intent, hash_token},
+    fleet::{Fleet, FleetSpec, hash_token},
     schedule::{Health, Limits, Owner, ShardKey},
     wire,
 };
@@ -18,7 +18,7 @@
          [[upstream]]\naddress = '127.0.0.1:1'\nservice = 's'\ndata_centre = 'a'\nslots = 1\n",
         hash_token("t")
     );
-    Intent::parse(&text).unwrap().number(&Fleet::default())
+    FleetSpec::parse(&text).unwrap().assign_ids(&Fleet::default())
 }
 
 fn owners(fleet: &Fleet) -> [Owner; 2] {
--- a/crates/portfield/tests/properties.rs
+++ b/crates/portfield/tests/properties.rs
@@ -4,8 +4,8 @@
 use std::{collections::HashMap, net::IpAddr, time::Duration};
 
 use portfield::{
-    fleet::{Adopted, Fleet, Intent, hash_token},
-    member::{ListEntry, View},
+    fleet::{CurrentFleet, Fleet, FleetSpec, hash_token},
+    member::{HostListEntry, Membership},
     schedule::{Counters, Health, Limits, Owner, SCALE, ShardKey},
     wire,
 };
@@ -28,14 +28,14 @@
 #[test]
 fn the_revision_never_decreases() {
     check_property(|revisions: Vec<u8>| {
-        let mut it = Adopted::default();
+        let mut it = CurrentFleet::default();
         let mut highest = 0;
         revisions.iter().all(|revision| {
             let revision = u64::from(*revision);
             let rises = highest < revision;
             highest = highest.max(revision);
             let fleet = Fleet { revision, ..Fleet::default() };
-            it.offer(fleet) == rises && it.revision() == highest
+            it.update(fleet) == rises && it.revision() == highest
         })
     });
 }
@@ -107,7 +107,7 @@
          [[upstream]]\naddress = '127.0.0.1:1'\nservice = 's'\ndata_centre = 'a'\nslots = 3\n",
         hash_token("t")
     );
-    Intent::parse(&text).unwrap().number(&Fleet::default())
+    FleetSpec::parse(&text).unwrap().assign_ids(&Fleet::default())
 }
 
 /// After any events, at most as many requests hold a grant as there are slots.
@@ -166,9 +166,9 @@
 
 #[test]
 fn any_text_is_parsed_or_rejected_with_reasons() {
-    check_property(|text: String| match Intent::parse(&text) {
+    check_property(|text: String| match FleetSpec::parse(&text) {
         Ok(_) => true,
-        Err(err) => !err.mistakes().is_empty() && !err.to_string().is_empty(),
+        Err(err) => !err.diagnostics().is_empty() && !err.to_string().is_empty(),
     });
 }
 
@@ -176,13 +176,13 @@
 #[test]
 fn no_gossip_removes_this_host() {
     check_property(|raw: Vec<(u8, u8, u8, bool)>| {
-        let me = ListEntry {
+        let me = HostListEntry {
             host: IpAddr::from([127, 0, 0, 1]),
             address: ([127, 0, 0, 1], 9090).into(),
             data_centre: "a".to_owned(),
             leaving: false,
         };
-        let mut view = View::new(me.clone(), 7);
+        let mut view = Membership::new(me.clone(), 7);
         let members = raw.iter().map(|(host, state, incarnation, near)| wire::Member {
             host: if *host == 0 { "nonsense".to_owned() } else { format!("127.0.0.{}", host % 4) },
             address: "127.0.0.9:1".to_owned(),
@@ -195,7 +195,7 @@
             Some(IpAddr::from([127, 0, 0, 2])),
             &members.collect::<Vec<_>>(),
         );
-        view.owners("a").any(|it| it == me.host)
+        view.owner_candidates("a").any(|it| it == me.host)
     });
 }
 
--- a/crates/portfieldctl/src/change.rs
+++ b/crates/portfieldctl/src/change.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write, fs, net::SocketAddr, path::Path};
 
 use eyre::{WrapErr, bail};
-use portfield::fleet::{Fleet, Intent, Plan};
+use portfield::fleet::{Fleet, FleetSpec, Plan};
 use portfield_net::{
     platform::Platform,
     store::{self, Confirmed},
@@ -12,7 +12,7 @@
 /// Stores a plan for the intent in `file` and returns its changes and id.
 pub(crate) async fn plan(platform: &Platform, file: &Path) -> eyre::Result<String> {
     let text = fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
-    let intent = Intent::parse(&text)?;
+    let intent = FleetSpec::parse(&text)?;
     let base = read_current(platform).await?;
     save_plan(platform, &Plan::new(&intent, &base)).await
 }
@@ -25,7 +25,7 @@
         bail!("no upstream has the address {upstream}");
     };
     found.leaving = true;
-    save_plan(platform, &Plan::between(&base, fleet)).await
+    save_plan(platform, &Plan::diff(&base, fleet)).await
 }
 
 /// Puts a plan in force, if the configuration has not changed since it was made.
@@ -33,16 +33,16 @@
     let plan = store::read_plan(platform, id).await.wrap_err("reading the plan")?;
     let base = read_current(platform).await?;
     let describe_conflict = || {
-        let err = plan.check(id, &base).err();
+        let err = plan.verify(id, &base).err();
         let text = err.map(|it| it.to_string()).unwrap_or_default();
-        let changes = Plan::between(&base, plan.fleet.clone()).changes;
+        let changes = Plan::diff(&base, plan.fleet.clone()).changes;
         let mut res =
             format!("not confirmed: {text}\nchanges to the configuration now in force would be:\n");
         changes.iter().for_each(|it| res.push_str(&format!("  {it}\n")));
         res
     };
     if plan.id() != id {
-        plan.check(id, &base)?;
+        plan.verify(id, &base)?;
     }
     match store::confirm(platform, &plan).await? {
         Confirmed::InForce => Ok(format!("revision {} is in force\n", plan.fleet.revision)),
