--- a/crates/portfield/src/fleet/spec.rs
+++ b/crates/portfield/src/fleet/spec.rs
@@ -130,7 +130,7 @@
     /// use portfield::fleet::FleetSpec;
     ///
     /// let spec = FleetSpec::parse("data_centres = ['north']").unwrap();
-    /// assert_eq!(intent.data_centres, ["north"]);
+    /// assert_eq!(spec.data_centres, ["north"]);
     /// let err = FleetSpec::parse("data_centre = []").unwrap_err();
     /// assert!(err.to_string().contains("data_centre"));
     /// ```
