--- a/crates/portfield/src/route/admission.rs
+++ b/crates/portfield/src/route/admission.rs
@@ -9,7 +9,7 @@
 pub struct QueueFull;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Held {
+struct Usage {
     requests: usize,
     bytes: usize,
 }
@@ -37,7 +37,7 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
-    held: HashMap<WorkspaceId, Held>,
+    usage: HashMap<WorkspaceId, Usage>,
 }
 
 impl Admission {
@@ -47,32 +47,32 @@
     ///
     /// [`QueueFull`] where the count or the bytes are used up.
     pub fn admit(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), QueueFull> {
-        let held = self.held.entry(workspace.id).or_default();
-        if workspace.queue <= held.requests || workspace.queue_bytes < held.bytes + bytes {
+        let usage = self.usage.entry(workspace.id).or_default();
+        if workspace.queue <= usage.requests || workspace.queue_bytes < usage.bytes + bytes {
             return Err(QueueFull);
         }
-        held.requests += 1;
-        held.bytes += bytes;
+        usage.requests += 1;
+        usage.bytes += bytes;
         Ok(())
     }
 
     /// Notes that a request no longer waits.
     pub fn release(&mut self, id: WorkspaceId, bytes: usize) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        held.requests -= 1;
-        held.bytes -= bytes;
-        if held.requests == 0 {
-            self.held.remove(&id);
+        let Some(usage) = self.usage.get_mut(&id) else { return };
+        usage.requests -= 1;
+        usage.bytes -= bytes;
+        if usage.requests == 0 {
+            self.usage.remove(&id);
         }
     }
 
     /// Returns how many requests wait.
     pub fn len(&self) -> usize {
-        self.held.values().map(|it| it.requests).sum()
+        self.usage.values().map(|it| it.requests).sum()
     }
 
     /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.usage.is_empty()
     }
 }
--- a/crates/portfield/src/route/outcome.rs
+++ b/crates/portfield/src/route/outcome.rs
@@ -47,6 +47,6 @@
 /// assert_eq!(outcome_of(AttemptPhase::Sent, 0), Outcome::Unknown);
 /// ```
 pub fn outcome_of(phase: AttemptPhase, n_ambiguous: u32) -> Outcome {
-    let certain = phase <= AttemptPhase::Declined && n_ambiguous == 0;
-    if certain { Outcome::NotRun } else { Outcome::Unknown }
+    let is_certain = phase <= AttemptPhase::Declined && n_ambiguous == 0;
+    if is_certain { Outcome::NotRun } else { Outcome::Unknown }
 }
--- a/crates/portfield/src/route/placement.rs
+++ b/crates/portfield/src/route/placement.rs
@@ -11,69 +11,69 @@
 };
 
 /// Pause before a ticket is registered again with an owner that denied it.
-const REGISTER_PAUSE: Duration = Duration::from_millis(50);
+const REREGISTER_PAUSE: Duration = Duration::from_millis(50);
 /// A session that cannot be opened is tried again after this time.
-const DIAL_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 impl Router {
     /// Marks what is registered at a host for a shard it does not own as to be placed.
-    pub(super) fn evict(&mut self, host: HostId, shard: ShardKey) {
+    pub(super) fn mark_unplaced(&mut self, host: HostId, shard: ShardKey) {
         let here = self
-            .entries
+            .tickets
             .iter()
             .filter(|(_, it)| it.shard == shard && it.stage.host() == Some(host));
         let here: Vec<_> = here.map(|(id, _)| *id).collect();
-        self.homeless.extend(here);
+        self.unplaced.extend(here);
     }
 
     /// Places everything anew where shards may have changed with the configuration.
-    pub(super) fn evict_all(&mut self) {
+    pub(super) fn mark_moved(&mut self) {
         let moved: Vec<_> = self
-            .entries
+            .tickets
             .iter()
             .filter(|(_, it)| it.shard != self.local_shard(it.request.service))
             .map(|(id, _)| *id)
             .collect();
-        self.homeless.extend(moved);
+        self.unplaced.extend(moved);
     }
 
     /// Returns the shard of this data centre that this router's requests go to.
     pub(super) fn local_shard(&self, service: ServiceId) -> ShardKey {
-        let fleet = self.adopted.fleet();
+        let fleet = self.current.fleet();
         let data_centre = fleet.data_centre_id(&self.data_centre).unwrap_or(0);
         let n_parts = fleet.n_parts(service, data_centre);
-        let spread = ShardKey { service, data_centre, part: 0 };
-        let part = choose_part(spread, n_parts, self.host);
-        ShardKey { part, ..spread }
+        let base = ShardKey { service, data_centre, part: 0 };
+        let part = choose_part(base, n_parts, self.host);
+        ShardKey { part, ..base }
     }
 
-    pub(super) fn place_all(&mut self, now: Duration) {
-        for id in std::mem::take(&mut self.homeless) {
+    pub(super) fn place_unplaced(&mut self, now: Duration) {
+        for id in std::mem::take(&mut self.unplaced) {
             self.place(now, id);
         }
     }
 
     /// Registers a ticket or a running request with the shard's owner.
     pub(super) fn place(&mut self, now: Duration, id: TicketId) {
-        let Some(entry) = self.entries.get(&id) else { return };
+        let Some(entry) = self.tickets.get(&id) else { return };
         let shard = self.local_shard(entry.request.service);
-        let Some(host) = self.owner(shard) else {
-            self.homeless.insert(id);
-            self.place_later(now);
+        let Some(host) = self.shard_owner(shard) else {
+            self.unplaced.insert(id);
+            self.schedule_placement(now);
             return;
         };
-        if !self.schedulers[&host].up {
-            self.homeless.insert(id);
-            self.dial(now, host);
-            self.place_later(now);
+        if !self.schedulers[&host].connected {
+            self.unplaced.insert(id);
+            self.connect_to(now, host);
+            self.schedule_placement(now);
             return;
         }
         self.unregister(id, shard);
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(entry) = self.tickets.get_mut(&id) else { return };
         entry.shard = shard;
         let request = &entry.request;
         match &mut entry.stage {
-            Stage::Runs(at, run) => {
+            Stage::Running(at, run) => {
                 *at = host;
                 let running = wire::Running {
                     id,
@@ -83,7 +83,7 @@
                     estimate: run.estimate,
                     loan: run.loan,
                 };
-                self.report(host, shard).running.push(running);
+                self.report_mut(host, shard).running.push(running);
             }
             stage => {
                 *stage = Stage::Queued(host);
@@ -93,45 +93,45 @@
                     hint: request.cost_hint,
                     class: u32::from(request.is_batch),
                     prefix: request.prefix_hash,
-                    waited: now.saturating_sub(entry.since).as_millis() as u32,
+                    waited: now.saturating_sub(entry.submitted_at).as_millis() as u32,
                 };
-                self.report(host, shard).tickets.push(ticket);
+                self.report_mut(host, shard).tickets.push(ticket);
             }
         }
     }
 
     /// Takes a ticket back from the shard that it was registered with, if that is another.
-    pub(super) fn unregister(&mut self, id: TicketId, fresh: ShardKey) {
-        let Some(entry) = self.entries.get(&id) else { return };
+    pub(super) fn unregister(&mut self, id: TicketId, new_shard: ShardKey) {
+        let Some(entry) = self.tickets.get(&id) else { return };
         let (old, host, stage) = (entry.shard, entry.stage.host(), entry.stage);
-        let Some(host) = host.filter(|_| old != fresh) else { return };
+        let Some(host) = host.filter(|_| old != new_shard) else { return };
         match stage {
-            Stage::Runs(_, run) => {
+            Stage::Running(_, run) => {
                 let done = wire::Done { id, cost: run.cost, declined: true, ..Default::default() };
-                self.report(host, old).done.push(done);
+                self.report_mut(host, old).done.push(done);
             }
-            _ => self.report(host, old).cancels.push(id),
+            _ => self.report_mut(host, old).cancels.push(id),
         }
     }
 
-    pub(super) fn place_later(&mut self, now: Duration) {
-        if !self.placing {
-            self.placing = true;
-            self.timers.schedule(now + REGISTER_PAUSE, Timer::Place);
+    pub(super) fn schedule_placement(&mut self, now: Duration) {
+        if !self.is_placement_due {
+            self.is_placement_due = true;
+            self.timers.schedule(now + REREGISTER_PAUSE, Timer::Place);
         }
     }
 
-    pub(super) fn owner(&self, shard: ShardKey) -> Option<HostId> {
+    pub(super) fn shard_owner(&self, shard: ShardKey) -> Option<HostId> {
         let alive = self.schedulers.iter().filter(|(_, it)| it.state <= 1 && 0 < it.incarnation);
         rank_hosts(shard, alive.map(|(host, _)| *host)).first().copied()
     }
 
-    pub(super) fn dial(&mut self, now: Duration, host: HostId) {
+    pub(super) fn connect_to(&mut self, now: Duration, host: HostId) {
         let Some(it) = self.schedulers.get_mut(&host) else { return };
-        if it.dialed.is_some_and(|at| now < at + DIAL_PAUSE) {
+        if it.attempted_at.is_some_and(|at| now < at + RECONNECT_PAUSE) {
             return;
         }
-        it.dialed = Some(now);
+        it.attempted_at = Some(now);
         self.actions.push(Action::Connect(host, it.address));
     }
 }
--- a/crates/portfield/src/route/resume.rs
+++ b/crates/portfield/src/route/resume.rs
@@ -12,7 +12,7 @@
 };
 
 /// Digits of the hash in a token.
-const MAC_LEN: usize = 32;
+const MAC_DIGITS: usize = 32;
 
 /// Returns the token of a workspace's stream.
 ///
@@ -43,9 +43,9 @@
     token: &'a str,
 ) -> Option<(UpstreamId, &'a str)> {
     let (upstream, rest) = token.split_once('.')?;
-    let (found, stream) = rest.split_once('.')?;
+    let (found_mac, stream) = rest.split_once('.')?;
     let upstream = upstream.parse().ok()?;
-    (found == mac(fleet, workspace, upstream, stream)).then_some((upstream, stream))
+    (found_mac == mac(fleet, workspace, upstream, stream)).then_some((upstream, stream))
 }
 
 fn mac(fleet: &Fleet, workspace: WorkspaceId, upstream: UpstreamId, stream: &str) -> String {
@@ -57,6 +57,6 @@
     hash.update(upstream.to_le_bytes());
     hash.update(stream.as_bytes());
     let mut res = hex(&hash.finalize());
-    res.truncate(MAC_LEN);
+    res.truncate(MAC_DIGITS);
     res
 }
--- a/crates/portfield/src/route/retry.rs
+++ b/crates/portfield/src/route/retry.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Retries earned by one request, in thousandths.
-const EARNED: u32 = 100;
+const DEPOSIT: u32 = 100;
 /// Most retries saved up, in thousandths.
-const MAX_SAVED: u32 = 20_000;
+const MAX_BALANCE: u32 = 20_000;
 /// Price of a retry, in thousandths.
-const PRICE: u32 = 1000;
+const RETRY_COST: u32 = 1000;
 /// First backoff.
 const FIRST_BACKOFF: Duration = Duration::from_millis(25);
 /// Longest backoff.
@@ -28,27 +28,27 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryBudget {
-    saved: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
     /// Builds a budget that is full.
     pub fn full() -> Self {
-        Self { saved: MAX_SAVED }
+        Self { balance: MAX_BALANCE }
     }
 
     /// Counts a request.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + EARNED).min(MAX_SAVED);
+        self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
     /// Pays for a retry, if there is enough.
     pub fn withdraw(&mut self) -> bool {
-        let enough = PRICE <= self.saved;
-        if enough {
-            self.saved -= PRICE;
+        let is_covered = RETRY_COST <= self.balance;
+        if is_covered {
+            self.balance -= RETRY_COST;
         }
-        enough
+        is_covered
     }
 }
 
@@ -62,6 +62,6 @@
 /// assert!(backoff(0, 0.5) < backoff(3, 0.5));
 /// ```
 pub fn backoff(n: u32, jitter: f64) -> Duration {
-    let longest = (FIRST_BACKOFF * 2u32.pow(n.min(10))).min(MAX_BACKOFF);
-    longest.mul_f64(jitter.clamp(0.0, 1.0))
+    let limit = (FIRST_BACKOFF * 2u32.pow(n.min(10))).min(MAX_BACKOFF);
+    limit.mul_f64(jitter.clamp(0.0, 1.0))
 }
--- a/crates/portfield/src/route/router.rs
+++ b/crates/portfield/src/route/router.rs
@@ -21,11 +21,11 @@
 /// Time between two batches of progress reports.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 /// Progress in tokens below which a report waits for the next batch.
-const REPORT_QUANTUM: u32 = 16;
+const MIN_REPORTED_TOKENS: u32 = 16;
 /// Sessions that are kept open even if no shard asks for them.
 const MIN_SESSIONS: usize = 2;
 /// First part of a ticket's number: the life of the router.
-const LIFE_SHIFT: u32 = 24;
+const INCARNATION_SHIFT: u32 = 24;
 
 /// A request as its ticket describes it.
 #[derive(Debug, Clone)]
@@ -73,11 +73,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Not registered, or registration lost.
-    Homeless,
+    Unregistered,
     /// In the queue of the owner at a host.
     Queued(HostId),
     /// Runs under a grant of the owner at a host.
-    Runs(HostId, Run),
+    Running(HostId, Run),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,14 +86,14 @@
     pub(super) estimate: u32,
     pub(super) loan: u64,
     pub(super) cost: u32,
-    pub(super) reported: u32,
+    pub(super) reported_cost: u32,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub(super) request: Request,
     pub(super) shard: ShardKey,
-    pub(super) since: Duration,
+    pub(super) submitted_at: Duration,
     pub(super) stage: Stage,
 }
 
@@ -102,8 +102,8 @@
     pub(super) address: SocketAddr,
     pub(super) state: u32,
     pub(super) incarnation: Incarnation,
-    pub(super) up: bool,
-    pub(super) dialed: Option<Duration>,
+    pub(super) connected: bool,
+    pub(super) attempted_at: Option<Duration>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -118,55 +118,55 @@
 pub struct Router {
     pub(super) data_centre: String,
     pub(super) host: HostId,
-    pub(super) adopted: CurrentFleet,
+    pub(super) current: CurrentFleet,
     pub(super) schedulers: BTreeMap<HostId, Scheduler>,
-    pub(super) entries: HashMap<TicketId, Entry>,
-    pub(super) homeless: BTreeSet<TicketId>,
-    stirred: BTreeSet<TicketId>,
+    pub(super) tickets: HashMap<TicketId, Entry>,
+    pub(super) unplaced: BTreeSet<TicketId>,
+    unreported: BTreeSet<TicketId>,
     admission: Admission,
     pub(super) timers: Timers<Timer>,
     outbox: BTreeMap<HostId, BTreeMap<ShardKey, wire::ShardReport>>,
     next_id: TicketId,
-    pub(super) placing: bool,
+    pub(super) is_placement_due: bool,
     pub(super) actions: Vec<Action>,
 }
 
 impl Router {
-    /// Builds a router that knows no scheduler yet; `life` differs from earlier lives.
-    pub fn new(host: HostId, data_centre: impl Into<String>, life: u64) -> Self {
+    /// Builds a router that knows no scheduler yet; `incarnation` differs from earlier lives.
+    pub fn new(host: HostId, data_centre: impl Into<String>, incarnation: u64) -> Self {
         let mut timers = Timers::default();
         timers.schedule(REPORT_PERIOD, Timer::Report);
         Self {
             data_centre: data_centre.into(),
             host,
-            adopted: CurrentFleet::default(),
+            current: CurrentFleet::default(),
             schedulers: BTreeMap::new(),
-            entries: HashMap::new(),
-            homeless: BTreeSet::new(),
-            stirred: BTreeSet::new(),
+            tickets: HashMap::new(),
+            unplaced: BTreeSet::new(),
+            unreported: BTreeSet::new(),
             admission: Admission::default(),
             timers,
             outbox: BTreeMap::new(),
-            next_id: life << LIFE_SHIFT,
-            placing: false,
+            next_id: incarnation << INCARNATION_SHIFT,
+            is_placement_due: false,
             actions: Vec::new(),
         }
     }
 
     /// Returns the configuration in force here.
     pub fn fleet(&self) -> &Arc<Fleet> {
-        self.adopted.fleet()
+        self.current.fleet()
     }
 
     /// Returns how many requests wait and how many run.
     pub fn load(&self) -> (usize, usize) {
         let waiting = self.admission.len();
-        (waiting, self.entries.len() - waiting)
+        (waiting, self.tickets.len() - waiting)
     }
 
     /// Returns whether some scheduler of this data centre has a session with this router.
     pub fn is_connected(&self) -> bool {
-        self.schedulers.values().any(|it| it.up)
+        self.schedulers.values().any(|it| it.connected)
     }
 
     /// Returns the address of a host's scheduler.
@@ -176,8 +176,8 @@
 
     /// Adopts a configuration if its revision is higher.
     pub fn update_fleet(&mut self, fleet: Fleet) {
-        if self.adopted.update(fleet) {
-            self.evict_all();
+        if self.current.update(fleet) {
+            self.mark_moved();
         }
     }
 
@@ -187,19 +187,19 @@
             address,
             state: 0,
             incarnation: 0,
-            up: false,
-            dialed: None,
+            connected: false,
+            attempted_at: None,
         });
     }
 
     /// Opens sessions until there are enough to learn the membership from.
     pub fn connect(&mut self, now: Duration) {
-        let n_up = self.schedulers.values().filter(|it| it.up).count();
-        let down = self.schedulers.iter().filter(|(_, it)| !it.up && it.state <= 1);
-        let mut down: Vec<_> = down.map(|(host, it)| (it.dialed, *host)).collect();
+        let n_up = self.schedulers.values().filter(|it| it.connected).count();
+        let down = self.schedulers.iter().filter(|(_, it)| !it.connected && it.state <= 1);
+        let mut down: Vec<_> = down.map(|(host, it)| (it.attempted_at, *host)).collect();
         down.sort_unstable();
         for (_, host) in down.into_iter().take(MIN_SESSIONS.saturating_sub(n_up)) {
-            self.dial(now, host);
+            self.connect_to(now, host);
         }
     }
 
@@ -214,25 +214,26 @@
         let id = self.next_id;
         let shard = self.local_shard(request.service);
         self.timers.schedule(request.deadline, Timer::Deadline(id));
-        self.entries.insert(id, Entry { request, shard, since: now, stage: Stage::Homeless });
+        self.tickets
+            .insert(id, Entry { request, shard, submitted_at: now, stage: Stage::Unregistered });
         self.place(now, id);
         Ok(id)
     }
 
     /// Withdraws a request: its caller hung up, or it is done with.
     pub fn cancel(&mut self, id: TicketId) {
-        let Some(entry) = self.entries.remove(&id) else { return };
-        self.homeless.remove(&id);
+        let Some(entry) = self.tickets.remove(&id) else { return };
+        self.unplaced.remove(&id);
         match entry.stage {
-            Stage::Runs(host, run) => {
+            Stage::Running(host, run) => {
                 let done = wire::Done { id, cost: run.cost, declined: true, ..Default::default() };
-                self.report(host, entry.shard).done.push(done);
+                self.report_mut(host, entry.shard).done.push(done);
             }
             Stage::Queued(host) => {
                 self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
-                self.report(host, entry.shard).cancels.push(id);
+                self.report_mut(host, entry.shard).cancels.push(id);
             }
-            Stage::Homeless => {
+            Stage::Unregistered => {
                 self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
             }
         }
@@ -240,73 +241,76 @@
 
     /// Counts what a running request has cost so far, in tokens.
     pub fn record_progress(&mut self, id: TicketId, cost: u32) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        let Stage::Runs(_, run) = &mut entry.stage else { return };
+        let Some(entry) = self.tickets.get_mut(&id) else { return };
+        let Stage::Running(_, run) = &mut entry.stage else { return };
         run.cost = cost;
-        if run.reported + REPORT_QUANTUM <= cost {
-            self.stirred.insert(id);
+        if run.reported_cost + MIN_REPORTED_TOKENS <= cost {
+            self.unreported.insert(id);
         }
     }
 
-    /// Ends a request that ran; `pace` is the mean time between its tokens.
-    pub fn finish(&mut self, id: TicketId, cost: u32, pace: Duration) {
-        self.end(id, wire::Done { id, cost, pace: pace_to_wire(pace), ..Default::default() });
+    /// Ends a request that ran; `token_gap` is the mean time between its tokens.
+    pub fn finish(&mut self, id: TicketId, cost: u32, token_gap: Duration) {
+        self.complete(
+            id,
+            wire::Done { id, cost, pace: token_gap_to_wire(token_gap), ..Default::default() },
+        );
     }
 
     /// Ends a request that its upstream failed.
     pub fn fail(&mut self, id: TicketId, cost: u32) {
-        self.end(id, wire::Done { id, cost, failed: true, ..Default::default() });
+        self.complete(id, wire::Done { id, cost, failed: true, ..Default::default() });
     }
 
     /// Notes that a session is open: everything that belongs there is registered.
     pub fn session_opened(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
-            it.up = true;
-            it.dialed = None;
+            it.connected = true;
+            it.attempted_at = None;
         }
-        self.place_all(now);
+        self.place_unplaced(now);
     }
 
     /// Notes that a session ended or could not be opened.
     pub fn session_closed(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
-            it.up = false;
-            it.dialed = Some(now);
+            it.connected = false;
+            it.attempted_at = Some(now);
         }
         self.outbox.remove(&host);
-        for (id, entry) in &mut self.entries {
+        for (id, entry) in &mut self.tickets {
             if entry.stage.host() != Some(host) {
                 continue;
             }
-            self.homeless.insert(*id);
+            self.unplaced.insert(*id);
             if entry.stage == Stage::Queued(host) {
-                entry.stage = Stage::Homeless;
+                entry.stage = Stage::Unregistered;
             }
         }
-        self.place_later(now);
+        self.schedule_placement(now);
     }
 
     /// Takes in a scheduler's frame.
     pub fn handle_frame(&mut self, now: Duration, from: HostId, frame: &wire::OwnerFrame) {
-        let has_news = self.hear_members(now, &frame.members);
-        self.hear_revision(from, frame.revision);
+        let changed = self.update_members(now, &frame.members);
+        self.check_revision(from, frame.revision);
         for answer in &frame.answers {
             let Some(shard) = answer.shard.as_ref().map(ShardKey::from) else { continue };
             if answer.not_owner {
-                self.evict(from, shard);
-                self.place_later(now);
+                self.mark_unplaced(from, shard);
+                self.schedule_placement(now);
             }
             for it in &answer.grants {
-                self.granted(now, from, shard, it);
+                self.handle_grant(now, from, shard, it);
             }
             for it in &answer.refusals {
                 let retry = Duration::from_millis(u64::from(it.retry));
-                self.refuse(it.ticket, RejectReason::QueueFull, retry);
+                self.reject(it.ticket, RejectReason::QueueFull, retry);
             }
         }
         // Without news an owner that denied a ticket would deny it again at once.
-        if has_news {
-            self.place_all(now);
+        if changed {
+            self.place_unplaced(now);
         }
     }
 
@@ -320,8 +324,8 @@
                     self.timers.schedule(now + REPORT_PERIOD, Timer::Report);
                 }
                 Timer::Place => {
-                    self.placing = false;
-                    self.place_all(now);
+                    self.is_placement_due = false;
+                    self.place_unplaced(now);
                 }
                 Timer::Deadline(id) => self.expire(id),
             }
@@ -343,54 +347,54 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn end(&mut self, id: TicketId, done: wire::Done) {
-        let Some(entry) = self.entries.remove(&id) else { return };
-        self.homeless.remove(&id);
-        self.stirred.remove(&id);
-        if let Stage::Runs(host, _) = entry.stage {
-            self.report(host, entry.shard).done.push(done);
+    fn complete(&mut self, id: TicketId, done: wire::Done) {
+        let Some(entry) = self.tickets.remove(&id) else { return };
+        self.unplaced.remove(&id);
+        self.unreported.remove(&id);
+        if let Stage::Running(host, _) = entry.stage {
+            self.report_mut(host, entry.shard).done.push(done);
         }
     }
 
     fn expire(&mut self, id: TicketId) {
-        let waits = self.entries.get(&id).is_some_and(|it| !matches!(it.stage, Stage::Runs(..)));
+        let waits = self.tickets.get(&id).is_some_and(|it| !matches!(it.stage, Stage::Running(..)));
         if waits {
-            self.refuse(id, RejectReason::Timeout, Duration::from_secs(1));
+            self.reject(id, RejectReason::Timeout, Duration::from_secs(1));
         }
     }
 
-    fn refuse(&mut self, id: TicketId, reason: RejectReason, retry: Duration) {
-        if !self.entries.contains_key(&id) {
+    fn reject(&mut self, id: TicketId, reason: RejectReason, retry: Duration) {
+        if !self.tickets.contains_key(&id) {
             return;
         }
         self.cancel(id);
         self.actions.push(Action::Reject(id, reason, retry));
     }
 
-    fn granted(&mut self, now: Duration, from: HostId, shard: ShardKey, grant: &wire::Grant) {
+    fn handle_grant(&mut self, now: Duration, from: HostId, shard: ShardKey, grant: &wire::Grant) {
         let id = grant.ticket;
-        let entry = self.entries.get_mut(&id);
-        let is_mine =
+        let entry = self.tickets.get_mut(&id);
+        let is_queued_here =
             entry.as_ref().is_some_and(|it| it.stage == Stage::Queued(from) && it.shard == shard);
-        let leaving = self.adopted.fleet().upstream(grant.upstream).is_none_or(|it| it.leaving);
-        if !is_mine || leaving {
+        let leaving = self.current.fleet().upstream(grant.upstream).is_none_or(|it| it.leaving);
+        if !is_queued_here || leaving {
             let done = wire::Done { id, declined: true, ..Default::default() };
-            self.report(from, shard).done.push(done);
-            if is_mine {
-                self.homeless.insert(id);
-                self.place_later(now);
+            self.report_mut(from, shard).done.push(done);
+            if is_queued_here {
+                self.unplaced.insert(id);
+                self.schedule_placement(now);
             }
             return;
         }
         let Some(entry) = entry else { return };
-        entry.stage = Stage::Runs(
+        entry.stage = Stage::Running(
             from,
             Run {
                 upstream: grant.upstream,
                 estimate: grant.estimate,
                 loan: grant.loan,
                 cost: 0,
-                reported: 0,
+                reported_cost: 0,
             },
         );
         self.admission.release(entry.request.workspace.id, entry.request.body_bytes);
@@ -398,51 +402,52 @@
     }
 
     fn report_progress(&mut self) {
-        for id in std::mem::take(&mut self.stirred) {
-            let Some(entry) = self.entries.get_mut(&id) else { continue };
-            let Stage::Runs(host, run) = &mut entry.stage else { continue };
-            run.reported = run.cost;
+        for id in std::mem::take(&mut self.unreported) {
+            let Some(entry) = self.tickets.get_mut(&id) else { continue };
+            let Stage::Running(host, run) = &mut entry.stage else { continue };
+            run.reported_cost = run.cost;
             let progress = wire::Progress { id, cost: run.cost };
             let (host, shard) = (*host, entry.shard);
-            self.report(host, shard).progress.push(progress);
+            self.report_mut(host, shard).progress.push(progress);
         }
     }
 
     /// Takes in members and returns whether any changed.
-    fn hear_members(&mut self, now: Duration, members: &[wire::Member]) -> bool {
-        let mut has_news = false;
+    fn update_members(&mut self, now: Duration, members: &[wire::Member]) -> bool {
+        let mut changed = false;
         for it in members {
             let (Ok(host), Ok(address)) = (it.host.parse(), it.address.parse()) else { continue };
             let fresh = Scheduler {
                 address,
                 state: it.state,
                 incarnation: it.incarnation,
-                up: false,
-                dialed: None,
+                connected: false,
+                attempted_at: None,
             };
             let old = self.schedulers.get(&host);
             let known = old.map(|it| (it.incarnation, it.state));
             if known.is_some_and(|it| fresh.incarnation < it.0) {
                 continue;
             }
-            has_news |= known != Some((fresh.incarnation, fresh.state));
-            let (up, dialed) = old.map_or((false, None), |it| (it.up, it.dialed));
-            self.schedulers.insert(host, Scheduler { up, dialed, ..fresh });
-            if up && it.state == DEAD {
+            changed |= known != Some((fresh.incarnation, fresh.state));
+            let (connected, attempted_at) =
+                old.map_or((false, None), |it| (it.connected, it.attempted_at));
+            self.schedulers.insert(host, Scheduler { connected, attempted_at, ..fresh });
+            if connected && it.state == DEAD {
                 // The connection to a host without power may seem open for long.
                 self.session_closed(now, host);
             }
         }
-        has_news
+        changed
     }
 
-    fn hear_revision(&mut self, from: HostId, revision: Revision) {
-        if self.adopted.revision() < revision {
+    fn check_revision(&mut self, from: HostId, revision: Revision) {
+        if self.current.revision() < revision {
             self.actions.push(Action::FetchConfig(from));
         }
     }
 
-    pub(super) fn report(&mut self, host: HostId, shard: ShardKey) -> &mut wire::ShardReport {
+    pub(super) fn report_mut(&mut self, host: HostId, shard: ShardKey) -> &mut wire::ShardReport {
         let reports = self.outbox.entry(host).or_default();
         reports.entry(shard).or_insert_with(|| wire::ShardReport {
             shard: Some(shard.into()),
@@ -454,12 +459,12 @@
 impl Stage {
     pub(super) fn host(&self) -> Option<HostId> {
         match self {
-            Self::Homeless => None,
-            Self::Queued(host) | Self::Runs(host, _) => Some(*host),
+            Self::Unregistered => None,
+            Self::Queued(host) | Self::Running(host, _) => Some(*host),
         }
     }
 }
 
-fn pace_to_wire(pace: Duration) -> u32 {
-    (pace.as_micros() / 100) as u32
+fn token_gap_to_wire(token_gap: Duration) -> u32 {
+    (token_gap.as_micros() / 100) as u32
 }
