--- a/crates/portfield/src/route/admission.rs
+++ b/crates/portfield/src/route/admission.rs
@@ -1,10 +1,11 @@
-//! Bounded queues per workspace: who floods is refused, and nobody else is.
+//! Admission control: a bounded queue per workspace, so that a workspace that sends too much is
+//! the only one rejected.
 
 use std::collections::HashMap;
 
 use crate::{fleet::Workspace, ids::WorkspaceId};
 
-/// A workspace has as much waiting at this router as it may.
+/// Error: the workspace's queue at this router is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueFull;
 
@@ -14,7 +15,7 @@
     bytes: usize,
 }
 
-/// What each workspace has waiting at one router.
+/// Requests and body bytes that each workspace has waiting at one router.
 ///
 /// # Examples
 ///
@@ -41,11 +42,11 @@
 }
 
 impl Admission {
-    /// Lets a request in, if the workspace's queue has room for it.
+    /// Counts a request with a body of `bytes` as waiting, if the workspace's queue has room.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`] where the count or the bytes are used up.
+    /// [`QueueFull`] if the request would exceed the limit of requests or of bytes.
     pub fn admit(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), QueueFull> {
         let usage = self.usage.entry(workspace.id).or_default();
         if workspace.queue <= usage.requests || workspace.queue_bytes < usage.bytes + bytes {
@@ -56,7 +57,7 @@
         Ok(())
     }
 
-    /// Notes that a request no longer waits.
+    /// Removes a request with a body of `bytes` from the workspace's queue.
     pub fn release(&mut self, id: WorkspaceId, bytes: usize) {
         let Some(usage) = self.usage.get_mut(&id) else { return };
         usage.requests -= 1;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.usage.values().map(|it| it.requests).sum()
     }
--- a/crates/portfield/src/route/mod.rs
+++ b/crates/portfield/src/route/mod.rs
@@ -1,7 +1,7 @@
-//! Routing at the host that took a request: tickets, admission, outcomes and retries.
+//! Routing at the host that accepted a request: tickets, admission, outcomes and retries.
 //!
-//! Only the router that accepted a request ever sends it upstream. It keeps the request
-//! and its answer; schedulers see tickets only.
+//! Only the router that accepted a request sends it upstream. The request and its response stay
+//! at that router; schedulers only see its ticket.
 
 mod admission;
 mod outcome;
--- a/crates/portfield/src/route/outcome.rs
+++ b/crates/portfield/src/route/outcome.rs
@@ -1,26 +1,26 @@
-//! Whether a request ran, said only where it is certain.
+//! Outcome of a failed request: not executed, or unknown.
 
 use std::fmt;
 
-/// How far an attempt to send a request upstream came before it broke.
+/// Progress of an attempt to send a request upstream when it failed, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptPhase {
-    /// No connection, or none of the request was written to it.
+    /// Not connected, or connected with nothing of the request written.
     Unsent,
-    /// The upstream said by itself that it did not run the request.
+    /// The upstream reported that it did not run the request.
     Declined,
-    /// Some of the request may have been written.
+    /// Part of the request may have been written.
     Sent,
-    /// The answer's head has arrived.
+    /// The response's head has arrived.
     Responding,
 }
 
-/// What is said to the caller of a request that got no whole answer.
+/// Outcome reported to the caller of a request that got no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -33,9 +33,9 @@
     }
 }
 
-/// Returns the outcome of a request whose last attempt broke in a phase.
+/// Returns the outcome of a request whose last attempt failed in `phase`.
 ///
-/// `n_ambiguous` counts the earlier attempts that may have run.
+/// `n_ambiguous` is the number of earlier attempts that may have run.
 ///
 /// # Examples
 ///
--- a/crates/portfield/src/route/placement.rs
+++ b/crates/portfield/src/route/placement.rs
@@ -1,4 +1,4 @@
-//! Where a router's tickets and running requests are registered.
+//! Placement: registration of a router's tickets and running requests with shard owners.
 
 use std::time::Duration;
 
@@ -10,13 +10,14 @@
     wire,
 };
 
-/// Pause before a ticket is registered again with an owner that denied it.
+/// Pause before tickets without a reachable owner, or whose owner denied owning the shard, are
+/// registered again.
 const REREGISTER_PAUSE: Duration = Duration::from_millis(50);
-/// A session that cannot be opened is tried again after this time.
+/// Pause between two attempts to connect to a scheduler.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 impl Router {
-    /// Marks what is registered at a host for a shard it does not own as to be placed.
+    /// Marks what is registered with `host` for `shard`, which it does not own, as unplaced.
     pub(super) fn mark_unplaced(&mut self, host: HostId, shard: ShardKey) {
         let here = self
             .tickets
@@ -26,7 +27,7 @@
         self.unplaced.extend(here);
     }
 
-    /// Places everything anew where shards may have changed with the configuration.
+    /// Marks everything whose shard changed with the configuration as unplaced.
     pub(super) fn mark_moved(&mut self) {
         let moved: Vec<_> = self
             .tickets
@@ -37,7 +38,7 @@
         self.unplaced.extend(moved);
     }
 
-    /// Returns the shard of this data centre that this router's requests go to.
+    /// Returns the shard in this data centre that this router uses for a service.
     pub(super) fn local_shard(&self, service: ServiceId) -> ShardKey {
         let fleet = self.current.fleet();
         let data_centre = fleet.data_centre_id(&self.data_centre).unwrap_or(0);
@@ -47,13 +48,15 @@
         ShardKey { part, ..base }
     }
 
+    /// Registers everything that is unplaced.
     pub(super) fn place_unplaced(&mut self, now: Duration) {
         for id in std::mem::take(&mut self.unplaced) {
             self.place(now, id);
         }
     }
 
-    /// Registers a ticket or a running request with the shard's owner.
+    /// Registers a ticket or a running request with the owner of its shard, or leaves it unplaced
+    /// while there is no session with the owner.
     pub(super) fn place(&mut self, now: Duration, id: TicketId) {
         let Some(entry) = self.tickets.get(&id) else { return };
         let shard = self.local_shard(entry.request.service);
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Takes a ticket back from the shard that it was registered with, if that is another.
+    /// Removes a ticket from the shard that it is registered with, if that is not `new_shard`.
     pub(super) fn unregister(&mut self, id: TicketId, new_shard: ShardKey) {
         let Some(entry) = self.tickets.get(&id) else { return };
         let (old, host, stage) = (entry.shard, entry.stage.host(), entry.stage);
@@ -114,6 +117,7 @@
         }
     }
 
+    /// Schedules the next registration of everything that is unplaced.
     pub(super) fn schedule_placement(&mut self, now: Duration) {
         if !self.is_placement_due {
             self.is_placement_due = true;
@@ -121,11 +125,13 @@
         }
     }
 
+    /// Returns the host that owns a shard, by rendezvous hashing of the live schedulers.
     pub(super) fn shard_owner(&self, shard: ShardKey) -> Option<HostId> {
         let alive = self.schedulers.iter().filter(|(_, it)| it.state <= 1 && 0 < it.incarnation);
         rank_hosts(shard, alive.map(|(host, _)| *host)).first().copied()
     }
 
+    /// Requests a session with a host's scheduler, unless one was attempted just before.
     pub(super) fn connect_to(&mut self, now: Duration, host: HostId) {
         let Some(it) = self.schedulers.get_mut(&host) else { return };
         if it.attempted_at.is_some_and(|at| now < at + RECONNECT_PAUSE) {
--- a/crates/portfield/src/route/resume.rs
+++ b/crates/portfield/src/route/resume.rs
@@ -1,8 +1,8 @@
-//! Tokens by which a caller goes on with its stream at another router.
+//! Tokens with which a caller resumes its stream at any router.
 //!
-//! The router that held a stream may be gone with all it knew, so the token says itself
-//! where the stream is. It is bound to its workspace by a hash over what no single workspace
-//! knows: all workspaces' token hashes in the configuration.
+//! The router that served a stream may have failed with its state, so the token contains the
+//! upstream and the stream's id. A hash keyed with the token hashes of all workspaces, which no
+//! single workspace knows, binds it to its workspace.
 
 use sha2::{Digest, Sha256};
 
@@ -11,10 +11,10 @@
     ids::{UpstreamId, WorkspaceId},
 };
 
-/// Digits of the hash in a token.
+/// Hexadecimal digits of the hash in a token.
 const MAC_DIGITS: usize = 32;
 
-/// Returns the token of a workspace's stream.
+/// Returns the resume token of a workspace's stream.
 ///
 /// # Examples
 ///
@@ -35,8 +35,10 @@
     format!("{upstream}.{}.{stream}", mac(fleet, workspace, upstream, stream))
 }
 
-/// Reads a token; none if it is not one of this workspace, or if the workspaces of the
-/// configuration have changed since it was given.
+/// Parses a resume token into the upstream and the stream's id.
+///
+/// Returns `None` if the token does not belong to this workspace, or if the workspaces' tokens
+/// in the configuration have changed since it was issued.
 pub fn parse_resume_token<'a>(
     fleet: &Fleet,
     workspace: WorkspaceId,
--- a/crates/portfield/src/route/retry.rs
+++ b/crates/portfield/src/route/retry.rs
@@ -1,19 +1,19 @@
-//! Retries: a budget, so that they never multiply an outage, and jittered backoff.
+//! Retries: a budget, so that retries do not amplify an outage, and backoff with jitter.
 
 use std::time::Duration;
 
-/// Retries earned by one request, in thousandths.
+/// Deposit of one request, in thousandths of a retry.
 const DEPOSIT: u32 = 100;
-/// Most retries saved up, in thousandths.
+/// Largest balance, in thousandths of a retry.
 const MAX_BALANCE: u32 = 20_000;
-/// Price of a retry, in thousandths.
+/// Cost of a retry, in thousandths of a retry.
 const RETRY_COST: u32 = 1000;
-/// First backoff.
+/// Longest pause before the first retry; it doubles with every further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(25);
-/// Longest backoff.
+/// Longest pause before any retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A retry budget: one retry for every ten requests, with a few saved up.
+/// A retry budget: one retry for every ten requests, and up to 20 unused ones kept for later.
 ///
 /// # Examples
 ///
@@ -32,17 +32,17 @@
 }
 
 impl RetryBudget {
-    /// Builds a budget that is full.
+    /// Builds a budget with the largest balance.
     pub fn full() -> Self {
         Self { balance: MAX_BALANCE }
     }
 
-    /// Counts a request.
+    /// Adds the deposit of one request.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
-    /// Pays for a retry, if there is enough.
+    /// Withdraws the cost of one retry; returns whether the balance covered it.
     pub fn withdraw(&mut self) -> bool {
         let is_covered = RETRY_COST <= self.balance;
         if is_covered {
@@ -52,7 +52,8 @@
     }
 }
 
-/// Returns the pause before the `n`th retry, with full jitter (`jitter` from 0 to 1).
+/// Returns the pause before retry `n`, counted from zero: exponential backoff with full jitter,
+/// where `jitter` is a random number from 0 to 1.
 ///
 /// # Examples
 ///
--- a/crates/portfield/src/route/router.rs
+++ b/crates/portfield/src/route/router.rs
@@ -1,4 +1,4 @@
-//! The tickets of one router: where each is registered, and what came of it.
+//! State of one router: its tickets, where they are registered, and its sessions with schedulers.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -16,70 +16,72 @@
     wire,
 };
 
-/// State of a member that is dead, on the wire.
+/// State of a dead member, as [`wire::Member`] encodes it.
 const DEAD: u32 = 2;
-/// Time between two batches of progress reports.
+/// Period of progress reports to schedulers.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
-/// Progress in tokens below which a report waits for the next batch.
+/// Progress in tokens from which a request is included in the next report.
 const MIN_REPORTED_TOKENS: u32 = 16;
-/// Sessions that are kept open even if no shard asks for them.
+/// Sessions kept open even if no shard needs them, to learn the membership.
 const MIN_SESSIONS: usize = 2;
-/// First part of a ticket's number: the life of the router.
+/// Position of the router's incarnation in a ticket id; the bits below count tickets.
 const INCARNATION_SHIFT: u32 = 24;
 
-/// A request as its ticket describes it.
+/// What a ticket says about its request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: Workspace,
-    /// What it calls.
+    /// Requested service.
     pub service: ServiceId,
-    /// Cost hint in tokens, zero for none.
+    /// Expected cost in tokens as stated by the caller; zero if not stated.
     pub cost_hint: u32,
-    /// It may wait behind interactive requests of its workspace.
+    /// Whether interactive requests of the same workspace go first.
     pub is_batch: bool,
-    /// Hash of the prompt's prefix, zero for none.
+    /// Hash of the prompt's prefix; zero if there is none.
     pub prefix_hash: u32,
-    /// Bytes of its body.
+    /// Length of the body in bytes.
     pub body_bytes: usize,
-    /// Instant at which it is given up on.
+    /// Time at which the request is rejected if it still waits.
     pub deadline: Duration,
 }
 
-/// Why a request that waited will not run.
+/// Why a waiting request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its workspace has too much waiting.
+    /// The queue of its workspace is full.
     QueueFull,
-    /// No grant came in time.
+    /// No grant arrived before its deadline.
     Timeout,
 }
 
-/// What a router's process is to do.
+/// Action that the router's process performs.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Open a session with a scheduler.
+    /// Open a session with the scheduler of a host.
     Connect(HostId, SocketAddr),
-    /// Send a frame over a session.
+    /// Send a frame over the session with a host.
     Send(HostId, wire::RouterFrame),
-    /// Send the request upstream.
+    /// Send a ticket's request to an upstream.
     Forward(TicketId, UpstreamId),
-    /// Refuse the request as not run; come back after the time given.
+    /// Reject a ticket's request as not run, with the time after which the caller may retry.
     Reject(TicketId, RejectReason, Duration),
     /// Fetch the configuration from the scheduler of a host.
     FetchConfig(HostId),
 }
 
+/// Stage of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not registered, or registration lost.
+    /// Not registered with any owner, or no longer.
     Unregistered,
-    /// In the queue of the owner at a host.
+    /// Queued by the shard owner at a host.
     Queued(HostId),
-    /// Runs under a grant of the owner at a host.
+    /// Granted by the shard owner at a host, and running.
     Running(HostId, Run),
 }
 
+/// A running request; costs are in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Run {
     pub(super) upstream: UpstreamId,
@@ -97,6 +99,7 @@
     pub(super) stage: Stage,
 }
 
+/// A scheduler of this data centre and the session with it.
 #[derive(Debug, Clone)]
 pub(super) struct Scheduler {
     pub(super) address: SocketAddr,
@@ -113,7 +116,7 @@
     Deadline(TicketId),
 }
 
-/// The tickets of one router.
+/// State machine of one router.
 #[derive(Debug)]
 pub struct Router {
     pub(super) data_centre: String,
@@ -132,7 +135,10 @@
 }
 
 impl Router {
-    /// Builds a router that knows no scheduler yet; `incarnation` differs from earlier lives.
+    /// Builds a router without schedulers.
+    ///
+    /// `incarnation` differs from that of any earlier process at this host, so that ticket ids are
+    /// never reused.
     pub fn new(host: HostId, data_centre: impl Into<String>, incarnation: u64) -> Self {
         let mut timers = Timers::default();
         timers.schedule(REPORT_PERIOD, Timer::Report);
@@ -153,18 +159,18 @@
         }
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the router's current configuration.
     pub fn fleet(&self) -> &Arc<Fleet> {
         self.current.fleet()
     }
 
-    /// Returns how many requests wait and how many run.
+    /// Returns the numbers of waiting and of running requests.
     pub fn load(&self) -> (usize, usize) {
         let waiting = self.admission.len();
         (waiting, self.tickets.len() - waiting)
     }
 
-    /// Returns whether some scheduler of this data centre has a session with this router.
+    /// Returns whether a session with any scheduler is open.
     pub fn is_connected(&self) -> bool {
         self.schedulers.values().any(|it| it.connected)
     }
@@ -174,14 +180,14 @@
         self.schedulers.get(&host).map(|it| it.address)
     }
 
-    /// Adopts a configuration if its revision is higher.
+    /// Replaces the configuration if the new revision is higher.
     pub fn update_fleet(&mut self, fleet: Fleet) {
         if self.current.update(fleet) {
             self.mark_moved();
         }
     }
 
-    /// Names a scheduler to begin with, before any membership is known.
+    /// Adds a scheduler from the settings, for use before the membership is known.
     pub fn add_scheduler(&mut self, host: HostId, address: SocketAddr) {
         self.schedulers.entry(host).or_insert(Scheduler {
             address,
@@ -192,7 +198,7 @@
         });
     }
 
-    /// Opens sessions until there are enough to learn the membership from.
+    /// Connects to schedulers until there are enough sessions to learn the membership.
     pub fn connect(&mut self, now: Duration) {
         let n_up = self.schedulers.values().filter(|it| it.connected).count();
         let down = self.schedulers.iter().filter(|(_, it)| !it.connected && it.state <= 1);
@@ -203,11 +209,11 @@
         }
     }
 
-    /// Takes in a request and returns the number of its ticket.
+    /// Accepts a request and returns the id of its ticket.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`] where its workspace has too much waiting here.
+    /// [`QueueFull`] if the queue of its workspace is full.
     pub fn submit(&mut self, now: Duration, request: Request) -> Result<TicketId, QueueFull> {
         self.admission.admit(&request.workspace, request.body_bytes)?;
         self.next_id += 1;
@@ -220,7 +226,7 @@
         Ok(id)
     }
 
-    /// Withdraws a request: its caller hung up, or it is done with.
+    /// Cancels a request, for example when its caller disconnects.
     pub fn cancel(&mut self, id: TicketId) {
         let Some(entry) = self.tickets.remove(&id) else { return };
         self.unplaced.remove(&id);
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Counts what a running request has cost so far, in tokens.
+    /// Records what a running request has cost so far, in tokens.
     pub fn record_progress(&mut self, id: TicketId, cost: u32) {
         let Some(entry) = self.tickets.get_mut(&id) else { return };
         let Stage::Running(_, run) = &mut entry.stage else { return };
@@ -249,7 +255,7 @@
         }
     }
 
-    /// Ends a request that ran; `token_gap` is the mean time between its tokens.
+    /// Ends a completed request, with its cost in tokens and the mean time between its tokens.
     pub fn finish(&mut self, id: TicketId, cost: u32, token_gap: Duration) {
         self.complete(
             id,
@@ -257,12 +263,12 @@
         );
     }
 
-    /// Ends a request that its upstream failed.
+    /// Ends a request that failed at its upstream, with its cost in tokens.
     pub fn fail(&mut self, id: TicketId, cost: u32) {
         self.complete(id, wire::Done { id, cost, failed: true, ..Default::default() });
     }
 
-    /// Notes that a session is open: everything that belongs there is registered.
+    /// Handles an opened session: registers everything that is unplaced.
     pub fn session_opened(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
             it.connected = true;
@@ -271,7 +277,7 @@
         self.place_unplaced(now);
     }
 
-    /// Notes that a session ended or could not be opened.
+    /// Handles a session that ended or could not be opened.
     pub fn session_closed(&mut self, now: Duration, host: HostId) {
         if let Some(it) = self.schedulers.get_mut(&host) {
             it.connected = false;
@@ -290,7 +296,7 @@
         self.schedule_placement(now);
     }
 
-    /// Takes in a scheduler's frame.
+    /// Handles a frame of the scheduler at host `from`.
     pub fn handle_frame(&mut self, now: Duration, from: HostId, frame: &wire::OwnerFrame) {
         let changed = self.update_members(now, &frame.members);
         self.check_revision(from, frame.revision);
@@ -308,13 +314,13 @@
                 self.reject(it.ticket, RejectReason::QueueFull, retry);
             }
         }
-        // Without news an owner that denied a ticket would deny it again at once.
+        // With an unchanged membership, an owner that denied a ticket would deny it again.
         if changed {
             self.place_unplaced(now);
         }
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
@@ -332,12 +338,12 @@
         }
     }
 
-    /// Returns when [`Router::tick`] has something to do next.
+    /// Returns the time at which [`Router::tick`] is due next.
     pub fn next_tick(&self) -> Option<Duration> {
         self.timers.next_due()
     }
 
-    /// Takes what is to be done.
+    /// Takes the pending actions, including the reports to schedulers.
     pub fn take_actions(&mut self) -> Vec<Action> {
         for (host, reports) in std::mem::take(&mut self.outbox) {
             let reports = reports.into_values().collect();
@@ -412,7 +418,7 @@
         }
     }
 
-    /// Takes in members and returns whether any changed.
+    /// Updates the schedulers from the membership; returns whether any changed.
     fn update_members(&mut self, now: Duration, members: &[wire::Member]) -> bool {
         let mut changed = false;
         for it in members {
@@ -434,7 +440,7 @@
                 old.map_or((false, None), |it| (it.connected, it.attempted_at));
             self.schedulers.insert(host, Scheduler { connected, attempted_at, ..fresh });
             if connected && it.state == DEAD {
-                // The connection to a host without power may seem open for long.
+                // The connection to a host that lost power may look open for a long time.
                 self.session_closed(now, host);
             }
         }
@@ -447,6 +453,7 @@
         }
     }
 
+    /// Returns the unsent report to a host's scheduler about a shard, for additions.
     pub(super) fn report_mut(&mut self, host: HostId, shard: ShardKey) -> &mut wire::ShardReport {
         let reports = self.outbox.entry(host).or_default();
         reports.entry(shard).or_insert_with(|| wire::ShardReport {
@@ -465,6 +472,7 @@
     }
 }
 
+/// Converts a time between tokens to units of 0.1 ms.
 fn token_gap_to_wire(token_gap: Duration) -> u32 {
     (token_gap.as_micros() / 100) as u32
 }
