--- a/crates/portfield/src/member/membership.rs
+++ b/crates/portfield/src/member/membership.rs
@@ -8,11 +8,11 @@
 };
 
 /// Copies of an update that are passed on, times the logarithm of the members.
-const GOSSIP_FACTOR: u32 = 3;
+const TRANSMIT_FACTOR: u32 = 3;
 /// Updates in one message.
-const GOSSIP_BATCH: usize = 6;
+const MAX_UPDATES: usize = 6;
 /// How long a member that the host list no longer has is kept while it is dead.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
 /// How a member is believed to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,37 +64,37 @@
     pub incarnation: Incarnation,
     /// When the state was learned.
     pub since: Duration,
-    listed: bool,
-    spread: u32,
+    is_listed: bool,
+    transmits_left: u32,
 }
 
 /// All members as one host knows them.
 #[derive(Debug, Clone)]
 pub struct Membership {
-    me: HostId,
+    local_host: HostId,
     members: BTreeMap<HostId, MemberInfo>,
     version: u64,
 }
 
 impl Membership {
     /// Builds a view that has only this host.
-    pub fn new(me: HostListEntry, incarnation: Incarnation) -> Self {
+    pub fn new(local: HostListEntry, incarnation: Incarnation) -> Self {
         let info = MemberInfo {
-            address: me.address,
-            data_centre: me.data_centre,
+            address: local.address,
+            data_centre: local.data_centre,
             state: MemberState::Alive,
             incarnation,
             since: Duration::ZERO,
-            listed: true,
-            spread: 0,
+            is_listed: true,
+            transmits_left: 0,
         };
-        let members = BTreeMap::from([(me.host, info)]);
-        Self { me: me.host, members, version: 1 }
+        let members = BTreeMap::from([(local.host, info)]);
+        Self { local_host: local.host, members, version: 1 }
     }
 
     /// Returns this host.
     pub fn local_host(&self) -> HostId {
-        self.me
+        self.local_host
     }
 
     /// Returns a number that changes with every change of a member's state.
@@ -127,10 +127,10 @@
     /// Takes in the platform's host list.
     pub fn update_hosts(&mut self, now: Duration, entries: &[HostListEntry]) {
         for info in self.members.values_mut() {
-            info.listed = false;
+            info.is_listed = false;
         }
         for it in entries {
-            let me = self.me;
+            let local_host = self.local_host;
             let info = self.members.entry(it.host).or_insert_with(|| {
                 self.version += 1;
                 MemberInfo {
@@ -139,16 +139,16 @@
                     state: MemberState::Alive,
                     incarnation: 0,
                     since: now,
-                    listed: true,
-                    spread: 0,
+                    is_listed: true,
+                    transmits_left: 0,
                 }
             });
-            info.listed = true;
-            if it.leaving && info.state == MemberState::Alive && it.host != me {
+            info.is_listed = true;
+            if it.leaving && info.state == MemberState::Alive && it.host != local_host {
                 self.set_state(now, it.host, MemberState::Leaving);
             }
         }
-        self.forget(now);
+        self.prune(now);
     }
 
     /// Takes in what the member `from` says.
@@ -156,26 +156,31 @@
     /// Each data centre judges its own members: a verdict on a host counts only from a host
     /// beside it, so that one that is cut off cannot declare the others dead everywhere.
     pub fn merge(&mut self, now: Duration, from: Option<HostId>, members: &[wire::Member]) {
-        let sender = from.and_then(|it| {
-            let told = members.iter().find(|member| member.host == it.to_string());
-            let known = || self.members.get(&it).map(|it| it.data_centre.clone());
-            told.map(|it| it.data_centre.clone()).or_else(known)
+        let sender_centre = from.and_then(|it| {
+            let own_entry = members.iter().find(|member| member.host == it.to_string());
+            let known_centre = || self.members.get(&it).map(|it| it.data_centre.clone());
+            own_entry.map(|it| it.data_centre.clone()).or_else(known_centre)
         });
         for it in members {
             let (Ok(host), Ok(address)) = (it.host.parse(), it.address.parse()) else {
                 continue;
             };
             let state = MemberState::from_wire(it.state);
-            if host == self.me {
+            if host == self.local_host {
                 self.refute(now, it.incarnation, state);
                 continue;
             }
-            let is_beside = sender.as_ref() == Some(&it.data_centre);
+            let is_same_centre = sender_centre.as_ref() == Some(&it.data_centre);
             let old = self.members.get(&host);
-            if !is_news(old, it.incarnation, state, is_beside && !self.is_home(&it.data_centre)) {
+            if !overrides(
+                old,
+                it.incarnation,
+                state,
+                is_same_centre && !self.is_local(&it.data_centre),
+            ) {
                 continue;
             }
-            if matches!(state, MemberState::Suspect | MemberState::Dead) && !is_beside {
+            if matches!(state, MemberState::Suspect | MemberState::Dead) && !is_same_centre {
                 continue;
             }
             let changed = old.is_none_or(|old| old.state != state || old.address != address);
@@ -186,8 +191,8 @@
                 state,
                 incarnation: it.incarnation,
                 since: now,
-                listed: old.is_some_and(|it| it.listed),
-                spread: self.n_spread(),
+                is_listed: old.is_some_and(|it| it.is_listed),
+                transmits_left: self.n_transmits(),
             };
             self.members.insert(host, info);
         }
@@ -195,34 +200,34 @@
 
     /// Sets a member's state within its present life.
     pub fn set_state(&mut self, now: Duration, host: HostId, state: MemberState) {
-        let spread = self.n_spread();
+        let transmits_left = self.n_transmits();
         let Some(info) = self.members.get_mut(&host) else { return };
         if info.state == state {
             return;
         }
         info.state = state;
         info.since = now;
-        info.spread = spread;
+        info.transmits_left = transmits_left;
         self.version += 1;
     }
 
     /// Starts this host's leave: it owns nothing from here on.
     pub fn leave(&mut self, now: Duration) {
-        self.set_state(now, self.me, MemberState::Leaving);
+        self.set_state(now, self.local_host, MemberState::Leaving);
     }
 
     /// Returns the updates to send with a message to `to`: always this host itself and
     /// what is believed of the receiver, so that it can refute it.
     pub fn take_gossip(&mut self, to: Option<HostId>) -> Vec<wire::Member> {
-        let me = self.me;
-        let mut res: Vec<_> = [Some(me), to]
+        let local_host = self.local_host;
+        let mut res: Vec<_> = [Some(local_host), to]
             .into_iter()
             .flatten()
             .filter_map(|it| self.members.get(&it).map(|info| to_wire(it, info)))
             .collect();
-        let fresh = self.members.iter_mut().filter(|(_, it)| 0 < it.spread);
-        for (host, info) in fresh.take(GOSSIP_BATCH) {
-            info.spread -= 1;
+        let fresh = self.members.iter_mut().filter(|(_, it)| 0 < it.transmits_left);
+        for (host, info) in fresh.take(MAX_UPDATES) {
+            info.transmits_left -= 1;
             res.push(to_wire(*host, info));
         }
         res
@@ -233,40 +238,40 @@
         self.iter().filter(f).map(|(host, info)| to_wire(host, info)).collect()
     }
 
-    fn is_home(&self, data_centre: &str) -> bool {
-        self.members.get(&self.me).is_some_and(|it| it.data_centre == data_centre)
+    fn is_local(&self, data_centre: &str) -> bool {
+        self.members.get(&self.local_host).is_some_and(|it| it.data_centre == data_centre)
     }
 
     fn refute(&mut self, now: Duration, incarnation: Incarnation, state: MemberState) {
-        let spread = self.n_spread();
-        let Some(info) = self.members.get_mut(&self.me) else { return };
+        let transmits_left = self.n_transmits();
+        let Some(info) = self.members.get_mut(&self.local_host) else { return };
         if incarnation < info.incarnation || state == info.state {
             return;
         }
         info.incarnation = incarnation + 1;
         info.since = now;
-        info.spread = spread;
+        info.transmits_left = transmits_left;
     }
 
-    fn forget(&mut self, now: Duration) {
-        let me = self.me;
+    fn prune(&mut self, now: Duration) {
+        let local_host = self.local_host;
         let n_old = self.members.len();
         self.members.retain(|host, it| {
-            let gone =
-                !it.listed && MemberState::Dead <= it.state && it.since + FORGET_AFTER <= now;
-            *host == me || !gone
+            let is_expired =
+                !it.is_listed && MemberState::Dead <= it.state && it.since + DEAD_RETENTION <= now;
+            *host == local_host || !is_expired
         });
         self.version += u64::from(self.members.len() != n_old);
     }
 
-    fn n_spread(&self) -> u32 {
-        GOSSIP_FACTOR * (self.members.len().ilog2() + 1)
+    fn n_transmits(&self) -> u32 {
+        TRANSMIT_FACTOR * (self.members.len().ilog2() + 1)
     }
 }
 
 /// Returns whether a statement overrides what is known: within one life the worse state
 /// does, but a statement on a host of the sender's own data centre does in any case.
-fn is_news(
+fn overrides(
     old: Option<&MemberInfo>,
     incarnation: Incarnation,
     state: MemberState,
@@ -274,8 +279,8 @@
 ) -> bool {
     let Some(old) = old else { return true };
     let differs = (incarnation, state) != (old.incarnation, old.state);
-    let overrides = (old.incarnation, old.state) < (incarnation, state);
-    overrides || has_authority && differs && old.incarnation <= incarnation
+    let is_newer = (old.incarnation, old.state) < (incarnation, state);
+    is_newer || has_authority && differs && old.incarnation <= incarnation
 }
 
 fn to_wire(host: HostId, info: &MemberInfo) -> wire::Member {
--- a/crates/portfield/src/member/probe.rs
+++ b/crates/portfield/src/member/probe.rs
@@ -6,15 +6,15 @@
 use crate::ids::HostId;
 
 /// Time between two probes that one host sends.
-const PERIOD: Duration = Duration::from_millis(300);
+const PROBE_PERIOD: Duration = Duration::from_millis(300);
 /// Time that a direct probe may take before indirect ones are sent.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time that the indirect probes may take.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time that a suspect has to refute.
-const SUSPICION: Duration = Duration::from_millis(500);
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Members asked to probe in this host's place.
-const N_HELPERS: usize = 2;
+const N_INDIRECT_PROBES: usize = 2;
 /// Every so many periods a host of another data centre is probed.
 const REMOTE_EVERY: u64 = 8;
 /// Every so many periods a dead member is probed, to find it back after a cut.
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone)]
 pub struct Prober {
     rng: fastrand::Rng,
-    order: Vec<HostId>,
-    open: BTreeMap<HostId, (Duration, Stage)>,
-    next: Duration,
+    probe_order: Vec<HostId>,
+    pending: BTreeMap<HostId, (Duration, Stage)>,
+    next_probe: Duration,
     round: u64,
 }
 
@@ -55,112 +55,117 @@
     pub fn new(seed: u64) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(seed),
-            order: Vec::new(),
-            open: BTreeMap::new(),
-            next: Duration::ZERO,
+            probe_order: Vec::new(),
+            pending: BTreeMap::new(),
+            next_probe: Duration::ZERO,
             round: 0,
         }
     }
 
     /// Returns when [`Prober::tick`] has something to do next.
     pub fn next_tick(&self) -> Duration {
-        let open = self.open.values().map(|(at, stage)| *at + timeout(*stage)).min();
-        open.map_or(self.next, |it| it.min(self.next))
+        let expiry = self.pending.values().map(|(at, stage)| *at + timeout(*stage)).min();
+        expiry.map_or(self.next_probe, |it| it.min(self.next_probe))
     }
 
     /// Sends what is due, and passes verdicts on members that did not answer.
-    pub fn tick(&mut self, now: Duration, view: &mut Membership) -> Vec<Probe> {
+    pub fn tick(&mut self, now: Duration, members: &mut Membership) -> Vec<Probe> {
         let mut res = Vec::new();
-        self.expire(now, view, &mut res);
-        confirm(now, view);
-        if now < self.next {
+        self.expire(now, members, &mut res);
+        declare_dead(now, members);
+        if now < self.next_probe {
             return res;
         }
-        self.next = now + PERIOD;
+        self.next_probe = now + PROBE_PERIOD;
         self.round += 1;
-        for host in self.choose(view) {
-            self.open.entry(host).or_insert((now, Stage::Direct));
+        for host in self.choose_targets(members) {
+            self.pending.entry(host).or_insert((now, Stage::Direct));
             res.push(Probe::Direct(host));
         }
         res
     }
 
     /// Takes in the answer to a probe of `host`, its own or by way of another member.
-    pub fn handle_ack(&mut self, now: Duration, view: &mut Membership, host: HostId) {
-        self.open.remove(&host);
+    pub fn handle_ack(&mut self, now: Duration, members: &mut Membership, host: HostId) {
+        self.pending.remove(&host);
         // NOTE: a dead member comes back by its own refutation, never by an old answer.
-        if view.get(host).is_some_and(|it| it.state == MemberState::Suspect) {
-            view.set_state(now, host, MemberState::Alive);
+        if members.get(host).is_some_and(|it| it.state == MemberState::Suspect) {
+            members.set_state(now, host, MemberState::Alive);
         }
     }
 
     /// Takes in that nothing listens at `host`'s address: its process has ended, and no
     /// suspicion is needed. A new process there refutes it with its new incarnation.
-    pub fn handle_refused(&mut self, now: Duration, view: &mut Membership, host: HostId) {
-        self.open.remove(&host);
-        if view.get(host).is_some_and(|it| it.state <= MemberState::Suspect) {
-            view.set_state(now, host, MemberState::Dead);
+    pub fn handle_refused(&mut self, now: Duration, members: &mut Membership, host: HostId) {
+        self.pending.remove(&host);
+        if members.get(host).is_some_and(|it| it.state <= MemberState::Suspect) {
+            members.set_state(now, host, MemberState::Dead);
         }
     }
 
-    fn expire(&mut self, now: Duration, view: &mut Membership, res: &mut Vec<Probe>) {
-        let late: Vec<_> = self
-            .open
+    fn expire(&mut self, now: Duration, members: &mut Membership, res: &mut Vec<Probe>) {
+        let expired: Vec<_> = self
+            .pending
             .iter()
             .filter(|(_, (at, stage))| *at + timeout(*stage) <= now)
             .map(|(host, (_, stage))| (*host, *stage))
             .collect();
-        for (host, stage) in late {
-            self.open.remove(&host);
+        for (host, stage) in expired {
+            self.pending.remove(&host);
             match stage {
                 Stage::Direct => {
-                    self.open.insert(host, (now, Stage::Indirect));
-                    res.extend(self.helpers(view, host));
+                    self.pending.insert(host, (now, Stage::Indirect));
+                    res.extend(self.indirect_probes(members, host));
                 }
-                Stage::Indirect => suspect(now, view, host),
+                Stage::Indirect => mark_suspect(now, members, host),
             }
         }
     }
 
-    fn helpers(&mut self, view: &Membership, target: HostId) -> Vec<Probe> {
-        let me = view.local_host();
-        let mut all: Vec<_> = view
+    fn indirect_probes(&mut self, members: &Membership, target: HostId) -> Vec<Probe> {
+        let local_host = members.local_host();
+        let mut all: Vec<_> = members
             .iter()
-            .filter(|(host, it)| *host != me && *host != target && it.state == MemberState::Alive)
+            .filter(|(host, it)| {
+                *host != local_host && *host != target && it.state == MemberState::Alive
+            })
             .map(|(host, _)| host)
             .collect();
         self.rng.shuffle(&mut all);
-        all.into_iter().take(N_HELPERS).map(|via| Probe::Indirect { via, target }).collect()
+        all.into_iter().take(N_INDIRECT_PROBES).map(|via| Probe::Indirect { via, target }).collect()
     }
 
     /// Chooses the members to probe: one of this data centre in its turn, and now and then
     /// one of another and one that is dead, which must not delay the first.
-    fn choose(&mut self, view: &Membership) -> Vec<HostId> {
-        let me = view.local_host();
-        let Some(home) = view.get(me).map(|it| &it.data_centre) else { return Vec::new() };
-        let mut res: Vec<_> = self.choose_local(view, home).into_iter().collect();
+    fn choose_targets(&mut self, members: &Membership) -> Vec<HostId> {
+        let local_host = members.local_host();
+        let Some(data_centre) = members.get(local_host).map(|it| &it.data_centre) else {
+            return Vec::new();
+        };
+        let mut res: Vec<_> = self.next_local(members, data_centre).into_iter().collect();
         if self.round.is_multiple_of(REMOTE_EVERY) {
-            let remote = view
-                .iter()
-                .filter(|(_, it)| it.data_centre != *home && it.state <= MemberState::Suspect);
+            let remote = members.iter().filter(|(_, it)| {
+                it.data_centre != *data_centre && it.state <= MemberState::Suspect
+            });
             let remote: Vec<_> = remote.map(|(host, _)| host).collect();
             res.extend(self.rng.choice(remote));
         }
         if self.round.is_multiple_of(DEAD_EVERY) {
-            let dead = view.iter().filter(|(_, it)| it.state == MemberState::Dead);
+            let dead = members.iter().filter(|(_, it)| it.state == MemberState::Dead);
             let dead: Vec<_> = dead.map(|(host, _)| host).collect();
             res.extend(self.rng.choice(dead));
         }
         res
     }
 
-    fn choose_local(&mut self, view: &Membership, home: &str) -> Option<HostId> {
-        let me = view.local_host();
-        if self.order.is_empty() {
-            self.order = view.owner_candidates(home).filter(|it| *it != me).collect();
-            self.rng.shuffle(&mut self.order);
+    fn next_local(&mut self, members: &Membership, data_centre: &str) -> Option<HostId> {
+        let local_host = members.local_host();
+        if self.probe_order.is_empty() {
+            self.probe_order =
+                members.owner_candidates(data_centre).filter(|it| *it != local_host).collect();
+            self.rng.shuffle(&mut self.probe_order);
         }
-        self.order.pop()
+        self.probe_order.pop()
     }
 }
 
@@ -171,20 +176,20 @@
     }
 }
 
-fn suspect(now: Duration, view: &mut Membership, host: HostId) {
-    if view.get(host).is_some_and(|it| it.state == MemberState::Alive) {
-        view.set_state(now, host, MemberState::Suspect);
+fn mark_suspect(now: Duration, members: &mut Membership, host: HostId) {
+    if members.get(host).is_some_and(|it| it.state == MemberState::Alive) {
+        members.set_state(now, host, MemberState::Suspect);
     }
 }
 
 /// Declares dead whoever has been suspected for too long, and whoever left long ago.
-fn confirm(now: Duration, view: &mut Membership) {
-    let late: Vec<_> = view
+fn declare_dead(now: Duration, members: &mut Membership) {
+    let expired: Vec<_> = members
         .iter()
-        .filter(|(_, it)| it.state == MemberState::Suspect && it.since + SUSPICION <= now)
+        .filter(|(_, it)| it.state == MemberState::Suspect && it.since + SUSPICION_TIMEOUT <= now)
         .map(|(host, _)| host)
         .collect();
-    for host in late {
-        view.set_state(now, host, MemberState::Dead);
+    for host in expired {
+        members.set_state(now, host, MemberState::Dead);
     }
 }
