--- a/crates/portfield/src/member/membership.rs
+++ b/crates/portfield/src/member/membership.rs
@@ -1,4 +1,4 @@
-//! What one host knows of all members, and how two such views merge.
+//! One host's view of the membership, and how it merges updates from other hosts.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -7,23 +7,23 @@
     wire,
 };
 
-/// Copies of an update that are passed on, times the logarithm of the members.
+/// Number of times an update is passed on, per binary digit of the number of members.
 const TRANSMIT_FACTOR: u32 = 3;
-/// Updates in one message.
+/// Largest number of updates passed on in one message.
 const MAX_UPDATES: usize = 6;
-/// How long a member that the host list no longer has is kept while it is dead.
+/// Time for which a dead or leaving member is kept once it is no longer in the host list.
 const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
-/// How a member is believed to be.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// Responds to probes.
     Alive,
-    /// It missed a probe and may refute it.
+    /// Missed a probe, and may still refute the suspicion.
     Suspect,
-    /// It refuted nothing in time.
+    /// Did not refute the suspicion in time, or refused a connection.
     Dead,
-    /// It hands over and ends.
+    /// Hands its shards over and shuts down.
     Leaving,
 }
 
@@ -38,37 +38,37 @@
     }
 }
 
-/// One host of the platform's host list.
+/// A host in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostListEntry {
-    /// The host.
+    /// Address that identifies the host.
     pub host: HostId,
     /// Address of its scheduler.
     pub address: SocketAddr,
     /// Name of its data centre.
     pub data_centre: String,
-    /// The platform is about to take it away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
 }
 
-/// One member.
+/// What is known about a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberInfo {
     /// Address of its scheduler.
     pub address: SocketAddr,
     /// Name of its data centre.
     pub data_centre: String,
-    /// How it is believed to be.
+    /// Its state.
     pub state: MemberState,
-    /// The life that the state speaks of.
+    /// Incarnation that the state refers to.
     pub incarnation: Incarnation,
-    /// When the state was learned.
+    /// Time at which the state was learned.
     pub since: Duration,
     is_listed: bool,
     transmits_left: u32,
 }
 
-/// All members as one host knows them.
+/// All members that one host knows, including itself.
 #[derive(Debug, Clone)]
 pub struct Membership {
     local_host: HostId,
@@ -77,7 +77,7 @@
 }
 
 impl Membership {
-    /// Builds a view that has only this host.
+    /// Builds a membership of only the local host.
     pub fn new(local: HostListEntry, incarnation: Incarnation) -> Self {
         let info = MemberInfo {
             address: local.address,
@@ -92,27 +92,27 @@
         Self { local_host: local.host, members, version: 1 }
     }
 
-    /// Returns this host.
+    /// Returns the local host.
     pub fn local_host(&self) -> HostId {
         self.local_host
     }
 
-    /// Returns a number that changes with every change of a member's state.
+    /// Returns a number that rises whenever a member is added, removed or changes its state.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns a member.
+    /// Returns what is known about a host, if it is a member.
     pub fn get(&self, host: HostId) -> Option<&MemberInfo> {
         self.members.get(&host)
     }
 
-    /// Returns every member.
+    /// Returns every member, in order of its host.
     pub fn iter(&self) -> impl Iterator<Item = (HostId, &MemberInfo)> {
         self.members.iter().map(|(host, info)| (*host, info))
     }
 
-    /// Returns the hosts of a data centre that may own shards.
+    /// Returns the hosts of a data centre that may own shards: alive or suspect.
     pub fn owner_candidates<'a>(
         &'a self,
         data_centre: &'a str,
@@ -124,7 +124,7 @@
             .map(|(host, _)| host)
     }
 
-    /// Takes in the platform's host list.
+    /// Applies the platform's host list.
     pub fn update_hosts(&mut self, now: Duration, entries: &[HostListEntry]) {
         for info in self.members.values_mut() {
             info.is_listed = false;
@@ -151,10 +151,10 @@
         self.prune(now);
     }
 
-    /// Takes in what the member `from` says.
+    /// Merges the updates that the member `from` sent.
     ///
-    /// Each data centre judges its own members: a verdict on a host counts only from a host
-    /// beside it, so that one that is cut off cannot declare the others dead everywhere.
+    /// A report that a host is suspect or dead is accepted only from a host in the same data
+    /// centre. Otherwise a data centre that is partitioned could declare the others dead everywhere.
     pub fn merge(&mut self, now: Duration, from: Option<HostId>, members: &[wire::Member]) {
         let sender_centre = from.and_then(|it| {
             let own_entry = members.iter().find(|member| member.host == it.to_string());
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Sets a member's state within its present life.
+    /// Sets a member's state in its current incarnation.
     pub fn set_state(&mut self, now: Duration, host: HostId, state: MemberState) {
         let transmits_left = self.n_transmits();
         let Some(info) = self.members.get_mut(&host) else { return };
@@ -211,13 +211,14 @@
         self.version += 1;
     }
 
-    /// Starts this host's leave: it owns nothing from here on.
+    /// Marks the local host as leaving; it owns no shards from then on.
     pub fn leave(&mut self, now: Duration) {
         self.set_state(now, self.local_host, MemberState::Leaving);
     }
 
-    /// Returns the updates to send with a message to `to`: always this host itself and
-    /// what is believed of the receiver, so that it can refute it.
+    /// Takes the updates to send with a message to `to`.
+    ///
+    /// They always include the local host, and the receiver's own state so that it can refute it.
     pub fn take_gossip(&mut self, to: Option<HostId>) -> Vec<wire::Member> {
         let local_host = self.local_host;
         let mut res: Vec<_> = [Some(local_host), to]
@@ -233,7 +234,7 @@
         res
     }
 
-    /// Returns the members that `f` picks for the wire.
+    /// Returns the members that `f` selects, as messages.
     pub fn to_wire(&self, f: impl FnMut(&(HostId, &MemberInfo)) -> bool) -> Vec<wire::Member> {
         self.iter().filter(f).map(|(host, info)| to_wire(host, info)).collect()
     }
@@ -242,6 +243,7 @@
         self.members.get(&self.local_host).is_some_and(|it| it.data_centre == data_centre)
     }
 
+    /// Refutes an outdated state of the local host by a higher incarnation.
     fn refute(&mut self, now: Duration, incarnation: Incarnation, state: MemberState) {
         let transmits_left = self.n_transmits();
         let Some(info) = self.members.get_mut(&self.local_host) else { return };
@@ -253,6 +255,7 @@
         info.transmits_left = transmits_left;
     }
 
+    /// Removes members that have been dead or leaving, and not listed, for long enough.
     fn prune(&mut self, now: Duration) {
         let local_host = self.local_host;
         let n_old = self.members.len();
@@ -264,13 +267,16 @@
         self.version += u64::from(self.members.len() != n_old);
     }
 
+    /// Returns how many times a new update is passed on.
     fn n_transmits(&self) -> u32 {
         TRANSMIT_FACTOR * (self.members.len().ilog2() + 1)
     }
 }
 
-/// Returns whether a statement overrides what is known: within one life the worse state
-/// does, but a statement on a host of the sender's own data centre does in any case.
+/// Returns whether an update overrides what is known about a member.
+///
+/// A higher incarnation overrides, and so does a worse state in the same incarnation. A sender with
+/// authority, from the member's data centre, also overrides with a better state.
 fn overrides(
     old: Option<&MemberInfo>,
     incarnation: Incarnation,
--- a/crates/portfield/src/member/mod.rs
+++ b/crates/portfield/src/member/mod.rs
@@ -1,9 +1,9 @@
-//! Membership: which hosts there are, which of them answer, and who owns a shard.
+//! Membership: which hosts exist, which of them respond, and which one owns a shard.
 //!
-//! The platform's host list says who may be a member, but it lags; probes say who
-//! answers. Probing follows SWIM (Das, Gupta and Motivala, DSN 2002): one probe per
-//! period whatever the size, indirect probes before a verdict, a suspicion that the
-//! suspect can refute, and updates piggy-backed on the probes.
+//! The platform's host list names the hosts that may be members but is delayed; probes tell which
+//! of them respond. Probing follows SWIM (Das, Gupta and Motivala, DSN 2002): one probe per period
+//! whatever the size of the fleet, indirect probes before a member is suspected, a suspicion that
+//! the member can refute, and updates piggybacked on the probes.
 
 mod membership;
 mod probe;
--- a/crates/portfield/src/member/probe.rs
+++ b/crates/portfield/src/member/probe.rs
@@ -1,40 +1,40 @@
-//! Whom to probe and what an answer or its absence means.
+//! Failure detection: which members to probe, and what a missing response means.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::membership::{MemberState, Membership};
 use crate::ids::HostId;
 
-/// Time between two probes that one host sends.
+/// Period of the probes that one host sends.
 const PROBE_PERIOD: Duration = Duration::from_millis(300);
-/// Time that a direct probe may take before indirect ones are sent.
+/// Timeout of a direct probe, after which indirect probes are sent.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time that the indirect probes may take.
+/// Timeout of indirect probes, after which the member is suspected.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time that a suspect has to refute.
+/// Time in which a suspect can refute the suspicion before it is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(500);
-/// Members asked to probe in this host's place.
+/// Number of members asked to probe on this host's behalf.
 const N_INDIRECT_PROBES: usize = 2;
-/// Every so many periods a host of another data centre is probed.
+/// Number of periods between probes of a host in another data centre.
 const REMOTE_EVERY: u64 = 8;
-/// Every so many periods a dead member is probed, to find it back after a cut.
+/// Number of periods between probes of a dead member, to find it again after a partition.
 const DEAD_EVERY: u64 = 7;
 
 /// A probe to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Probe {
-    /// Ask the host itself.
+    /// Probe the host itself.
     Direct(HostId),
-    /// Ask `via` to ask `target`.
+    /// Ask `via` to probe `target`.
     Indirect {
-        /// The host to send to.
+        /// Host that receives the message.
         via: HostId,
-        /// The host in question.
+        /// Host to be probed.
         target: HostId,
     },
 }
 
-/// Prober under way.
+/// Failure detector of one host: pending probes and the order in which members are probed.
 #[derive(Debug, Clone)]
 pub struct Prober {
     rng: fastrand::Rng,
@@ -51,7 +51,7 @@
 }
 
 impl Prober {
-    /// Builds the state; `seed` only spreads the order of probing.
+    /// Builds a prober; `seed` randomises the order of its probes.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(seed),
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Returns when [`Prober::tick`] has something to do next.
+    /// Returns the time at which [`Prober::tick`] is due next.
     pub fn next_tick(&self) -> Duration {
         let expiry = self.pending.values().map(|(at, stage)| *at + timeout(*stage)).min();
         expiry.map_or(self.next_probe, |it| it.min(self.next_probe))
     }
 
-    /// Sends what is due, and passes verdicts on members that did not answer.
+    /// Returns the probes that are due, and marks members that did not respond as suspect or dead.
     pub fn tick(&mut self, now: Duration, members: &mut Membership) -> Vec<Probe> {
         let mut res = Vec::new();
         self.expire(now, members, &mut res);
@@ -85,17 +85,19 @@
         res
     }
 
-    /// Takes in the answer to a probe of `host`, its own or by way of another member.
+    /// Handles the response to a direct or indirect probe of `host`.
     pub fn handle_ack(&mut self, now: Duration, members: &mut Membership, host: HostId) {
         self.pending.remove(&host);
-        // NOTE: a dead member comes back by its own refutation, never by an old answer.
+        // A dead member becomes alive only by its own refutation, since this response may be old.
         if members.get(host).is_some_and(|it| it.state == MemberState::Suspect) {
             members.set_state(now, host, MemberState::Alive);
         }
     }
 
-    /// Takes in that nothing listens at `host`'s address: its process has ended, and no
-    /// suspicion is needed. A new process there refutes it with its new incarnation.
+    /// Handles a refused connection to `host`: nothing listens there, so its process has ended.
+    ///
+    /// The host is declared dead without a suspicion. A new process there refutes this with its
+    /// new incarnation.
     pub fn handle_refused(&mut self, now: Duration, members: &mut Membership, host: HostId) {
         self.pending.remove(&host);
         if members.get(host).is_some_and(|it| it.state <= MemberState::Suspect) {
@@ -103,6 +105,7 @@
         }
     }
 
+    /// Follows up on probes that timed out: indirect probes after a direct one, then suspicion.
     fn expire(&mut self, now: Duration, members: &mut Membership, res: &mut Vec<Probe>) {
         let expired: Vec<_> = self
             .pending
@@ -135,8 +138,10 @@
         all.into_iter().take(N_INDIRECT_PROBES).map(|via| Probe::Indirect { via, target }).collect()
     }
 
-    /// Chooses the members to probe: one of this data centre in its turn, and now and then
-    /// one of another and one that is dead, which must not delay the first.
+    /// Chooses the members to probe in this period.
+    ///
+    /// One is the next of this data centre. In some periods a member of another data centre or a
+    /// dead one is added to it, so that these do not delay the probes of this data centre.
     fn choose_targets(&mut self, members: &Membership) -> Vec<HostId> {
         let local_host = members.local_host();
         let Some(data_centre) = members.get(local_host).map(|it| &it.data_centre) else {
@@ -158,6 +163,7 @@
         res
     }
 
+    /// Returns the next member of this data centre in a random order that covers each once.
     fn next_local(&mut self, members: &Membership, data_centre: &str) -> Option<HostId> {
         let local_host = members.local_host();
         if self.probe_order.is_empty() {
@@ -182,7 +188,7 @@
     }
 }
 
-/// Declares dead whoever has been suspected for too long, and whoever left long ago.
+/// Declares members dead that have been suspect for [`SUSPICION_TIMEOUT`].
 fn declare_dead(now: Duration, members: &mut Membership) {
     let expired: Vec<_> = members
         .iter()
--- a/crates/portfield/src/member/rendezvous.rs
+++ b/crates/portfield/src/member/rendezvous.rs
@@ -1,5 +1,7 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every host that sees the same
-//! members computes the same owner, and a member's end moves only what it owned.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998).
+//!
+//! Hosts that know the same members compute the same owner, and when a member fails, only the
+//! shards that it owned move.
 
 use std::{cmp::Reverse, net::IpAddr};
 
@@ -7,7 +9,7 @@
 
 use crate::{ids::HostId, schedule::ShardKey};
 
-/// Orders `hosts` by their claim to `shard`, the owner first, its successor next.
+/// Orders `hosts` by their weight for `shard`: the owner first, then its successors.
 ///
 /// # Examples
 ///
@@ -26,7 +28,7 @@
     res.into_iter().map(|(_, it)| it).collect()
 }
 
-/// Chooses the part of a split shard that a router's tickets go to, evenly over routers.
+/// Chooses the part of a split shard that a router uses, so that routers spread evenly over parts.
 pub fn choose_part(shard: ShardKey, n_parts: u32, router: HostId) -> u32 {
     let part = |part| ShardKey { part, ..shard };
     (0..n_parts).max_by_key(|it| weight(part(*it), router)).unwrap_or(0)
--- a/crates/portfield/src/route/router.rs
+++ b/crates/portfield/src/route/router.rs
@@ -137,8 +137,8 @@
 impl Router {
     /// Builds a router without schedulers.
     ///
-    /// `incarnation` differs from that of any earlier process at this host, so that ticket ids are
-    /// never reused.
+    /// `incarnation` differs from that of earlier processes at this host, so that their ticket ids
+    /// differ.
     pub fn new(host: HostId, data_centre: impl Into<String>, incarnation: u64) -> Self {
         let mut timers = Timers::default();
         timers.schedule(REPORT_PERIOD, Timer::Report);
