--- a/crates/portfield/src/fleet/current.rs
+++ b/crates/portfield/src/fleet/current.rs
@@ -12,10 +12,10 @@
 /// ```
 /// use portfield::fleet::{CurrentFleet, Fleet};
 ///
-/// let mut adopted = CurrentFleet::default();
-/// assert!(adopted.update(Fleet { revision: 2, ..Fleet::default() }));
-/// assert!(!adopted.update(Fleet { revision: 1, ..Fleet::default() }));
-/// assert_eq!(adopted.revision(), 2);
+/// let mut current = CurrentFleet::default();
+/// assert!(current.update(Fleet { revision: 2, ..Fleet::default() }));
+/// assert!(!current.update(Fleet { revision: 1, ..Fleet::default() }));
+/// assert_eq!(current.revision(), 2);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct CurrentFleet {
--- a/crates/portfield/src/fleet/error.rs
+++ b/crates/portfield/src/fleet/error.rs
@@ -56,13 +56,13 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let head = match self.kind {
+        let summary = match self.kind {
             ErrorKind::Syntax => "the file cannot be read",
             ErrorKind::Invalid => "the configuration is not acceptable",
             ErrorKind::Stale => "the plan is stale; make a new one with `portfieldctl plan`",
             ErrorKind::Corrupt => "the stored plan is damaged; make a new one",
         };
-        f.write_str(head)?;
+        f.write_str(summary)?;
         for it in &self.diagnostics {
             write!(f, "\n  {}: {}", it.key, it.message)?;
         }
--- a/crates/portfield/src/fleet/model.rs
+++ b/crates/portfield/src/fleet/model.rs
@@ -115,7 +115,7 @@
 impl Fleet {
     /// Finds a service by number.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
-        find(&self.services, id, |it| it.id)
+        find_by_id(&self.services, id, |it| it.id)
     }
 
     /// Finds a service by name.
@@ -125,7 +125,7 @@
 
     /// Finds a workspace by number.
     pub fn workspace(&self, id: WorkspaceId) -> Option<&Workspace> {
-        find(&self.workspaces, id, |it| it.id)
+        find_by_id(&self.workspaces, id, |it| it.id)
     }
 
     /// Finds the workspace that a caller's token belongs to.
@@ -136,7 +136,7 @@
 
     /// Finds an upstream by number.
     pub fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
-        find(&self.upstreams, id, |it| it.id)
+        find_by_id(&self.upstreams, id, |it| it.id)
     }
 
     /// Finds a data centre by name.
@@ -146,7 +146,7 @@
 
     /// Returns the name of a data centre, empty if it is unknown.
     pub fn data_centre_name(&self, id: DataCentreId) -> &str {
-        find(&self.data_centres, id, |it| it.id).map_or("", |it| &it.name)
+        find_by_id(&self.data_centres, id, |it| it.id).map_or("", |it| &it.name)
     }
 
     /// Returns how many parts the upstreams of a service in a data centre are split into.
@@ -162,9 +162,9 @@
 
     /// Returns every shard of a service; a data centre without upstreams has an empty one.
     pub fn shards(&self, service: ServiceId) -> impl Iterator<Item = ShardKey> + '_ {
-        self.data_centres.iter().flat_map(move |centre| {
-            let parts = 0..self.n_parts(service, centre.id);
-            parts.map(move |part| ShardKey { service, data_centre: centre.id, part })
+        self.data_centres.iter().flat_map(move |data_centre| {
+            let parts = 0..self.n_parts(service, data_centre.id);
+            parts.map(move |part| ShardKey { service, data_centre: data_centre.id, part })
         })
     }
 
@@ -203,7 +203,7 @@
     bytes.iter().map(|it| format!("{it:02x}")).collect()
 }
 
-fn find<T>(list: &[T], id: u32, key: impl Fn(&T) -> u32) -> Option<&T> {
+fn find_by_id<T>(list: &[T], id: u32, key: impl Fn(&T) -> u32) -> Option<&T> {
     let idx = list.binary_search_by_key(&id, key).ok()?;
     Some(&list[idx])
 }
--- a/crates/portfield/src/fleet/plan.rs
+++ b/crates/portfield/src/fleet/plan.rs
@@ -13,7 +13,7 @@
 use crate::ids::Revision;
 
 /// Digits of the hash that make a plan's id.
-const ID_LEN: usize = 16;
+const ID_DIGITS: usize = 16;
 
 /// One difference between the configuration in force and the planned one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,18 +62,18 @@
     /// ```
     /// use portfield::fleet::{Fleet, FleetSpec, Plan};
     ///
-    /// let intent = FleetSpec::parse("data_centres = ['north']").unwrap();
-    /// let plan = Plan::new(&intent, &Fleet::default());
+    /// let spec = FleetSpec::parse("data_centres = ['north']").unwrap();
+    /// let plan = Plan::new(&spec, &Fleet::default());
     /// assert_eq!(plan.changes[0].to_string(), "+ data centre north");
     /// ```
-    pub fn new(intent: &FleetSpec, base: &Fleet) -> Self {
-        Self::diff(base, intent.assign_ids(base))
+    pub fn new(spec: &FleetSpec, base: &Fleet) -> Self {
+        Self::diff(base, spec.assign_ids(base))
     }
 
     /// Compares a changed configuration with the one in force.
     pub fn diff(base: &Fleet, mut fleet: Fleet) -> Self {
         fleet.revision = base.revision + 1;
-        let changes = compare(base, &fleet);
+        let changes = diff_fleets(base, &fleet);
         Self { base: base.revision, changes, fleet }
     }
 
@@ -81,7 +81,7 @@
     pub fn id(&self) -> String {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let mut res = hex(&Sha256::digest(&text));
-        res.truncate(ID_LEN);
+        res.truncate(ID_DIGITS);
         res
     }
 
@@ -103,50 +103,53 @@
     }
 }
 
-fn compare(old: &Fleet, new: &Fleet) -> Vec<Change> {
+fn diff_fleets(old: &Fleet, new: &Fleet) -> Vec<Change> {
     let mut res = Vec::new();
     let name = |it: &super::DataCentre| format!("data centre {}", it.name);
-    compare_list(&old.data_centres, &new.data_centres, name, |_| String::new(), &mut res);
+    diff_list(&old.data_centres, &new.data_centres, name, |_| String::new(), &mut res);
     let name = |it: &super::Service| format!("service {}", it.name);
-    compare_list(&old.services, &new.services, name, |it| format!("{it:?}"), &mut res);
+    diff_list(&old.services, &new.services, name, |it| format!("{it:?}"), &mut res);
     let name = |it: &super::Workspace| format!("workspace {}", it.name);
-    let text = |it: &super::Workspace| {
+    let describe = |it: &super::Workspace| {
         let token = it.token_hash.get(..8).unwrap_or_default();
         format!("share {} queue {}/{} token {token}", it.share, it.queue, it.queue_bytes)
     };
-    compare_list(&old.workspaces, &new.workspaces, name, text, &mut res);
+    diff_list(&old.workspaces, &new.workspaces, name, describe, &mut res);
     let name = |it: &super::Upstream| format!("upstream {}", it.address);
-    let text = |it: &super::Upstream| {
+    let describe = |it: &super::Upstream| {
         format!("slots {} leaving {} models {:?}", it.slots, it.leaving, it.models)
     };
-    compare_list(&old.upstreams, &new.upstreams, name, text, &mut res);
-    compare_shares(old, new, &mut res);
+    diff_list(&old.upstreams, &new.upstreams, name, describe, &mut res);
+    diff_shares(old, new, &mut res);
     res
 }
 
-fn compare_list<T: PartialEq>(
+fn diff_list<T: PartialEq>(
     old: &[T],
     new: &[T],
     name: impl Fn(&T) -> String,
-    text: impl Fn(&T) -> String,
+    describe: impl Fn(&T) -> String,
     res: &mut Vec<Change>,
 ) {
     for it in new {
-        let Some(was) = old.iter().find(|old| name(old) == name(it)) else {
+        let Some(old_item) = old.iter().find(|old| name(old) == name(it)) else {
             res.push(Change::Create(name(it)));
             continue;
         };
-        if was != it {
-            res.push(Change::Update(name(it), format!("{} -> {}", text(was), text(it))));
+        if old_item != it {
+            res.push(Change::Update(
+                name(it),
+                format!("{} -> {}", describe(old_item), describe(it)),
+            ));
         }
     }
-    let gone = old.iter().filter(|it| !new.iter().any(|new| name(new) == name(it)));
-    res.extend(gone.map(|it| Change::Remove(name(it))));
+    let removed = old.iter().filter(|it| !new.iter().any(|new| name(new) == name(it)));
+    res.extend(removed.map(|it| Change::Remove(name(it))));
 }
 
-fn compare_shares(old: &Fleet, new: &Fleet, res: &mut Vec<Change>) {
+fn diff_shares(old: &Fleet, new: &Fleet, res: &mut Vec<Change>) {
     for it in &new.workspaces {
-        let [before, after] = [old, new].map(|fleet| owed(fleet, &it.name));
+        let [before, after] = [old, new].map(|fleet| share_basis_points(fleet, &it.name));
         if before != after {
             res.push(Change::Share(it.name.clone(), before, after));
         }
@@ -154,7 +157,7 @@
 }
 
 /// Returns the part of a full fleet that a workspace is owed, in 0.01 %.
-fn owed(fleet: &Fleet, name: &str) -> u32 {
+fn share_basis_points(fleet: &Fleet, name: &str) -> u32 {
     let total: u64 = fleet.workspaces.iter().map(|it| u64::from(it.share)).sum();
     let own = fleet.workspaces.iter().find(|it| it.name == name);
     let share = own.map_or(0, |it| u64::from(it.share));
--- a/crates/portfield/src/fleet/spec.rs
+++ b/crates/portfield/src/fleet/spec.rs
@@ -147,27 +147,27 @@
     /// Numbers the parts; what `base` already has keeps its number.
     pub fn assign_ids(&self, base: &Fleet) -> Fleet {
         let mut next_id = base.next_id.max(1);
-        let mut fresh = || {
+        let mut new_id = || {
             next_id += 1;
             next_id - 1
         };
         let mut res = Fleet { revision: base.revision + 1, ..Fleet::default() };
         for name in &self.data_centres {
-            let id = base.data_centre_id(name).unwrap_or_else(&mut fresh);
+            let id = base.data_centre_id(name).unwrap_or_else(&mut new_id);
             res.data_centres.push(DataCentre { id, name: name.clone() });
         }
         for it in &self.services {
-            let id = base.service_by_name(&it.name).map_or_else(&mut fresh, |it| it.id);
+            let id = base.service_by_name(&it.name).map_or_else(&mut new_id, |it| it.id);
             res.services.push(it.with_id(id));
         }
         for it in &self.workspaces {
             let old = base.workspaces.iter().find(|old| old.name == it.name);
-            let id = old.map_or_else(&mut fresh, |it| it.id);
+            let id = old.map_or_else(&mut new_id, |it| it.id);
             res.workspaces.push(it.with_id(id));
         }
         for it in &self.upstreams {
             let old = base.upstreams.iter().find(|old| old.address == it.address);
-            let id = old.map_or_else(&mut fresh, |it| it.id);
+            let id = old.map_or_else(&mut new_id, |it| it.id);
             let service = res.service_by_name(&it.service).map_or(0, |it| it.id);
             let data_centre = res.data_centre_id(&it.data_centre).unwrap_or(0);
             res.upstreams.push(it.with_id(id, service, data_centre));
@@ -192,9 +192,9 @@
         check_unique("workspace.token_sha256", tokens, &mut res);
         let addresses: Vec<_> = self.upstreams.iter().map(|it| it.address.to_string()).collect();
         check_unique("upstream.address", addresses.iter().map(String::as_str), &mut res);
-        self.services.iter().enumerate().for_each(|(idx, it)| it.check(idx, &mut res));
-        self.workspaces.iter().enumerate().for_each(|(idx, it)| it.check(idx, &mut res));
-        self.upstreams.iter().enumerate().for_each(|(idx, it)| it.check(idx, self, &mut res));
+        self.services.iter().enumerate().for_each(|(idx, it)| it.validate(idx, &mut res));
+        self.workspaces.iter().enumerate().for_each(|(idx, it)| it.validate(idx, &mut res));
+        self.upstreams.iter().enumerate().for_each(|(idx, it)| it.validate(idx, self, &mut res));
         res
     }
 }
@@ -213,16 +213,16 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Diagnostic>) {
+    fn validate(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("service[{idx}].{field}");
         if !self.name.bytes().all(|it| it.is_ascii_alphanumeric() || it == b'-') {
-            push(res, key("name"), "use letters, digits and dashes only");
+            report(res, key("name"), "use letters, digits and dashes only");
         }
         if self.shard_size == 0 {
-            push(res, key("shard_size"), "must be at least 1");
+            report(res, key("shard_size"), "must be at least 1");
         }
         if self.wait_limit_ms == 0 {
-            push(res, key("wait_limit_ms"), "must be at least 1");
+            report(res, key("wait_limit_ms"), "must be at least 1");
         }
     }
 }
@@ -239,18 +239,18 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Diagnostic>) {
+    fn validate(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("workspace[{idx}].{field}");
         if !(1..=MAX_SHARE).contains(&self.share) {
-            push(res, key("share"), format!("must be between 1 and {MAX_SHARE}"));
+            report(res, key("share"), format!("must be between 1 and {MAX_SHARE}"));
         }
         let is_hash = self.token_sha256.len() == 64
             && self.token_sha256.bytes().all(|it| matches!(it, b'0'..=b'9' | b'a'..=b'f'));
         if !is_hash {
-            push(res, key("token_sha256"), "must be 64 lower-case hexadecimal digits");
+            report(res, key("token_sha256"), "must be 64 lower-case hexadecimal digits");
         }
         if self.queue == 0 {
-            push(res, key("queue"), "must be at least 1");
+            report(res, key("queue"), "must be at least 1");
         }
     }
 }
@@ -269,17 +269,17 @@
         }
     }
 
-    fn check(&self, idx: usize, intent: &FleetSpec, res: &mut Vec<Diagnostic>) {
+    fn validate(&self, idx: usize, spec: &FleetSpec, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("upstream[{idx}].{field}");
-        if !intent.services.iter().any(|it| it.name == self.service) {
-            push(res, key("service"), format!("no service is named `{}`", self.service));
+        if !spec.services.iter().any(|it| it.name == self.service) {
+            report(res, key("service"), format!("no service is named `{}`", self.service));
         }
-        if !intent.data_centres.contains(&self.data_centre) {
+        if !spec.data_centres.contains(&self.data_centre) {
             let text = format!("no data centre is named `{}`", self.data_centre);
-            push(res, key("data_centre"), text);
+            report(res, key("data_centre"), text);
         }
         if !(1..=MAX_SLOTS).contains(&self.slots) {
-            push(res, key("slots"), format!("must be between 1 and {MAX_SLOTS}"));
+            report(res, key("slots"), format!("must be between 1 and {MAX_SLOTS}"));
         }
     }
 }
@@ -288,13 +288,13 @@
     let mut seen = HashSet::new();
     for name in names {
         if name.is_empty() {
-            push(res, key.to_owned(), "must not be empty");
+            report(res, key.to_owned(), "must not be empty");
         } else if !seen.insert(name) {
-            push(res, key.to_owned(), format!("`{name}` stands twice"));
+            report(res, key.to_owned(), format!("`{name}` stands twice"));
         }
     }
 }
 
-fn push(res: &mut Vec<Diagnostic>, key: String, message: impl Into<String>) {
+fn report(res: &mut Vec<Diagnostic>, key: String, message: impl Into<String>) {
     res.push(Diagnostic { key, message: message.into() });
 }
