--- a/crates/portfield/src/fleet/current.rs
+++ b/crates/portfield/src/fleet/current.rs
@@ -1,11 +1,11 @@
-//! The revision in force at one process: it only ever rises.
+//! The configuration that one process uses, whose revision never decreases.
 
 use std::sync::Arc;
 
 use super::model::Fleet;
 use crate::ids::Revision;
 
-/// The configuration that a process has adopted.
+/// The configuration that a process currently uses.
 ///
 /// # Examples
 ///
@@ -23,7 +23,7 @@
 }
 
 impl CurrentFleet {
-    /// Adopts a configuration if its revision is higher; returns whether it was.
+    /// Replaces the configuration if the new revision is higher; returns whether it was replaced.
     pub fn update(&mut self, fleet: Fleet) -> bool {
         if fleet.revision <= self.fleet.revision {
             return false;
@@ -32,12 +32,12 @@
         true
     }
 
-    /// Returns the revision in force; zero is none yet.
+    /// Returns the current revision, zero before the first configuration.
     pub fn revision(&self) -> Revision {
         self.fleet.revision
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
--- a/crates/portfield/src/fleet/error.rs
+++ b/crates/portfield/src/fleet/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the configuration layer.
+//! Errors in configurations and plans.
 
 use std::{error, fmt};
 
-/// What is wrong with a configuration or a plan.
+/// Kind of an [`Error`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The file is not TOML of the expected form.
+    /// The file is not TOML, or not of the expected structure.
     Syntax,
-    /// The file is well formed but one or more values are not acceptable.
+    /// The file is well formed but contains invalid values.
     Invalid,
-    /// The plan was made against a revision that is no longer in force.
+    /// The plan was made against a revision that is no longer current.
     Stale,
-    /// The stored plan does not match its own hash.
+    /// The stored plan does not match its hash.
     Corrupt,
 }
 
-/// One diagnostic in a configuration, with the key it stands under.
+/// One problem in a configuration or a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Path of the key, such as `workspace[2].share`.
+    /// Path of the key concerned, such as `workspace[2].share`.
     pub key: String,
-    /// What is wrong, and what to write instead.
+    /// What is wrong with its value, and what is expected.
     pub message: String,
 }
 
-/// An error of the configuration layer, with every diagnostic found.
+/// An error in a configuration or a plan, with every problem found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
@@ -32,23 +32,23 @@
 }
 
 impl Error {
-    /// Builds an error of a kind.
+    /// Builds an error from its diagnostics.
     pub(crate) fn new(kind: ErrorKind, diagnostics: Vec<Diagnostic>) -> Self {
         Self { kind, diagnostics }
     }
 
-    /// Builds an error with a single mistake.
+    /// Builds an error with a single diagnostic for a key.
     pub(crate) fn single(kind: ErrorKind, key: &str, message: impl Into<String>) -> Self {
         let diagnostic = Diagnostic { key: key.to_owned(), message: message.into() };
         Self::new(kind, vec![diagnostic])
     }
 
-    /// Returns the kind, for a caller that decides by it.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// Returns every diagnostic that was found.
+    /// Returns the diagnostics, one for each problem.
     pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.diagnostics
     }
@@ -57,10 +57,14 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let summary = match self.kind {
-            ErrorKind::Syntax => "the file cannot be read",
-            ErrorKind::Invalid => "the configuration is not acceptable",
-            ErrorKind::Stale => "the plan is stale; make a new one with `portfieldctl plan`",
-            ErrorKind::Corrupt => "the stored plan is damaged; make a new one",
+            ErrorKind::Syntax => "the configuration cannot be parsed",
+            ErrorKind::Invalid => "the configuration is invalid",
+            ErrorKind::Stale => {
+                "the plan is out of date; create a new one with `portfieldctl plan`"
+            }
+            ErrorKind::Corrupt => {
+                "the stored plan is corrupt; create a new one with `portfieldctl plan`"
+            }
         };
         f.write_str(summary)?;
         for it in &self.diagnostics {
--- a/crates/portfield/src/fleet/mod.rs
+++ b/crates/portfield/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration of the fleet: what operators state, what it changes, what is in force.
+//! The fleet's configuration: its specification by operators, plans of changes and the current
+//! revision.
 
 mod current;
 mod error;
--- a/crates/portfield/src/fleet/model.rs
+++ b/crates/portfield/src/fleet/model.rs
@@ -1,4 +1,4 @@
-//! The configuration that is in force, with numbered parts.
+//! The fleet's configuration at one revision, with ids assigned.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,11 +10,11 @@
     schedule::ShardKey,
 };
 
-/// What kind of upstream stands behind a service.
+/// Kind of the upstreams of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A model engine: streams tokens, batches continuously.
+    /// A model engine with token streaming and continuous batching.
     Engine,
     /// Any other HTTP service.
     Plain,
@@ -23,133 +23,134 @@
 /// A data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DataCentre {
-    /// Number on the wire.
+    /// Id in messages.
     pub id: DataCentreId,
-    /// Name as operators write it.
+    /// Name in the specification.
     pub name: String,
 }
 
 /// A service that workspaces call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Number on the wire.
+    /// Id in messages.
     pub id: ServiceId,
-    /// Name, the first path segment of a call.
+    /// Name, which is the first path segment of a request.
     pub name: String,
-    /// What stands behind it.
+    /// Kind of its upstreams.
     pub kind: Kind,
-    /// A call may be sent again after it may have run.
+    /// Whether a request that may have run may be sent again.
     pub repeatable: bool,
-    /// Objective for the first token or the answer's head, in milliseconds.
+    /// Objective for the time to the first token, or to the response's head, in milliseconds.
     pub first_token: u64,
     /// Objective for the mean time between tokens, in milliseconds.
     pub token_gap: u64,
-    /// Longest time a request waits for a grant, in milliseconds.
+    /// Longest time for which a request waits for a grant, in milliseconds.
     pub wait_limit: u64,
-    /// Upstreams of one data centre above which a shard is split.
+    /// Number of upstreams in one data centre above which its shard is split.
     pub shard_size: usize,
 }
 
 impl Service {
-    /// Longest time a request waits for a grant.
+    /// Returns the longest time for which a request waits for a grant.
     pub fn wait_limit(&self) -> Duration {
         Duration::from_millis(self.wait_limit)
     }
 }
 
-/// A workspace and the share it is owed.
+/// A workspace and the share of the capacity that it is owed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Number on the wire.
+    /// Id in messages.
     pub id: WorkspaceId,
-    /// Name as operators write it.
+    /// Name in the specification.
     pub name: String,
-    /// Weight of its service against the others'.
+    /// Weight relative to the shares of other workspaces.
     pub share: u32,
-    /// SHA-256 of its token, in hexadecimal.
+    /// SHA-256 hash of its token, in hexadecimal.
     pub token_hash: String,
-    /// Requests that may wait at one router.
+    /// Largest number of requests waiting at one router.
     pub queue: usize,
-    /// Bytes of bodies that may wait at one router.
+    /// Largest total length of the bodies waiting at one router, in bytes.
     pub queue_bytes: usize,
 }
 
 /// One upstream of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Number on the wire.
+    /// Id in messages.
     pub id: UpstreamId,
-    /// The service it serves.
+    /// Its service.
     pub service: ServiceId,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it listens.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// It is to get no new work.
+    /// Whether it gets no new requests.
     pub leaving: bool,
-    /// It refuses an order that carries an old fencing number.
+    /// Whether it refuses requests with an outdated fencing token.
     pub fenced: bool,
-    /// Models it is to have loaded.
+    /// Models that it is expected to have loaded.
     pub models: Vec<String>,
 }
 
-/// The configuration of the whole fleet at one revision.
+/// The configuration of the whole fleet at one revision; every list is sorted by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Grows by one with each confirmed plan; zero is the empty configuration.
+    /// Revision, incremented with each confirmed plan; zero is the empty configuration.
     pub revision: Revision,
-    /// First number not yet given to anything.
+    /// Lowest id that has never been assigned.
     pub next_id: u32,
-    /// Data centres, by number.
+    /// Data centres.
     pub data_centres: Vec<DataCentre>,
-    /// Services, by number.
+    /// Services.
     pub services: Vec<Service>,
-    /// Workspaces, by number.
+    /// Workspaces.
     pub workspaces: Vec<Workspace>,
-    /// Upstreams, by number.
+    /// Upstreams.
     pub upstreams: Vec<Upstream>,
 }
 
 impl Fleet {
-    /// Finds a service by number.
+    /// Returns a service by id.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
         find_by_id(&self.services, id, |it| it.id)
     }
 
-    /// Finds a service by name.
+    /// Returns a service by name.
     pub fn service_by_name(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|it| it.name == name)
     }
 
-    /// Finds a workspace by number.
+    /// Returns a workspace by id.
     pub fn workspace(&self, id: WorkspaceId) -> Option<&Workspace> {
         find_by_id(&self.workspaces, id, |it| it.id)
     }
 
-    /// Finds the workspace that a caller's token belongs to.
+    /// Returns the workspace that a caller's token belongs to.
     pub fn workspace_by_token(&self, token: &str) -> Option<&Workspace> {
         let hash = hash_token(token);
         self.workspaces.iter().find(|it| it.token_hash == hash)
     }
 
-    /// Finds an upstream by number.
+    /// Returns an upstream by id.
     pub fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
         find_by_id(&self.upstreams, id, |it| it.id)
     }
 
-    /// Finds a data centre by name.
+    /// Returns the id of a data centre by name.
     pub fn data_centre_id(&self, name: &str) -> Option<DataCentreId> {
         self.data_centres.iter().find(|it| it.name == name).map(|it| it.id)
     }
 
-    /// Returns the name of a data centre, empty if it is unknown.
+    /// Returns the name of a data centre, or an empty string if it is unknown.
     pub fn data_centre_name(&self, id: DataCentreId) -> &str {
         find_by_id(&self.data_centres, id, |it| it.id).map_or("", |it| &it.name)
     }
 
-    /// Returns how many parts the upstreams of a service in a data centre are split into.
+    /// Returns the number of parts into which the upstreams of a service in a data centre are
+    /// split; each part is a shard.
     pub fn n_parts(&self, service: ServiceId, data_centre: DataCentreId) -> u32 {
         let size = self.service(service).map_or(1, |it| it.shard_size.max(1));
         let n = self
@@ -160,7 +161,7 @@
         n.div_ceil(size).max(1) as u32
     }
 
-    /// Returns every shard of a service; a data centre without upstreams has an empty one.
+    /// Returns all shards of a service; a data centre without upstreams has one empty shard.
     pub fn shards(&self, service: ServiceId) -> impl Iterator<Item = ShardKey> + '_ {
         self.data_centres.iter().flat_map(move |data_centre| {
             let parts = 0..self.n_parts(service, data_centre.id);
@@ -186,7 +187,7 @@
     }
 }
 
-/// Hashes a workspace's token as the configuration stores it.
+/// Returns the hash of a workspace's token as the configuration stores it.
 ///
 /// # Examples
 ///
@@ -198,11 +199,12 @@
     hex(&Sha256::digest(token.as_bytes()))
 }
 
-/// Writes bytes in hexadecimal.
+/// Returns bytes in lower-case hexadecimal.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|it| format!("{it:02x}")).collect()
 }
 
+/// Returns the item with an id from a list that is sorted by id.
 fn find_by_id<T>(list: &[T], id: u32, key: impl Fn(&T) -> u32) -> Option<&T> {
     let idx = list.binary_search_by_key(&id, key).ok()?;
     Some(&list[idx])
--- a/crates/portfield/src/fleet/plan.rs
+++ b/crates/portfield/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a stated intent would change, bound to the revision it was compared with.
+//! Plans: what a specification would change, relative to one revision of the configuration.
 
 use std::fmt;
 
@@ -12,19 +12,19 @@
 };
 use crate::ids::Revision;
 
-/// Digits of the hash that make a plan's id.
+/// Hexadecimal digits of the hash in a plan's id.
 const ID_DIGITS: usize = 16;
 
-/// One difference between the configuration in force and the planned one.
+/// One difference between the current configuration and the planned one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Something new.
+    /// An item to be created, by kind and name.
     Create(String),
-    /// Something that goes away.
+    /// An item to be removed, by kind and name.
     Remove(String),
-    /// Something that is stated otherwise; the text says from what to what.
+    /// An item to be changed, by kind and name, and its values before and after.
     Update(String, String),
-    /// What a workspace is owed of the whole, in 0.01 %, before and after.
+    /// A workspace by name, and its share of the fleet before and after, in basis points (0.01 %).
     Share(String, u32, u32),
 }
 
@@ -43,19 +43,19 @@
     }
 }
 
-/// A change of configuration that an operator can confirm.
+/// A change of the configuration that an operator can confirm.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Revision that the plan was compared with.
+    /// Revision that the plan was made against.
     pub base: Revision,
-    /// Every difference.
+    /// Differences from that revision.
     pub changes: Vec<Change>,
-    /// The configuration that a confirmation puts in force.
+    /// Configuration that becomes current when the plan is confirmed.
     pub fleet: Fleet,
 }
 
 impl Plan {
-    /// Compares an intent with the configuration in force.
+    /// Builds the plan that changes the configuration `base` to a specification.
     ///
     /// # Examples
     ///
@@ -70,14 +70,14 @@
         Self::diff(base, spec.assign_ids(base))
     }
 
-    /// Compares a changed configuration with the one in force.
+    /// Builds the plan that changes the configuration `base` to `fleet`.
     pub fn diff(base: &Fleet, mut fleet: Fleet) -> Self {
         fleet.revision = base.revision + 1;
         let changes = diff_fleets(base, &fleet);
         Self { base: base.revision, changes, fleet }
     }
 
-    /// Returns the plan's id: the start of the hash of its content.
+    /// Returns the plan's id: the first digits of the hash of its content.
     pub fn id(&self) -> String {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let mut res = hex(&Sha256::digest(&text));
@@ -85,20 +85,24 @@
         res
     }
 
-    /// Checks that the plan can still be confirmed against what is in force.
+    /// Checks that the plan has this id and can be confirmed while `current` is the configuration.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Stale`] with what changed since, [`ErrorKind::Corrupt`] where the
-    /// content does not match `id`.
+    /// [`ErrorKind::Corrupt`] if the content does not match `id`, [`ErrorKind::Stale`] if the
+    /// plan was made against another revision.
     pub fn verify(&self, id: &str, current: &Fleet) -> Result<(), Error> {
         if self.id() != id {
-            return Err(Error::single(ErrorKind::Corrupt, "plan", id));
+            let text = format!("the content does not match the id {id}");
+            return Err(Error::single(ErrorKind::Corrupt, "plan", text));
         }
         if self.base == current.revision {
             return Ok(());
         }
-        let text = format!("made at revision {}, now {}", self.base, current.revision);
+        let text = format!(
+            "the plan was made against revision {}, the current one is {}",
+            self.base, current.revision
+        );
         Err(Error::single(ErrorKind::Stale, "revision", text))
     }
 }
@@ -124,6 +128,8 @@
     res
 }
 
+/// Adds the differences between two lists to `res`; `name` identifies an item in both lists, and
+/// `describe` returns the values that are shown if it changes.
 fn diff_list<T: PartialEq>(
     old: &[T],
     new: &[T],
@@ -156,7 +162,7 @@
     }
 }
 
-/// Returns the part of a full fleet that a workspace is owed, in 0.01 %.
+/// Returns the share of the whole fleet that a workspace is owed, in basis points (0.01 %).
 fn share_basis_points(fleet: &Fleet, name: &str) -> u32 {
     let total: u64 = fleet.workspaces.iter().map(|it| u64::from(it.share)).sum();
     let own = fleet.workspaces.iter().find(|it| it.name == name);
--- a/crates/portfield/src/fleet/spec.rs
+++ b/crates/portfield/src/fleet/spec.rs
@@ -1,4 +1,4 @@
-//! What an operator states, by names, in TOML.
+//! Specification of the fleet by operators, in TOML and by names.
 
 use std::{collections::HashSet, net::SocketAddr};
 
@@ -9,12 +9,12 @@
     model::{DataCentre, Fleet, Kind, Service, Upstream, Workspace},
 };
 
-/// Most requests one upstream may be said to run at once.
+/// Largest number of requests that an upstream may be specified to run at once.
 const MAX_SLOTS: u32 = 4096;
-/// Largest share; keeps virtual time within 64 bits for years of service.
+/// Largest share; it keeps virtual time within 64 bits for years.
 const MAX_SHARE: u32 = 10_000;
 
-/// The whole configuration as an operator states it.
+/// Specification of the fleet.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSpec {
@@ -31,68 +31,68 @@
     pub upstreams: Vec<UpstreamSpec>,
 }
 
-/// A service as stated.
+/// Specification of a service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name, unique among services.
     pub name: String,
-    /// `engine` or `plain`.
+    /// Kind of its upstreams: `engine` or `plain`.
     pub kind: Kind,
-    /// A call may be sent again after it may have run.
+    /// Whether a request that may have run may be sent again.
     #[serde(default)]
     pub repeatable: bool,
-    /// Objective for the first token, in milliseconds.
+    /// Objective for the time to the first token, or to the response's head, in milliseconds.
     #[serde(default = "first_token")]
     pub first_token_ms: u64,
-    /// Objective for the time between tokens, in milliseconds.
+    /// Objective for the mean time between tokens, in milliseconds.
     #[serde(default = "token_gap")]
     pub token_gap_ms: u64,
-    /// Longest wait for a grant, in milliseconds.
+    /// Longest time for which a request waits for a grant, in milliseconds.
     #[serde(default = "wait_limit")]
     pub wait_limit_ms: u64,
-    /// Upstreams of one data centre above which a shard is split.
+    /// Number of upstreams in one data centre above which its shard is split.
     #[serde(default = "shard_size")]
     pub shard_size: usize,
 }
 
-/// A workspace as stated.
+/// Specification of a workspace.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
-    /// Its name.
+    /// Name, unique among workspaces.
     pub name: String,
-    /// Weight of its service against the others'.
+    /// Weight relative to the shares of other workspaces.
     pub share: u32,
-    /// SHA-256 of its token, in hexadecimal.
+    /// SHA-256 hash of its token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Requests that may wait at one router.
+    /// Largest number of requests waiting at one router.
     #[serde(default = "queue")]
     pub queue: usize,
-    /// Bytes of bodies that may wait at one router.
+    /// Largest total length of the bodies waiting at one router, in bytes.
     #[serde(default = "queue_bytes")]
     pub queue_bytes: usize,
 }
 
-/// An upstream as stated; its address names it.
+/// Specification of an upstream, which is identified by its address.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSpec {
-    /// Where it listens.
+    /// Address for requests.
     pub address: SocketAddr,
     /// Name of its service.
     pub service: String,
     /// Name of its data centre.
     pub data_centre: String,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// It is to get no new work.
+    /// Whether it gets no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// It refuses an order that carries an old fencing number.
+    /// Whether it refuses requests with an outdated fencing token.
     #[serde(default)]
     pub fenced: bool,
-    /// Models it is to have loaded.
+    /// Models that it is expected to have loaded.
     #[serde(default)]
     pub models: Vec<String>,
 }
@@ -117,12 +117,12 @@
 }
 
 impl FleetSpec {
-    /// Reads an intent from TOML and checks it.
+    /// Parses a specification from TOML and validates it.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Syntax`] where the text has another form, [`ErrorKind::Invalid`] with
-    /// every mistake where values are not acceptable.
+    /// [`ErrorKind::Syntax`] if the text is not TOML of the expected structure,
+    /// [`ErrorKind::Invalid`] with a diagnostic for every invalid value.
     ///
     /// # Examples
     ///
@@ -144,7 +144,9 @@
         Err(Error::new(ErrorKind::Invalid, diagnostics))
     }
 
-    /// Numbers the parts; what `base` already has keeps its number.
+    /// Builds the next revision of the configuration `base` from this specification.
+    ///
+    /// Items that `base` already has keep their ids; all others get new ones.
     pub fn assign_ids(&self, base: &Fleet) -> Fleet {
         let mut next_id = base.next_id.max(1);
         let mut new_id = || {
@@ -216,7 +218,7 @@
     fn validate(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("service[{idx}].{field}");
         if !self.name.bytes().all(|it| it.is_ascii_alphanumeric() || it == b'-') {
-            report(res, key("name"), "use letters, digits and dashes only");
+            report(res, key("name"), "must contain only ASCII letters, digits and dashes");
         }
         if self.shard_size == 0 {
             report(res, key("shard_size"), "must be at least 1");
@@ -290,11 +292,12 @@
         if name.is_empty() {
             report(res, key.to_owned(), "must not be empty");
         } else if !seen.insert(name) {
-            report(res, key.to_owned(), format!("`{name}` stands twice"));
+            report(res, key.to_owned(), format!("`{name}` is used more than once"));
         }
     }
 }
 
+/// Adds a diagnostic for a key.
 fn report(res: &mut Vec<Diagnostic>, key: String, message: impl Into<String>) {
     res.push(Diagnostic { key, message: message.into() });
 }
