--- a/crates/portfield/src/route/resume.rs
+++ b/crates/portfield/src/route/resume.rs
@@ -1,8 +1,8 @@
-//! Tokens by which a caller goes on with its stream at another router.
+//! Tokens with which a caller resumes its stream at any router.
 //!
-//! The router that held a stream may be gone with all it knew, so the token says itself
-//! where the stream is. It is bound to its workspace by a hash over what no single workspace
-//! knows: all workspaces' token hashes in the configuration.
+//! The router that served a stream may have failed with its state, so the token contains the
+//! upstream and the stream's id. A hash keyed with the token hashes of all workspaces, which no
+//! single workspace knows, binds it to its workspace.
 
 use sha2::{Digest, Sha256};
 
@@ -11,20 +11,20 @@
     ids::{UpstreamId, WorkspaceId},
 };
 
-/// Digits of the hash in a token.
-const MAC_LEN: usize = 32;
+/// Hexadecimal digits of the hash in a token.
+const MAC_DIGITS: usize = 32;
 
-/// Returns the token of a workspace's stream.
+/// Returns the resume token of a workspace's stream.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield::{fleet::Fleet, route::{read_token, resume_token}};
+/// use portfield::{fleet::Fleet, route::{parse_resume_token, resume_token}};
 ///
 /// let fleet = Fleet::default();
 /// let token = resume_token(&fleet, 1, 7, "s-12");
-/// assert_eq!(read_token(&fleet, 1, &token), Some((7, "s-12")));
-/// assert_eq!(read_token(&fleet, 2, &token), None);
+/// assert_eq!(parse_resume_token(&fleet, 1, &token), Some((7, "s-12")));
+/// assert_eq!(parse_resume_token(&fleet, 2, &token), None);
 /// ```
 pub fn resume_token(
     fleet: &Fleet,
@@ -35,17 +35,19 @@
     format!("{upstream}.{}.{stream}", mac(fleet, workspace, upstream, stream))
 }
 
-/// Reads a token; none if it is not one of this workspace, or if the workspaces of the
-/// configuration have changed since it was given.
-pub fn read_token<'a>(
+/// Parses a resume token into the upstream and the stream's id.
+///
+/// Returns `None` if the token does not belong to this workspace, or if the workspaces' tokens
+/// in the configuration have changed since it was issued.
+pub fn parse_resume_token<'a>(
     fleet: &Fleet,
     workspace: WorkspaceId,
     token: &'a str,
 ) -> Option<(UpstreamId, &'a str)> {
     let (upstream, rest) = token.split_once('.')?;
-    let (found, stream) = rest.split_once('.')?;
+    let (found_mac, stream) = rest.split_once('.')?;
     let upstream = upstream.parse().ok()?;
-    (found == mac(fleet, workspace, upstream, stream)).then_some((upstream, stream))
+    (found_mac == mac(fleet, workspace, upstream, stream)).then_some((upstream, stream))
 }
 
 fn mac(fleet: &Fleet, workspace: WorkspaceId, upstream: UpstreamId, stream: &str) -> String {
@@ -57,6 +59,6 @@
     hash.update(upstream.to_le_bytes());
     hash.update(stream.as_bytes());
     let mut res = hex(&hash.finalize());
-    res.truncate(MAC_LEN);
+    res.truncate(MAC_DIGITS);
     res
 }
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -15,9 +15,9 @@
     standby::Standby,
 };
 use crate::{
-    fleet::{Adopted, Fleet},
+    fleet::{CurrentFleet, Fleet},
     ids::{HostId, Incarnation, Revision, TicketId, UpstreamId},
-    member::{ListEntry, Probe, Probes, State, View},
+    member::{HostListEntry, MemberState, Membership, Probe, Prober},
     wire,
 };
 
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
     /// This host, as in the platform's host list.
-    pub entry: ListEntry,
+    pub entry: HostListEntry,
     /// Incarnation of the process, larger than that of any earlier one at this host.
     pub incarnation: Incarnation,
     /// Limits and periods of the owners.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The platform's host list was read.
-    HostList(Vec<ListEntry>),
+    HostList(Vec<HostListEntry>),
     /// A configuration was read from the platform or a peer.
     Config(Fleet),
     /// A router's frame arrived.
@@ -83,16 +83,16 @@
 #[derive(Debug)]
 pub struct Scheduler {
     config: SchedulerConfig,
-    pub(super) view: View,
-    probes: Probes,
-    pub(super) adopted: Adopted,
+    pub(super) view: Membership,
+    probes: Prober,
+    pub(super) adopted: CurrentFleet,
     pub(super) owners: BTreeMap<ShardKey, ShardOwner>,
     /// Counters received as the successor of other hosts' shards.
     pub(super) standby: BTreeMap<ShardKey, Standby>,
     /// Hosts whose routers have a session.
     routers: HashSet<HostId>,
     /// Members of this data centre as last sent to the routers.
-    sent_members: BTreeMap<HostId, (State, Incarnation)>,
+    sent_members: BTreeMap<HostId, (MemberState, Incarnation)>,
     /// Configuration revision last sent to the routers.
     sent_revision: Revision,
     /// Versions of membership and configuration for which ownership was last computed.
@@ -110,9 +110,9 @@
     pub fn new(config: SchedulerConfig) -> Self {
         let seed = config.incarnation ^ u64::from(config.entry.address.port());
         Self {
-            view: View::new(config.entry.clone(), config.incarnation),
-            probes: Probes::new(seed),
-            adopted: Adopted::default(),
+            view: Membership::new(config.entry.clone(), config.incarnation),
+            probes: Prober::new(seed),
+            adopted: CurrentFleet::default(),
             owners: BTreeMap::new(),
             standby: BTreeMap::new(),
             routers: HashSet::new(),
@@ -143,7 +143,7 @@
     /// Returns when the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let frames = self.owners.values().map(|it| it.next_frame_at().max(it.recovery_end()));
-        frames.chain([self.probes.next()]).min().unwrap_or(Duration::MAX)
+        frames.chain([self.probes.next_tick()]).min().unwrap_or(Duration::MAX)
     }
 
     /// Returns the configuration in force at this host.
@@ -152,14 +152,14 @@
     }
 
     /// Returns this host's view of the members.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &Membership {
         &self.view
     }
 
     /// Returns the upstreams of the owned shards, which need health checks.
     pub fn watched_upstreams(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let fleet = self.adopted.fleet();
-        let all = self.owners.keys().flat_map(|it| fleet.upstreams_of(*it));
+        let all = self.owners.keys().flat_map(|it| fleet.upstreams_in_shard(*it));
         all.map(|it| (it.id, it.address)).collect()
     }
 
@@ -180,7 +180,7 @@
 
     fn handle_event(&mut self, now: Duration, event: Event) {
         match event {
-            Event::HostList(entries) => self.view.list(now, &entries),
+            Event::HostList(entries) => self.view.update_hosts(now, &entries),
             Event::Config(fleet) => self.adopt_config(now, fleet),
             Event::RouterFrame(host, frame) => self.handle_router_frame(now, host, &frame),
             Event::RouterConnected(host) => self.add_router(now, host),
@@ -190,11 +190,11 @@
             Event::ProbeReply(host, reply) => {
                 self.view.merge(now, Some(host), &reply.gossip);
                 if reply.alive {
-                    self.probes.answered(now, &mut self.view, host);
+                    self.probes.handle_ack(now, &mut self.view, host);
                 }
                 self.fetch_if_newer(host, reply.revision);
             }
-            Event::ProbeRefused(host) => self.probes.refused(now, &mut self.view, host),
+            Event::ProbeRefused(host) => self.probes.handle_refused(now, &mut self.view, host),
             Event::ProbeRequest(request) => {
                 let from = request.from.parse().ok();
                 self.view.merge(now, from, &request.gossip);
@@ -215,7 +215,7 @@
     /// Builds the answer to a probe.
     pub fn probe_reply(&mut self, request: &wire::ProbeRequest) -> wire::ProbeReply {
         let from = request.from.parse().ok();
-        let mut gossip = self.view.gossip(from);
+        let mut gossip = self.view.take_gossip(from);
         // A host without a configuration has just started: it gets all members at once.
         if request.revision == 0 && 0 < self.adopted.revision() {
             gossip = self.view.to_wire(|_| true);
@@ -225,7 +225,7 @@
 
     /// Adopts a configuration, if it is newer, and applies it to the owners.
     fn adopt_config(&mut self, now: Duration, fleet: Fleet) {
-        if !self.adopted.offer(fleet) {
+        if !self.adopted.update(fleet) {
             return;
         }
         let fleet = self.adopted.fleet().clone();
@@ -322,7 +322,7 @@
     }
 
     fn send_probes(&mut self, now: Duration) {
-        let me = self.view.me();
+        let me = self.view.local_host();
         for probe in self.probes.tick(now, &mut self.view) {
             let (to, host, target) = match probe {
                 Probe::Direct(host) => (host, host, String::new()),
@@ -331,7 +331,7 @@
             let request = wire::ProbeRequest {
                 from: me.to_string(),
                 target,
-                gossip: self.view.gossip(Some(host)),
+                gossip: self.view.take_gossip(Some(host)),
                 revision: self.adopted.revision(),
             };
             if let Some(it) = self.view.get(to) {
@@ -360,8 +360,8 @@
         }
         self.assigned_version = version;
         let fleet = self.adopted.fleet().clone();
-        let me = self.view.me();
-        let local = fleet.data_centre(&self.config.entry.data_centre);
+        let me = self.view.local_host();
+        let local = fleet.data_centre_id(&self.config.entry.data_centre);
         let mut owned = Vec::new();
         for service in &fleet.services {
             let shards = fleet.shards(service.id).filter(|it| Some(it.data_centre) == local);
@@ -419,13 +419,14 @@
         let fleet = self.adopted.fleet().clone();
         let next = self.owner_host(&fleet, shard);
         if let Some(it) = next.and_then(|it| self.view.get(it)) {
-            let frame = wire::PeerFrame { from: self.view.me().to_string(), shards: vec![frame] };
+            let frame =
+                wire::PeerFrame { from: self.view.local_host().to_string(), shards: vec![frame] };
             self.actions.push(Action::SendToPeer(it.address, frame));
         }
         for host in owner.routers() {
             self.send_not_owner(host, shard);
         }
-        let me = self.view.me();
+        let me = self.view.local_host();
         self.decisions.record(now, me, 0, Step::HandedOver { shard });
     }
 
