--- a/crates/portfield-burn/src/main.rs
+++ b/crates/portfield-burn/src/main.rs
@@ -6,7 +6,7 @@
 use std::{fs, io::Write, net::SocketAddr, path::PathBuf, time::Duration};
 
 use clap::Parser;
-use portfield_net::{http1::Target, platform::Platform, rt::Runtime};
+use portfield_net::{http1::Client, platform::PlatformClient, rt::Runtime};
 
 use crate::report::{Answer, Report};
 
@@ -42,10 +42,10 @@
 }
 
 async fn read(platform: SocketAddr) -> eyre::Result<Report> {
-    let hosts = Platform::new(platform, TIMEOUT).hosts().await?;
+    let hosts = PlatformClient::new(platform, TIMEOUT).read_hosts().await?;
     let mut report = Report::default();
     for host in hosts {
-        let target = Target { timeout: TIMEOUT, ..Target::direct(host.router_admin) };
+        let target = Client { timeout: TIMEOUT, ..Client::direct(host.router_admin) };
         match target.get::<Answer>("/burn").await {
             Ok(answer) => report.add(answer),
             Err(_) => report.silent.push(host.router.ip().to_string()),
--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -20,11 +20,15 @@
 /// Answers the platform's question whether callers may be sent here.
 pub(crate) fn readiness(host: &Host, request: &Request) -> Response {
     if request.url().path() != portfield_platform::READY_PATH {
-        return http1::json(404, &"no such page");
+        return http1::json_response(404, &"no such page");
     }
     let is_ready = host.is_ready();
     host.governor().record_probe(is_ready);
-    if is_ready { http1::json(200, &"ready") } else { http1::json(503, &"not ready") }
+    if is_ready {
+        http1::json_response(200, &"ready")
+    } else {
+        http1::json_response(503, &"not ready")
+    }
 }
 
 /// Answers operators.
@@ -32,10 +36,13 @@
     let path = request.url().path();
     match (request.method(), path, path.strip_prefix("/quarantine/")) {
         (Method::Get, METRICS, _) => metrics(host),
-        (Method::Get, QUARANTINE, _) => http1::json(200, &quarantined_requests(host)),
-        (Method::Get, EVACUATIONS, _) => http1::json(200, &evacuated_data_centres(host)),
+        (Method::Get, QUARANTINE, _) => http1::json_response(200, &quarantined_requests(host)),
+        (Method::Get, EVACUATIONS, _) => http1::json_response(200, &evacuated_data_centres(host)),
         (Method::Delete, _, Some(fingerprint)) => lift(host, fingerprint),
-        _ => http1::json(404, &"no such page; there are /metrics, /quarantine and /evacuations"),
+        _ => http1::json_response(
+            404,
+            &"no such page; there are /metrics, /quarantine and /evacuations",
+        ),
     }
 }
 
@@ -87,12 +94,12 @@
 /// Lets a request run again, here and, by the next digests, at the other hosts.
 fn lift(host: &Host, fingerprint: &str) -> Response {
     let Ok(fingerprint) = Fingerprint::from_str_radix(fingerprint, 16) else {
-        return http1::json(400, &"name a fingerprint: up to 16 hexadecimal digits");
+        return http1::json_response(400, &"name a fingerprint: up to 16 hexadecimal digits");
     };
     if quarantine::lift(host, fingerprint) {
-        http1::json(200, &"lifted")
+        http1::json_response(200, &"lifted")
     } else {
-        http1::json(404, &"nothing is known against this request here")
+        http1::json_response(404, &"nothing is known against this request here")
     }
 }
 
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -141,7 +141,7 @@
             return AttemptResult::Failed(Outcome::NotSent, text.to_owned());
         }
         let request = build(call, upstream, last_event);
-        connection.guard.set(call.caller.clone());
+        connection.guard.set_caller(call.caller.clone());
         let answer = clock::timeout(patience, connection.sender.try_send_request(request)).await;
         return match answer {
             None => {
@@ -151,7 +151,7 @@
                 AttemptResult::Failed(Outcome::Late, "no answer in time".to_owned())
             }
             Some(Ok(response)) => judge(host, call, upstream, response, connection, run),
-            Some(Err(_)) if connection.guard.has_stopped() => {
+            Some(Err(_)) if connection.guard.has_aborted() => {
                 run.end(Completion::Cancelled);
                 AttemptResult::Failed(Outcome::Abandoned, CALLER_LEFT.to_owned())
             }
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -43,21 +43,21 @@
         ready:% = ready_address, metrics:% = metrics_address, peers:% = peers_address,
         version = env!("CARGO_PKG_VERSION"); "started"
     );
-    if !clock::counts_sleep() {
+    if !clock::counts_suspend() {
         log::warn!(name = host.settings().name; "no clock counts the time asleep");
     }
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::readiness(&state, it));
+    let answer = http1::sync_handler(move |it| admin::readiness(&state, it));
     rt.spawn(http1::serve(rt.clone(), ready, answer));
     let state = host.clone();
-    let answer = http1::at_once(move |it| admin::handle_operator(&state, it));
+    let answer = http1::sync_handler(move |it| admin::handle_operator(&state, it));
     rt.spawn(http1::serve(rt.clone(), metrics, answer));
     rt.spawn(rpc::serve(rt.clone(), control, PeersServer::new(peers::Server::new(host.clone()))));
     peers::start(&host, datagrams);
     rt.spawn(monitor_load(host.clone()));
     store_watch::start(&host, verdicts);
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.task(server::serve(host.clone(), listener, stopped));
+    let front = rt.spawn_cancellable(server::serve(host.clone(), listener, stopped));
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload(&host, &path);
     }
@@ -129,7 +129,7 @@
 }
 
 /// Time that the last log lines get to be written.
-const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::BATCH_PERIOD);
 
 /// Reads the settings again; those that cannot change while the process runs stay.
 fn reload(host: &Arc<Host>, path: &std::path::Path) {
--- a/crates/portfield-host/src/main.rs
+++ b/crates/portfield-host/src/main.rs
@@ -58,7 +58,7 @@
     if args.check {
         return Ok(());
     }
-    logs::init_bounded(settings.log_lines as u32)?;
+    logs::init_rate_limited(settings.log_lines as u32)?;
     let rt = Runtime::default();
     rt.block_on(0, lifecycle::run(rt.clone(), settings, args.settings))
 }
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -11,7 +11,7 @@
     catalog::StoreVersion,
     suspend::CachedState,
 };
-use portfield_net::{clock, contain};
+use portfield_net::{clock, panics};
 use portfield_wire::Digest;
 use prost::Message;
 
@@ -60,7 +60,7 @@
             continue;
         };
         // Who says it says it to all.
-        contain::call("digest", || handle_datagram(&host, &socket, address, digest, &mut news));
+        panics::catch("digest", || handle_datagram(&host, &socket, address, digest, &mut news));
         news.fetch(&host);
     }
 }
--- a/crates/portfield-host/src/pool.rs
+++ b/crates/portfield-host/src/pool.rs
@@ -16,7 +16,7 @@
 use portfield_net::{
     clock,
     rt::Runtime,
-    socket::{Guard, Socket},
+    socket::{CallerCheck, Socket},
 };
 use socket2::{SockRef, TcpKeepalive};
 
@@ -43,7 +43,7 @@
     /// It has served a request before.
     pub reused: bool,
     /// Looks for the caller of the next request when it is written.
-    pub guard: Guard,
+    pub guard: CallerCheck,
     _driver: Task<()>,
 }
 
@@ -125,10 +125,10 @@
         // Closing discards what was not delivered: a request whose caller has left must not reach
         // the upstream later, when a cut link heals. Without it a request came 1.7 s after.
         socket.set_linger(Some(Duration::ZERO))?;
-        let guard = Guard::default();
-        let socket = Socket::guarded(stream, guard.clone());
+        let guard = CallerCheck::default();
+        let socket = Socket::with_caller_check(stream, guard.clone());
         let (sender, driver) = http1::handshake(socket).await.map_err(io::Error::other)?;
-        let driver = self.rt.task(async move {
+        let driver = self.rt.spawn_cancellable(async move {
             if let Err(err) = driver.await {
                 log::debug!(err:%; "upstream connection ended");
             }
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -108,7 +108,7 @@
     loop {
         let known = host.quarantine().suspect(clock::now(), request);
         let Some(suspect) = known else { return };
-        let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
+        let row = StoredSuspect { suspect: Some(suspect), written: clock::unix_millis() };
         let res =
             store.write(store::QUARANTINE_TABLE, &row_key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
@@ -134,7 +134,7 @@
         return Err(row.key);
     };
     // A clock of another host may be ahead: what it wrote is then as of now.
-    let age = clock::life().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
+    let age = clock::unix_millis().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
     suspect.ends.iter_mut().for_each(|it| it.age = it.age.saturating_add(age));
     suspect.cleared = suspect.cleared.map(|it| it.saturating_add(age));
     let is_past = |age: u32| quarantine::RETENTION <= Duration::from_millis(u64::from(age));
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -8,7 +8,7 @@
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
 use portfield::balance::Completion;
-use portfield_net::{clock, events::Events};
+use portfield_net::{clock, sse::EventBuffer};
 
 use crate::{
     attempt::{UpstreamResponse, error_chain},
@@ -34,8 +34,13 @@
 ) -> Result<Response<Body>, Exchange> {
     let mut parts = live.parts.clone();
     portfield_platform::request::remove_hop_by_hop(&mut parts.headers);
-    let mut relay =
-        Relay { exchange, live: Some(live), events: Events::default(), first: None, alarm: None };
+    let mut relay = Relay {
+        exchange,
+        live: Some(live),
+        events: EventBuffer::default(),
+        first: None,
+        alarm: None,
+    };
     let first = match relay.next().await {
         Ok(it) => it,
         Err(_) => return Err(relay.exchange),
@@ -61,10 +66,10 @@
 struct Relay {
     exchange: Exchange,
     live: Option<Box<UpstreamResponse>>,
-    events: Events,
+    events: EventBuffer,
     first: Option<Duration>,
     /// When the wait for the next piece ends.
-    alarm: Option<clock::Alarm>,
+    alarm: Option<clock::Deadline>,
 }
 
 impl Relay {
@@ -74,13 +79,13 @@
             let patience = self.patience();
             // Only a stream that may be moved has a limit for each pause; all else one for all.
             if self.alarm.is_none() || patience < self.exchange.call.left() {
-                self.alarm = Some(clock::alarm(patience));
+                self.alarm = Some(clock::deadline(patience));
             }
             let (Some(live), Some(alarm)) = (&mut self.live, &mut self.alarm) else {
                 return Ok(None);
             };
-            let cause = match clock::before(alarm, live.body.frame()).await {
-                Some(None) if !self.events.is_partial() => {
+            let cause = match clock::timeout_at(alarm, live.body.frame()).await {
+                Some(None) if !self.events.has_partial() => {
                     self.end();
                     return Ok(None);
                 }
@@ -158,7 +163,7 @@
         if self.first.is_none() || !self.exchange.may_repeat() {
             return Err(io::Error::other(cause));
         }
-        let last = self.events.last_id().map(str::to_owned);
+        let last = self.events.last_event_id().map(str::to_owned);
         let live = self.exchange.next_answer(last.as_deref()).await;
         let live = live.map_err(|it| io::Error::other(it.reason))?;
         if !live.parts.status.is_success() {
--- a/crates/portfield-host/src/server.rs
+++ b/crates/portfield-host/src/server.rs
@@ -17,7 +17,7 @@
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use portfield::balance::AnswerKind;
 use portfield_net::{
-    clock, contain,
+    clock, panics,
     rpc::HyperTimer,
     socket::{self, Socket},
 };
@@ -56,7 +56,7 @@
                 host.rt.spawn(async move {
                     // Else a request that ends this host would go to the next one.
                     let served = serve_connection(task.clone(), stream, stop);
-                    contain::run("caller's connection", served).await;
+                    panics::catch_async("caller's connection", served).await;
                     task.ingress.record_closed();
                     drop(open);
                 });
@@ -152,7 +152,7 @@
     request: Request<Incoming>,
 ) -> Result<Call, Failure> {
     let call = Call::read(host, caller, request).await?;
-    if socket::is_closed(caller) {
+    if socket::is_closed_by_peer(caller) {
         host.metrics.count("callers_left_before");
         return Err(Failure::unavailable(CALLER_LEFT, CALLER_LEFT_RETRY));
     }
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -61,8 +61,8 @@
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         let mut it = Reader::open(path);
         let res = Self {
-            name: it.text("name"),
-            data_centre: it.text("data_centre"),
+            name: it.string("name"),
+            data_centre: it.string("data_centre"),
             listen: it.address("listen"),
             ready: it.address("ready"),
             peers: it.address("peers"),
@@ -70,17 +70,17 @@
             store: it.address("store"),
             seeds: it.addresses("seeds"),
             grace: it.seconds("grace_s", 8.0, (0.5, 600.0)),
-            retry_ratio: it.fraction("retry_ratio", 0.2, (0.0, 10.0)),
-            retry_extra: it.fraction("retry_extra", 10.0, (0.0, 1e6)),
+            retry_ratio: it.float("retry_ratio", 0.2, (0.0, 10.0)),
+            retry_extra: it.float("retry_extra", 10.0, (0.0, 1e6)),
             retry_window: it.seconds("retry_window_s", 10.0, (0.1, 600.0)),
             share_window: it.seconds("share_window_s", 4.0, (0.1, 60.0)),
-            active_limit: it.number("active_limit", 700, (1, 1_000_000)) as usize,
-            direct_hosts: it.number("direct_hosts", 12, (1, 1_000)) as usize,
-            log_lines: it.number("log_lines_s", 200, (1, 100_000)),
+            active_limit: it.integer("active_limit", 700, (1, 1_000_000)) as usize,
+            direct_hosts: it.integer("direct_hosts", 12, (1, 1_000)) as usize,
+            log_lines: it.integer("log_lines_s", 200, (1, 100_000)),
             pace: StoreTimeouts::new(it.millis("contact_ms", 3000, (100, 600_000))),
-            cold_overrun: it.fraction("cold_overrun", 1.0, (0.0, 1000.0)),
-            cold_slack: it.fraction("cold_slack", 0.0, (0.0, 1e6)),
-            regions: it.text_table("regions"),
+            cold_overrun: it.float("cold_overrun", 1.0, (0.0, 1000.0)),
+            cold_slack: it.float("cold_slack", 0.0, (0.0, 1e6)),
+            regions: it.string_table("regions"),
         };
         it.finish()?;
         Ok(res)
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -21,7 +21,7 @@
     quarantine::{BrokenAttempts, Quarantine, RequestKey},
     suspend::SuspendDetector,
 };
-use portfield_net::{clock, contain, rt::Runtime};
+use portfield_net::{clock, panics, rt::Runtime};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
@@ -154,7 +154,7 @@
     /// from.
     pub(crate) fn apply_config(&self, bytes: Bytes, source: &str) {
         let decode = || portfield_platform::config::decode(&bytes);
-        let Some(decoded) = contain::call("configuration", decode) else { return };
+        let Some(decoded) = panics::catch("configuration", decode) else { return };
         let catalog = match decoded {
             Ok(it) => it,
             Err(err) => {
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -14,7 +14,7 @@
         let still = self.suspension().tick(clock::now())?;
         log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
         self.metrics.count("stood_still");
-        clock::woke();
+        clock::wake_waiters();
         self.balancer().record_pause(still);
         self.peers().clear_forwards();
         Some(still)
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -6,7 +6,7 @@
 use portfield::catalog::{
     ChangedUpstream, Directory, EntryChange, MissingRows, State, StoreVersion,
 };
-use portfield_net::contain;
+use portfield_net::panics;
 use portfield_platform::upstream_entry;
 
 use crate::upstream_list::UpstreamList;
@@ -49,7 +49,7 @@
     /// Reads the row; one of another writer names no upstream.
     fn change(&self) -> EntryChange {
         let Some(entry) = &self.entry else { return EntryChange::Removed(self.id.clone()) };
-        let decoded = contain::call("entry", || upstream_entry::decode(&self.id, entry));
+        let decoded = panics::catch("entry", || upstream_entry::decode(&self.id, entry));
         let Some(decoded) = decoded else { return EntryChange::Invalid(self.id.clone()) };
         match decoded {
             Ok(it) => EntryChange::Set(it),
--- a/crates/portfield-load/src/bin/portfield-bench.rs
+++ b/crates/portfield-load/src/bin/portfield-bench.rs
@@ -112,7 +112,7 @@
         let n = OPENING.min(args.streams - open.len());
         let first = open.len();
         let tasks: Vec<_> = (first..first + n)
-            .map(|idx| rt.task(open_stream(args.router, args.token.clone(), idx)))
+            .map(|idx| rt.spawn_cancellable(open_stream(args.router, args.token.clone(), idx)))
             .collect();
         for it in tasks {
             open.push(it.await?);
--- a/crates/portfield-load/src/main.rs
+++ b/crates/portfield-load/src/main.rs
@@ -15,7 +15,7 @@
 
 use clap::Parser;
 use eyre::OptionExt;
-use portfield_net::{clock, platform::Platform, rt::Runtime, store};
+use portfield_net::{clock, fleet_store, platform::PlatformClient, rt::Runtime};
 use portfield_replay::trace;
 
 use crate::{client::Sent, measure::Measure, sample::Samples};
@@ -56,14 +56,14 @@
 
 async fn run(rt: Runtime, args: Args) -> eyre::Result<String> {
     let arrivals = trace::read(&args.trace)?;
-    let platform = Platform::new(args.platform, Duration::from_secs(2));
-    let fleet = store::read_fleet(&platform, 0).await?;
+    let platform = PlatformClient::new(args.platform, Duration::from_secs(2));
+    let fleet = fleet_store::read_fleet(&platform, 0).await?;
     let fleet = Arc::new(fleet.ok_or_eyre("no configuration is in force")?);
-    let mut hosts = platform.hosts().await?;
+    let mut hosts = platform.read_hosts().await?;
     hosts.sort_by_key(|it| it.router);
     let measure = Arc::new(Mutex::new(Measure::new(&fleet)));
     let samples = Arc::new(Mutex::new(Samples::default()));
-    let watch = rt.task(sample::watch(hosts.clone(), fleet.clone(), samples.clone()));
+    let watch = rt.spawn_cancellable(sample::watch(hosts.clone(), fleet.clone(), samples.clone()));
     let start = clock::now();
     let n_total = arrivals.len();
     let (open, all_done) = async_channel::bounded::<()>(1);
--- a/crates/portfield-load/src/sample.rs
+++ b/crates/portfield-load/src/sample.rs
@@ -7,7 +7,7 @@
 };
 
 use portfield::fleet::{Fleet, Kind};
-use portfield_net::{clock, http1::Target, platform::Host};
+use portfield_net::{clock, http1::Client, platform::Host};
 use serde_json::Value;
 
 /// Time between two looks.
@@ -41,7 +41,7 @@
         let mut shards = Vec::new();
         for host in &hosts {
             for address in [host.scheduler_admin, host.router_admin] {
-                let Ok(it) = Target::direct(address).get::<Value>("/status").await else {
+                let Ok(it) = Client::direct(address).get::<Value>("/status").await else {
                     continue;
                 };
                 note_bytes(&samples, address.to_string(), &it);
--- a/crates/portfield-net/src/clock.rs
+++ b/crates/portfield-net/src/clock.rs
@@ -5,9 +5,9 @@
 //! - `CLOCK_BOOTTIME` counts that time: [`now`] reads it, and with it all ages, deadlines and windows.
 //! - The steady clock does not, and the timers of `async-io` run on it: they come late by the time asleep. Nothing
 //!   here that waits takes the end of a timer for the moment waited for; it looks at [`now`] again, also when
-//!   [`woke`] says that time went by unseen.
+//!   [`wake_waiters`] says that time went by unseen.
 //! - The time of day counts it, and may be set: it is used where processes that do not share a clock compare, by
-//!   the second ([`life`]).
+//!   the second ([`unix_millis`]).
 
 use std::{
     pin::Pin,
@@ -25,7 +25,7 @@
 static START: OnceLock<Start> = OnceLock::new();
 /// Tells all that wait that time went by unseen.
 static WOKE: Event = Event::new();
-/// Milliseconds that [`skip`] added.
+/// Milliseconds that [`advance`] added.
 static SKIPPED: AtomicU64 = AtomicU64::new(0);
 
 /// When this process first asked.
@@ -49,39 +49,39 @@
 
 /// Returns whether [`now`] counts the time that the machine is suspended; without it a host that wakes believes
 /// that all it knows is as fresh as before.
-pub fn counts_sleep() -> bool {
+pub fn counts_suspend() -> bool {
     matches!(start(), Start::Boot(_))
 }
 
-/// Returns a number that is larger in each later life of a process: milliseconds since 1970.
-pub fn life() -> u64 {
+/// Returns a number that is larger in each later start of a process: milliseconds since 1970.
+pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
 }
 
 /// Has everybody who waits look at the clock again: time went by that their timers did not count.
-pub fn woke() {
+pub fn wake_waiters() {
     WOKE.notify(usize::MAX);
 }
 
 /// Lets time go by as while the machine is suspended: [`now`] counts it, timers do not. For tests.
-pub fn skip(time: Duration) {
+pub fn advance(time: Duration) {
     SKIPPED.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
 }
 
 /// Waits.
 pub async fn sleep(time: Duration) {
-    Alarm::new(time).await_end().await;
+    Deadline::new(time).await_end().await;
 }
 
 /// Returns an alarm that ends after a time; cheaper than [`timeout`] where many short waits share one limit.
-pub fn alarm(time: Duration) -> Alarm {
-    Alarm::new(time)
+pub fn deadline(time: Duration) -> Deadline {
+    Deadline::new(time)
 }
 
 /// A moment that can be waited for several times.
 #[derive(Debug)]
-pub struct Alarm {
+pub struct Deadline {
     end: Duration,
     timer: async_io::Timer,
     /// The timer is to ring at the end, as far as it counts.
@@ -89,7 +89,7 @@
     woke: Pin<Box<EventListener>>,
 }
 
-impl Alarm {
+impl Deadline {
     fn new(time: Duration) -> Self {
         let end = now().saturating_add(time);
         let woke = Box::pin(WOKE.listen());
@@ -124,7 +124,7 @@
 }
 
 /// Runs a future until an alarm ends; `None` if it did not end before.
-pub async fn before<T>(alarm: &mut Alarm, f: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout_at<T>(alarm: &mut Deadline, f: impl Future<Output = T>) -> Option<T> {
     let late = async {
         alarm.await_end().await;
         None
@@ -134,7 +134,7 @@
 
 /// Runs a future for at most a time; `None` if it did not end.
 pub async fn timeout<T>(time: Duration, f: impl Future<Output = T>) -> Option<T> {
-    before(&mut alarm(time), f).await
+    timeout_at(&mut deadline(time), f).await
 }
 
 fn start() -> Start {
--- a/crates/portfield-net/src/dial.rs
+++ b/crates/portfield-net/src/connector.rs
@@ -16,11 +16,11 @@
 ///
 /// A relay takes `CONNECT address` (RFC 9110, section 9.3.6) and passes bytes on.
 #[derive(Debug, Clone, Default)]
-pub struct Links {
+pub struct Connector {
     relays: HashMap<String, SocketAddr>,
 }
 
-impl Links {
+impl Connector {
     /// Builds the table.
     pub fn new(relays: HashMap<String, SocketAddr>) -> Self {
         Self { relays }
--- a/crates/portfield-net/src/daemon.rs
+++ b/crates/portfield-net/src/daemon.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Where the settings are not acceptable, or what `run` says.
-pub fn start<S, F>(
+pub fn run<S, F>(
     open: impl FnOnce(&std::path::Path) -> Result<S, settings::Error>,
     n_threads: usize,
     run: impl FnOnce(Runtime, S) -> F,
@@ -50,7 +50,7 @@
 /// # Errors
 ///
 /// Where signals cannot be waited for.
-pub async fn stop_signal() -> eyre::Result<()> {
+pub async fn shutdown_signal() -> eyre::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int]).wrap_err("signals")?;
     signals.next().await;
     Ok(())
--- a/crates/portfield-net/src/http1.rs
+++ b/crates/portfield-net/src/http1.rs
@@ -11,7 +11,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use socket2::{Domain, Socket, Type};
 
-use crate::{clock, dial::Links, rt::Runtime};
+use crate::{clock, connector::Connector, rt::Runtime};
 
 /// Connections that may wait to be accepted: many callers may come at one moment.
 const BACKLOG: i32 = 4096;
@@ -20,22 +20,22 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
     /// No connection could be opened: the request did not run.
-    Unsent(String),
+    NotSent(String),
     /// The connection broke or took too long: the request may have run.
-    Unclear(String),
+    OutcomeUnknown(String),
     /// The answer's status is not 200; with its body.
     Status(u16, String),
     /// The answer's body is not what it should be.
-    Body(String),
+    InvalidBody(String),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Unsent(it) => write!(f, "not sent: {it}"),
-            Self::Unclear(it) => write!(f, "sent, but the answer was lost: {it}"),
+            Self::NotSent(it) => write!(f, "not sent: {it}"),
+            Self::OutcomeUnknown(it) => write!(f, "sent, but the answer was lost: {it}"),
             Self::Status(status, body) => write!(f, "answered {status}: {body}"),
-            Self::Body(it) => write!(f, "answered something else: {it}"),
+            Self::InvalidBody(it) => write!(f, "answered something else: {it}"),
         }
     }
 }
@@ -44,24 +44,24 @@
 
 /// Where to send a request, and how long to wait for its answer.
 #[derive(Debug, Clone)]
-pub struct Target {
+pub struct Client {
     /// Address of the server.
     pub address: SocketAddr,
     /// Its data centre, empty where no relay is needed.
     pub data_centre: String,
     /// Relays.
-    pub links: Links,
+    pub connector: Connector,
     /// Longest time for the whole exchange.
     pub timeout: Duration,
 }
 
-impl Target {
+impl Client {
     /// Builds a target that is reached directly, within two seconds.
     pub fn direct(address: SocketAddr) -> Self {
         Self {
             address,
             data_centre: String::new(),
-            links: Links::default(),
+            connector: Connector::default(),
             timeout: Duration::from_secs(2),
         }
     }
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn get_changed<T: DeserializeOwned>(
+    pub async fn get_if_changed<T: DeserializeOwned>(
         &self,
         path: &str,
         tag: &str,
@@ -122,7 +122,7 @@
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, Error> {
-        let body = serde_json::to_vec(body).map_err(|err| Error::Body(err.to_string()))?;
+        let body = serde_json::to_vec(body).map_err(|err| Error::InvalidBody(err.to_string()))?;
         let text = self.send(Method::Post, path, body).await?;
         parse(&text)
     }
@@ -139,7 +139,7 @@
 
     fn request(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Request, Error> {
         let url = Url::parse(&format!("http://{}{path}", self.address))
-            .map_err(|err| Error::Unsent(err.to_string()))?;
+            .map_err(|err| Error::NotSent(err.to_string()))?;
         let mut res = Request::new(method, url);
         res.insert_header("connection", "close");
         res.set_body(body);
@@ -152,9 +152,9 @@
         request: Request,
         name: &str,
     ) -> Result<(String, Option<String>), Error> {
-        let connect = self.links.connect(&self.data_centre, self.address);
-        let stream = connect.await.map_err(|err| Error::Unsent(err.to_string()))?;
-        let late = || Err(Error::Unclear("no answer in time".to_owned()));
+        let connect = self.connector.connect(&self.data_centre, self.address);
+        let stream = connect.await.map_err(|err| Error::NotSent(err.to_string()))?;
+        let late = || Err(Error::OutcomeUnknown("no answer in time".to_owned()));
         clock::timeout(self.timeout, exchange(stream, request, name)).await.unwrap_or_else(late)
     }
 }
@@ -164,7 +164,7 @@
     request: Request,
     name: &str,
 ) -> Result<(String, Option<String>), Error> {
-    let unclear = |err: http_types::Error| Error::Unclear(err.to_string());
+    let unclear = |err: http_types::Error| Error::OutcomeUnknown(err.to_string());
     let mut response = async_h1::connect(stream, request).await.map_err(unclear)?;
     let header = |name: &str| response.header(name).map(|it| it.as_str().to_owned());
     let (length, value) = (header("content-length"), header(name));
@@ -175,7 +175,7 @@
     let text = response.body_string().await.map_err(unclear)?;
     // The library hands over a body cut short as if it were whole.
     if length.is_some_and(|it| it.parse() != Ok(text.len())) {
-        return Err(Error::Unclear("the answer was cut short".to_owned()));
+        return Err(Error::OutcomeUnknown("the answer was cut short".to_owned()));
     }
     if status == StatusCode::Ok {
         return Ok((text, value));
@@ -184,7 +184,7 @@
 }
 
 fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    serde_json::from_str(text).map_err(|err| Error::Body(err.to_string()))
+    serde_json::from_str(text).map_err(|err| Error::InvalidBody(err.to_string()))
 }
 
 /// Serves requests on a listener until the process ends.
@@ -213,14 +213,14 @@
 }
 
 /// Builds a handler for [`serve`] from a function that answers without waiting.
-pub fn at_once(
+pub fn sync_handler(
     f: impl Fn(&Request) -> Response + Clone,
 ) -> impl Fn(Request) -> std::future::Ready<Response> + Clone {
     move |request| std::future::ready(f(&request))
 }
 
 /// Builds a JSON answer.
-pub fn json(status: u16, value: &impl Serialize) -> Response {
+pub fn json_response(status: u16, value: &impl Serialize) -> Response {
     let mut res = Response::new(status);
     res.set_content_type(http_types::mime::JSON);
     res.set_body(serde_json::to_vec(value).unwrap_or_default());
@@ -232,10 +232,10 @@
 /// # Errors
 ///
 /// The answer to give where the body is something else.
-pub async fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
+pub async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
     let text = request.body_string().await.unwrap_or_default();
     serde_json::from_str(&text)
-        .map_err(|err| json(400, &serde_json::json!({ "error": err.to_string() })))
+        .map_err(|err| json_response(400, &serde_json::json!({ "error": err.to_string() })))
 }
 
 /// Binds a listener; port 0 takes any free port.
--- a/crates/portfield-net/src/lib.rs
+++ b/crates/portfield-net/src/lib.rs
@@ -3,18 +3,18 @@
 //! Everything here is plumbing: no decision about routing or fairness is made in it.
 
 pub mod clock;
-pub mod contain;
+pub mod connector;
 pub mod daemon;
-pub mod dial;
-pub mod events;
+pub mod fleet_store;
 pub mod http1;
 pub mod logs;
 pub mod metrics;
+pub mod panics;
 pub mod platform;
 pub mod rpc;
 pub mod rt;
 pub mod settings;
 pub mod socket;
-pub mod store;
+pub mod sse;
 
 pub use portfield_wire as wire;
--- a/crates/portfield-net/src/logs.rs
+++ b/crates/portfield-net/src/logs.rs
@@ -23,7 +23,7 @@
 /// Lines that wait for a slow reader before more are left out; at 300 bytes each, 300 KB.
 const QUEUED_LINES: usize = 1024;
 /// Time for which lines are gathered before they are written together.
-pub const GATHER: Duration = Duration::from_millis(50);
+pub const BATCH_PERIOD: Duration = Duration::from_millis(50);
 /// Time over which a burst above the rate is let through.
 const BURST: Duration = Duration::from_secs(2);
 /// Time between two lines that tell what was left out.
@@ -42,13 +42,13 @@
 /// # Errors
 ///
 /// Where the thread cannot be started.
-pub fn init_bounded(lines_s: u32) -> io::Result<()> {
+pub fn init_rate_limited(lines_s: u32) -> io::Result<()> {
     let (sender, receiver) = sync_channel::<Vec<u8>>(QUEUED_LINES);
     thread::Builder::new().name("logs".to_owned()).spawn(move || {
         let mut out = io::stdout().lock();
         while let Ok(mut lines) = receiver.recv() {
             // One write for what came meanwhile: each costs a wake-up and a system call.
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_PERIOD);
             receiver.try_iter().for_each(|it| lines.extend(it));
             // Nobody is left to tell where standard output is closed.
             if out.write_all(&lines).and_then(|()| out.flush()).is_err() {
@@ -56,7 +56,7 @@
             }
         }
     })?;
-    apply(Bounded::new(lines_s, sender));
+    apply(RateLimitedAppender::new(lines_s, sender));
     Ok(())
 }
 
@@ -68,7 +68,7 @@
 
 /// An appender that leaves out lines rather than wait.
 #[derive(Debug)]
-pub struct Bounded {
+pub struct RateLimitedAppender {
     layout: JsonLayout,
     sender: SyncSender<Vec<u8>>,
     state: Mutex<State>,
@@ -83,7 +83,7 @@
     told: Duration,
 }
 
-impl Bounded {
+impl RateLimitedAppender {
     /// Builds an appender that hands at most `lines_s` lines a second to a channel.
     pub fn new(lines_s: u32, sender: SyncSender<Vec<u8>>) -> Self {
         let lines_s = f64::from(lines_s);
@@ -109,7 +109,7 @@
     }
 }
 
-impl Append for Bounded {
+impl Append for RateLimitedAppender {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now = clock::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/portfield-net/src/contain.rs
+++ b/crates/portfield-net/src/panics.rs
@@ -14,18 +14,18 @@
 /// # Examples
 ///
 /// ```
-/// use portfield_net::contain;
+/// use portfield_net::panics;
 ///
-/// assert_eq!(contain::call("sum", || 1 + 1), Some(2));
-/// assert_eq!(contain::call("list", || Vec::<u8>::new()[1]), None);
+/// assert_eq!(panics::catch("sum", || 1 + 1), Some(2));
+/// assert_eq!(panics::catch("list", || Vec::<u8>::new()[1]), None);
 /// ```
-pub fn call<T>(what: &str, f: impl FnOnce() -> T) -> Option<T> {
+pub fn catch<T>(what: &str, f: impl FnOnce() -> T) -> Option<T> {
     let res = catch_unwind(AssertUnwindSafe(f)).ok();
     note(what, res)
 }
 
 /// The same for a future.
-pub async fn run<T>(what: &str, f: impl Future<Output = T>) -> Option<T> {
+pub async fn catch_async<T>(what: &str, f: impl Future<Output = T>) -> Option<T> {
     let res = AssertUnwindSafe(f).catch_unwind().await.ok();
     note(what, res)
 }
--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -10,17 +10,17 @@
 use portfield::member::ListEntry;
 use serde::{Deserialize, Serialize};
 
-use crate::http1::{self, Target};
+use crate::http1::{self, Client};
 
 /// Version of a row that does not exist.
-pub const ABSENT: u64 = 0;
+pub const ABSENT_VERSION: u64 = 0;
 
 /// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Grows with each write; [`ABSENT`] where there is no row.
+    /// Grows with each write; [`ABSENT_VERSION`] where there is no row.
     pub version: u64,
     /// Its value.
     pub value: String,
@@ -55,7 +55,7 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// All writes were applied.
     Applied,
     /// A check failed; with the rows that differ as they are.
@@ -81,7 +81,7 @@
 
 impl Host {
     /// Returns the entry for membership.
-    pub fn entry(&self) -> ListEntry {
+    pub fn list_entry(&self) -> ListEntry {
         ListEntry {
             host: self.scheduler.ip(),
             address: self.scheduler,
@@ -93,22 +93,22 @@
 
 /// A client of the platform.
 #[derive(Debug, Clone)]
-pub struct Platform {
-    target: Target,
+pub struct PlatformClient {
+    target: Client,
 }
 
-impl Platform {
+impl PlatformClient {
     /// Builds a client.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self { target: Target { timeout, ..Target::direct(address) } }
+        Self { target: Client { timeout, ..Client::direct(address) } }
     }
 
-    /// Reads rows; one that does not exist has version [`ABSENT`].
+    /// Reads rows; one that does not exist has version [`ABSENT_VERSION`].
     ///
     /// # Errors
     ///
     /// Where the platform does not answer.
-    pub async fn read(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
+    pub async fn read_rows(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
         self.target.post("/read", &keys).await
     }
 
@@ -117,17 +117,17 @@
     /// # Errors
     ///
     /// Where the platform does not answer.
-    pub async fn read_one(&self, key: &str) -> Result<Row, http1::Error> {
-        let rows = self.read(&[key.to_owned()]).await?;
-        rows.into_iter().next().ok_or(http1::Error::Body("no row".to_owned()))
+    pub async fn read_row(&self, key: &str) -> Result<Row, http1::Error> {
+        let rows = self.read_rows(&[key.to_owned()]).await?;
+        rows.into_iter().next().ok_or(http1::Error::InvalidBody("no row".to_owned()))
     }
 
     /// Applies a transaction.
     ///
     /// # Errors
     ///
-    /// [`http1::Error::Unclear`] where it may have been applied all the same.
-    pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, http1::Error> {
+    /// [`http1::Error::OutcomeUnknown`] where it may have been applied all the same.
+    pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, http1::Error> {
         self.target.post("/commit", transaction).await
     }
 
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Where the store does not answer or has no such object.
-    pub async fn object(&self, name: &str) -> Result<String, http1::Error> {
+    pub async fn read_object(&self, name: &str) -> Result<String, http1::Error> {
         self.target.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
     }
 
@@ -154,7 +154,7 @@
     /// # Errors
     ///
     /// Where the platform does not answer.
-    pub async fn hosts(&self) -> Result<Vec<Host>, http1::Error> {
+    pub async fn read_hosts(&self) -> Result<Vec<Host>, http1::Error> {
         self.target.get("/hosts").await
     }
 
@@ -163,10 +163,10 @@
     /// # Errors
     ///
     /// Where the platform does not answer.
-    pub async fn hosts_changed(
+    pub async fn read_hosts_if_changed(
         &self,
         tag: &str,
     ) -> Result<Option<(Vec<Host>, String)>, http1::Error> {
-        self.target.get_changed("/hosts", tag).await
+        self.target.get_if_changed("/hosts", tag).await
     }
 }
--- a/crates/portfield-net/src/rpc.rs
+++ b/crates/portfield-net/src/rpc.rs
@@ -37,7 +37,7 @@
 
 /// Returns the bytes of control traffic that this process sent and received so far,
 /// framing included.
-pub fn traffic() -> (u64, u64) {
+pub fn control_traffic() -> (u64, u64) {
     (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
 }
 
--- a/crates/portfield-net/src/rt.rs
+++ b/crates/portfield-net/src/rt.rs
@@ -37,7 +37,10 @@
     }
 
     /// Starts a task that ends when the handle is dropped.
-    pub fn task<T: Send + 'static>(&self, f: impl Future<Output = T> + Send + 'static) -> Task<T> {
+    pub fn spawn_cancellable<T: Send + 'static>(
+        &self,
+        f: impl Future<Output = T> + Send + 'static,
+    ) -> Task<T> {
         self.executor.spawn(f)
     }
 }
--- a/crates/portfield-net/src/settings.rs
+++ b/crates/portfield-net/src/settings.rs
@@ -39,7 +39,7 @@
 ///
 /// let mut reader = Reader::parse("listen = '127.0.0.1:x'\nextra = 1");
 /// reader.address("listen");
-/// reader.text("data_centre");
+/// reader.string("data_centre");
 /// let err = reader.finish().unwrap_err();
 /// let keys: Vec<_> = err.mistakes().iter().map(|it| it.key.as_str()).collect();
 /// assert_eq!(keys, ["listen", "data_centre", "extra"]);
@@ -74,7 +74,7 @@
     }
 
     /// Takes a text that must be there.
-    pub fn text(&mut self, key: &str) -> String {
+    pub fn string(&mut self, key: &str) -> String {
         match self.table.remove(key) {
             Some(Value::String(it)) if !it.is_empty() => it,
             Some(_) => self.wrong(key, "must be a text that is not empty"),
@@ -119,7 +119,7 @@
     }
 
     /// Takes a table of texts by name, empty if missing.
-    pub fn text_table(&mut self, key: &str) -> HashMap<String, String> {
+    pub fn string_table(&mut self, key: &str) -> HashMap<String, String> {
         let text = |it: &str| (!it.is_empty()).then(|| it.to_owned());
         self.named(key, ["texts", "a text that is not empty"], text)
     }
@@ -149,7 +149,7 @@
     }
 
     /// Takes a number within a range.
-    pub fn number(&mut self, key: &str, default: u64, range: (u64, u64)) -> u64 {
+    pub fn integer(&mut self, key: &str, default: u64, range: (u64, u64)) -> u64 {
         let Some(value) = self.table.remove(key) else { return default };
         let res = value.as_integer().and_then(|it| u64::try_from(it).ok());
         match res.filter(|it| (range.0..=range.1).contains(it)) {
@@ -164,11 +164,11 @@
 
     /// Takes a time in milliseconds within a range.
     pub fn millis(&mut self, key: &str, default: u64, range: (u64, u64)) -> Duration {
-        Duration::from_millis(self.number(key, default, range))
+        Duration::from_millis(self.integer(key, default, range))
     }
 
     /// Takes a number with or without a fraction, within a range.
-    pub fn fraction(&mut self, key: &str, default: f64, range: (f64, f64)) -> f64 {
+    pub fn float(&mut self, key: &str, default: f64, range: (f64, f64)) -> f64 {
         let Some(value) = self.table.remove(key) else { return default };
         let res = value.as_float().or(value.as_integer().map(|it| it as f64));
         match res.filter(|it| (range.0..=range.1).contains(it)) {
@@ -182,7 +182,7 @@
 
     /// Takes a time in seconds within a range.
     pub fn seconds(&mut self, key: &str, default: f64, range: (f64, f64)) -> Duration {
-        Duration::from_secs_f64(self.fraction(key, default, range))
+        Duration::from_secs_f64(self.float(key, default, range))
     }
 
     /// Ends the reading: keys that nobody took are unknown.
--- a/crates/portfield-net/src/socket.rs
+++ b/crates/portfield-net/src/socket.rs
@@ -47,12 +47,12 @@
     stream: Arc<Async<TcpStream>>,
     /// The last read took all there was: nothing more until the reactor says so.
     is_drained: bool,
-    guard: Option<Guard>,
+    guard: Option<CallerCheck>,
 }
 
 impl Socket {
     /// Builds the socket of a connection whose requests are each looked at once more when they are written.
-    pub fn guarded(stream: Async<TcpStream>, guard: Guard) -> Self {
+    pub fn with_caller_check(stream: Async<TcpStream>, guard: CallerCheck) -> Self {
         Self { guard: Some(guard), ..Arc::new(stream).into() }
     }
 }
@@ -66,40 +66,40 @@
 /// # Examples
 ///
 /// ```
-/// use portfield_net::socket::Guard;
+/// use portfield_net::socket::CallerCheck;
 ///
-/// let guard = Guard::default();
-/// assert!(!guard.has_stopped(), "nothing was to be written");
+/// let guard = CallerCheck::default();
+/// assert!(!guard.has_aborted(), "nothing was to be written");
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Guard {
-    state: Arc<Mutex<GuardState>>,
+pub struct CallerCheck {
+    state: Arc<Mutex<CallerCheckState>>,
 }
 
 #[derive(Debug, Default)]
-struct GuardState {
+struct CallerCheckState {
     /// The connection of the caller whose request is to be written.
     caller: Option<Arc<Async<TcpStream>>>,
-    has_stopped: bool,
+    has_aborted: bool,
 }
 
-impl Guard {
+impl CallerCheck {
     /// Sets whose request is to be written next.
-    pub fn set(&self, caller: Arc<Async<TcpStream>>) {
+    pub fn set_caller(&self, caller: Arc<Async<TcpStream>>) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.caller = Some(caller);
     }
 
     /// Returns whether a request was stopped; nothing of it was written.
-    pub fn has_stopped(&self) -> bool {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).has_stopped
+    pub fn has_aborted(&self) -> bool {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).has_aborted
     }
 
     /// Looks for the caller before the first bytes of its request.
     fn check(&self) -> io::Result<()> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.caller.take().is_some_and(|it| is_closed(&it)) {
-            state.has_stopped = true;
+        if state.caller.take().is_some_and(|it| is_closed_by_peer(&it)) {
+            state.has_aborted = true;
             return Err(io::Error::new(io::ErrorKind::ConnectionAborted, "the caller has left"));
         }
         Ok(())
@@ -135,14 +135,14 @@
 /// let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
 /// let caller = std::net::TcpStream::connect(listener.local_addr()?)?;
 /// let stream = async_io::Async::new(listener.accept()?.0)?;
-/// assert!(!socket::is_closed(&stream));
+/// assert!(!socket::is_closed_by_peer(&stream));
 /// drop(caller);
 /// futures_lite::future::block_on(stream.readable())?;
-/// assert!(socket::is_closed(&stream));
+/// assert!(socket::is_closed_by_peer(&stream));
 /// # Ok(())
 /// # }
 /// ```
-pub fn is_closed(stream: &Async<TcpStream>) -> bool {
+pub fn is_closed_by_peer(stream: &Async<TcpStream>) -> bool {
     match stream.get_ref().peek(&mut [0; 1]) {
         Ok(n) => n == 0,
         Err(err) => !matches!(err.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
--- a/crates/portfield-net/src/events.rs
+++ b/crates/portfield-net/src/sse.rs
@@ -10,22 +10,22 @@
 /// # Examples
 ///
 /// ```
-/// use portfield_net::events::Events;
+/// use portfield_net::sse::EventBuffer;
 ///
-/// let mut events = Events::default();
+/// let mut events = EventBuffer::default();
 /// assert!(events.push(b"id: 1\ndata: a").is_empty());
 /// assert_eq!(events.push(b"\n\nid: 2\n"), "id: 1\ndata: a\n\n");
-/// assert_eq!((events.last_id(), events.count()), (Some("1"), 1));
+/// assert_eq!((events.last_event_id(), events.count()), (Some("1"), 1));
 /// assert_eq!(events.take_partial(), "id: 2\n");
 /// ```
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventBuffer {
     partial: BytesMut,
     last: Option<String>,
     n: u64,
 }
 
-impl Events {
+impl EventBuffer {
     /// Adds a piece and returns what it completes, empty if nothing.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.partial.extend_from_slice(data);
@@ -40,7 +40,7 @@
     }
 
     /// Returns the id of the last whole event that had one.
-    pub fn last_id(&self) -> Option<&str> {
+    pub fn last_event_id(&self) -> Option<&str> {
         self.last.as_deref()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether an event has begun and not ended.
-    pub fn is_partial(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
--- a/crates/portfield-net/tests/clock.rs
+++ b/crates/portfield-net/tests/clock.rs
@@ -21,18 +21,18 @@
 #[test]
 fn whoever_waits_looks_at_the_clock_again_after_time_asleep() {
     let _clock = own_clock();
-    assert!(clock::counts_sleep());
+    assert!(clock::counts_suspend());
     let start = Instant::now();
     let asleep = async {
         future::yield_now().await;
-        clock::skip(LONG);
-        clock::woke();
+        clock::advance(LONG);
+        clock::wake_waiters();
     };
     let waits = future::zip(
         future::zip(clock::sleep(LONG), clock::timeout(LONG, future::pending::<()>())),
         async {
-            let mut alarm = clock::alarm(LONG);
-            clock::before(&mut alarm, future::pending::<()>()).await
+            let mut alarm = clock::deadline(LONG);
+            clock::timeout_at(&mut alarm, future::pending::<()>()).await
         },
     );
     let (((), late), before) = future::block_on(future::zip(waits, asleep)).0;
@@ -45,8 +45,8 @@
     let _clock = own_clock();
     let wait = clock::timeout(LONG, async {
         future::yield_now().await;
-        clock::skip(LONG / 4);
-        clock::woke();
+        clock::advance(LONG / 4);
+        clock::wake_waiters();
         clock::sleep(Duration::from_millis(5)).await;
         7
     });
@@ -56,10 +56,10 @@
 #[test]
 fn an_alarm_bounds_many_waits_and_stays_over() {
     let _clock = own_clock();
-    let mut alarm = clock::alarm(Duration::from_millis(20));
+    let mut alarm = clock::deadline(Duration::from_millis(20));
     future::block_on(async {
-        assert_eq!(clock::before(&mut alarm, async { 7 }).await, Some(7));
-        assert_eq!(clock::before(&mut alarm, future::pending::<()>()).await, None);
-        assert_eq!(clock::before(&mut alarm, future::pending::<()>()).await, None);
+        assert_eq!(clock::timeout_at(&mut alarm, async { 7 }).await, Some(7));
+        assert_eq!(clock::timeout_at(&mut alarm, future::pending::<()>()).await, None);
+        assert_eq!(clock::timeout_at(&mut alarm, future::pending::<()>()).await, None);
     });
 }
--- a/crates/portfield-net/tests/logs.rs
+++ b/crates/portfield-net/tests/logs.rs
@@ -6,9 +6,9 @@
 };
 
 use logforth::{Append, record::Record};
-use portfield_net::logs::Bounded;
+use portfield_net::logs::RateLimitedAppender;
 
-fn append(it: &Bounded, n: usize) {
+fn append(it: &RateLimitedAppender, n: usize) {
     for _ in 0..n {
         it.append(&Record::builder().payload(format_args!("placed")).build(), &[]).unwrap();
     }
@@ -17,7 +17,7 @@
 #[test]
 fn a_reader_that_stops_holds_nobody_up() {
     let (sender, receiver) = sync_channel(4);
-    let it = Bounded::new(1_000_000, sender);
+    let it = RateLimitedAppender::new(1_000_000, sender);
     let began = Instant::now();
     append(&it, 10_000);
     assert!(began.elapsed() < Duration::from_secs(5));
@@ -27,7 +27,7 @@
 #[test]
 fn lines_above_the_rate_are_left_out_and_counted_by_event() {
     let (sender, receiver) = sync_channel(100_000);
-    let it = Bounded::new(10, sender);
+    let it = RateLimitedAppender::new(10, sender);
     append(&it, 5_000);
     let before = receiver.try_iter().count();
     assert!((10..=60).contains(&before), "{before} lines of a burst of 5,000 at 10 a second");
--- a/crates/portfield-net/tests/socket.rs
+++ b/crates/portfield-net/tests/socket.rs
@@ -12,7 +12,7 @@
 use futures_lite::future::{block_on, poll_once};
 use http_body_util::Full;
 use hyper::client::conn::http1;
-use portfield_net::socket::{self, Guard, Socket};
+use portfield_net::socket::{self, CallerCheck, Socket};
 
 /// Returns both ends of a connection.
 fn pair() -> (TcpStream, TcpStream) {
@@ -26,18 +26,18 @@
     let (caller, host) = pair();
     let host = Arc::new(Async::new(host).unwrap());
     let (out, mut upstream) = pair();
-    let guard = Guard::default();
-    let socket = Socket::guarded(Async::new(out).unwrap(), guard.clone());
+    let guard = CallerCheck::default();
+    let socket = Socket::with_caller_check(Async::new(out).unwrap(), guard.clone());
     let (mut sender, driver) = block_on(http1::handshake(socket)).unwrap();
     let mut driver = Box::pin(driver);
-    guard.set(host.clone());
+    guard.set_caller(host.clone());
     let request = hyper::Request::new(Full::new(Bytes::from_static(b"body")));
     let mut answer = Box::pin(sender.try_send_request(request));
     assert!(block_on(poll_once(&mut answer)).is_none(), "it is on its way");
     meanwhile(caller, &host);
     let _ = block_on(poll_once(&mut driver));
     let has_failed = block_on(poll_once(&mut answer)).is_some_and(|it| it.is_err());
-    assert_eq!(has_failed, guard.has_stopped());
+    assert_eq!(has_failed, guard.has_aborted());
     upstream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     let mut res = vec![0; 1000];
     let n = match upstream.read(&mut res) {
@@ -56,7 +56,7 @@
     let left = written(|caller, host| {
         drop(caller);
         block_on(host.readable()).unwrap();
-        assert!(socket::is_closed(host));
+        assert!(socket::is_closed_by_peer(host));
     });
     assert_eq!(String::from_utf8_lossy(&left), "");
 }
--- a/crates/portfield-router/src/admin.rs
+++ b/crates/portfield-router/src/admin.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use http_types::{Request, Response};
-use portfield_net::{http1::json, rpc};
+use portfield_net::{http1::json_response, rpc};
 use serde_json::json;
 
 use crate::shell::Shell;
@@ -13,24 +13,27 @@
     match request.url().path() {
         "/ready" => {
             let status = if shell.is_ready() { 200 } else { 503 };
-            json(status, &json!({ "revision": shell.fleet().revision }))
+            json_response(status, &json!({ "revision": shell.fleet().revision }))
         }
         "/status" => status(shell),
-        "/burn" => json(200, &shell.burn()),
+        "/burn" => json_response(200, &shell.burn()),
         "/records" => {
             let id = request.url().query().unwrap_or_default();
-            json(200, &shell.records(id))
+            json_response(200, &shell.records(id))
         }
-        _ => json(404, &json!({ "error": "try /ready, /status, /burn or /records?REQUEST-ID" })),
+        _ => json_response(
+            404,
+            &json!({ "error": "try /ready, /status, /burn or /records?REQUEST-ID" }),
+        ),
     }
 }
 
 fn status(shell: &Shell) -> Response {
-    let (sent, received) = rpc::traffic();
+    let (sent, received) = rpc::control_traffic();
     let (waiting, running) = shell.load();
     let counts = &shell.counts;
     let count = |it: &std::sync::atomic::AtomicU64| it.load(Ordering::Relaxed);
-    json(
+    json_response(
         200,
         &json!({
             "host": shell.address.ip(),
--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -25,7 +25,7 @@
 const N_THREADS: usize = 1;
 
 fn main() -> eyre::Result<()> {
-    daemon::start(Settings::open, N_THREADS, run)
+    daemon::run(Settings::open, N_THREADS, run)
 }
 
 async fn run(rt: Runtime, settings: Settings) -> eyre::Result<()> {
@@ -35,12 +35,16 @@
     let shell = Shell::new(rt.clone(), settings, address);
     log::info!(address:% = address, admin:% = admin_address; "started");
     let state = shell.clone();
-    rt.spawn(http1::serve(rt.clone(), admin, http1::at_once(move |it| admin::answer(&state, it))));
+    rt.spawn(http1::serve(
+        rt.clone(),
+        admin,
+        http1::sync_handler(move |it| admin::answer(&state, it)),
+    ));
     rt.spawn(shell.clone().keep_time());
     rt.spawn(shell.clone().send_metrics());
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.task(front::serve(shell.clone(), listener, stopped));
-    daemon::stop_signal().await?;
+    let front = rt.spawn_cancellable(front::serve(shell.clone(), listener, stopped));
+    daemon::shutdown_signal().await?;
     log::info!("draining");
     shell.drain();
     clock::sleep(drain).await;
--- a/crates/portfield-router/src/once.rs
+++ b/crates/portfield-router/src/once.rs
@@ -13,7 +13,7 @@
     idempotency::{Claim, ClaimState, Decision, MAX_KEPT_ANSWER, claim_key, decide},
     route::Outcome,
 };
-use portfield_net::platform::ABSENT;
+use portfield_net::platform::ABSENT_VERSION;
 
 use crate::{
     answer::{Body, REQUEST_ID, Rejection, text_header},
@@ -85,7 +85,7 @@
     let row = claim_key(call.workspace.id, call.service.id, key);
     let content: [&[u8]; 3] = [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body];
     let mine = Claim::new(&call.id, &content);
-    let mut version = ABSENT;
+    let mut version = ABSENT_VERSION;
     for _ in 0..MAX_ATTEMPTS {
         let found = match shell.writes.write(&row, version, mine.to_row()).await {
             Written::Applied => {
--- a/crates/portfield-router/src/relay.rs
+++ b/crates/portfield-router/src/relay.rs
@@ -18,7 +18,7 @@
     route::{backoff, resume_token},
     slo::Sample,
 };
-use portfield_net::{clock, events::Events};
+use portfield_net::{clock, sse::EventBuffer};
 
 use crate::{
     answer::{Body, REQUEST_ID, text_header},
@@ -64,7 +64,7 @@
         ticket,
         place,
         stream,
-        events: Events::default(),
+        events: EventBuffer::default(),
         is_events,
         n_events: 0,
         workspace: call.workspace.id,
@@ -95,7 +95,7 @@
     place: Place,
     /// Name of a stream that can be resumed.
     stream: Option<String>,
-    events: Events,
+    events: EventBuffer,
     is_events: bool,
     n_events: u32,
     arrived: Duration,
@@ -167,7 +167,7 @@
     async fn mend(&mut self, cause: &str) -> io::Result<()> {
         self.events.take_partial();
         self.shell.record(&self.id, 0, format!("answer broke: {cause}"));
-        let last = self.events.last_id().unwrap_or_default().to_owned();
+        let last = self.events.last_event_id().unwrap_or_default().to_owned();
         for n in 0..MAX_RESUMES {
             let Some(stream) = &self.stream else { break };
             let res = upstream::resume(&self.shell, &self.place, stream, &last).await;
--- a/crates/portfield-router/src/settings.rs
+++ b/crates/portfield-router/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::Path, time::Duration};
 
 use portfield_net::{
-    dial::Links,
+    connector::Connector,
     settings::{Error, Reader},
 };
 
@@ -21,7 +21,7 @@
     /// Address of the platform's services.
     pub platform: SocketAddr,
     /// Relays towards other data centres.
-    pub links: Links,
+    pub links: Connector,
     /// Largest body of a request, in bytes.
     pub body_limit: usize,
     /// Time for a request's head to arrive.
@@ -43,11 +43,11 @@
         let res = Self {
             listen: it.address("listen"),
             admin: it.address("admin"),
-            data_centre: it.text("data_centre"),
+            data_centre: it.string("data_centre"),
             schedulers: it.addresses("schedulers"),
             platform: it.address("platform"),
-            links: Links::new(it.address_table("links")),
-            body_limit: it.number("body_limit", 1 << 20, (1, 64 << 20)) as usize,
+            links: Connector::new(it.address_table("links")),
+            body_limit: it.integer("body_limit", 1 << 20, (1, 64 << 20)) as usize,
             head_timeout: it.millis("head_timeout_ms", 10_000, (10, 60_000)),
             answer_timeout: it.millis("answer_timeout_ms", 30_000, (10, 600_000)),
             stall_timeout: it.millis("stall_timeout_ms", 10_000, (10, 600_000)),
--- a/crates/portfield-router/src/shell.rs
+++ b/crates/portfield-router/src/shell.rs
@@ -19,7 +19,7 @@
     slo::{Sample, SlidingWindows},
     wire,
 };
-use portfield_net::{clock, metrics::Metrics, platform::Platform, rpc, rt::Runtime};
+use portfield_net::{clock, metrics::Metrics, platform::PlatformClient, rpc, rt::Runtime};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -105,7 +105,7 @@
 impl Shell {
     /// Builds the state; `address` is the one it is bound to.
     pub(crate) fn new(rt: Runtime, settings: Settings, address: SocketAddr) -> Arc<Self> {
-        let life = clock::life();
+        let life = clock::unix_millis();
         let mut core = Router::new(address.ip(), settings.data_centre.clone(), life & 0xff_ffff);
         for it in &settings.schedulers {
             core.seed(it.ip(), *it);
@@ -126,7 +126,7 @@
             address,
             counts: Counts::default(),
             metrics: Metrics::new("portfield.router", settings.statsd),
-            writes: Writes::start(&rt, Platform::new(settings.platform, PLATFORM_TIMEOUT)),
+            writes: Writes::start(&rt, PlatformClient::new(settings.platform, PLATFORM_TIMEOUT)),
             life,
             n_requests: AtomicU64::new(0),
             draining: AtomicBool::new(false),
@@ -290,7 +290,7 @@
             ] {
                 self.metrics.gauge(name, it.load(Ordering::Relaxed));
             }
-            let (sent, received) = rpc::traffic();
+            let (sent, received) = rpc::control_traffic();
             self.metrics.gauge("control_bytes", sent + received);
         }
     }
--- a/crates/portfield-router/src/writes.rs
+++ b/crates/portfield-router/src/writes.rs
@@ -9,7 +9,7 @@
 use portfield_net::{
     clock,
     http1::Error,
-    platform::{Check, Committed, Platform, Put, Row, Transaction},
+    platform::{Check, CommitOutcome, PlatformClient, Put, Row, Transaction},
     rt::Runtime,
 };
 
@@ -50,7 +50,7 @@
 
 impl Writes {
     /// Starts the task that writes.
-    pub(crate) fn start(rt: &Runtime, platform: Platform) -> Self {
+    pub(crate) fn start(rt: &Runtime, platform: PlatformClient) -> Self {
         let (sender, receiver) = async_channel::unbounded();
         rt.spawn(run(platform, receiver));
         Self { sender }
@@ -66,7 +66,7 @@
     }
 }
 
-async fn run(platform: Platform, receiver: Receiver<Write>) {
+async fn run(platform: PlatformClient, receiver: Receiver<Write>) {
     let mut pending: Vec<Write> = Vec::new();
     loop {
         if pending.is_empty() {
@@ -96,15 +96,15 @@
 }
 
 /// Commits a batch, answers what is decided and returns the rest.
-async fn commit(platform: &Platform, batch: Vec<Write>) -> Vec<Write> {
+async fn commit(platform: &PlatformClient, batch: Vec<Write>) -> Vec<Write> {
     let transaction = Transaction {
         checks: batch.iter().map(|it| it.check.clone()).collect(),
         puts: batch.iter().map(|it| it.put.clone()).collect(),
     };
     match platform.commit(&transaction).await {
-        Ok(Committed::Applied) => answer_all(batch, &Written::Applied),
-        Ok(Committed::Conflict(rows)) => settle(batch, &rows),
-        Err(Error::Unclear(_)) => read_back(platform, batch).await,
+        Ok(CommitOutcome::Applied) => answer_all(batch, &Written::Applied),
+        Ok(CommitOutcome::Conflict(rows)) => settle(batch, &rows),
+        Err(Error::OutcomeUnknown(_)) => read_back(platform, batch).await,
         // One that was unclear before may still be applied.
         Err(_) => {
             for it in batch {
@@ -136,10 +136,10 @@
 
 /// Learns from the rows what became of a batch; returns the writes to send again, which is
 /// safe: they are bound to a version.
-async fn read_back(platform: &Platform, batch: Vec<Write>) -> Vec<Write> {
+async fn read_back(platform: &PlatformClient, batch: Vec<Write>) -> Vec<Write> {
     clock::sleep(PAUSE).await;
     let keys: Vec<_> = batch.iter().map(|it| it.check.key.clone()).collect();
-    let rows = platform.read(&keys).await.unwrap_or_default();
+    let rows = platform.read_rows(&keys).await.unwrap_or_default();
     let mut rest = Vec::new();
     for mut it in batch {
         it.attempts += 1;
--- a/crates/portfield-scheduler/src/admin.rs
+++ b/crates/portfield-scheduler/src/admin.rs
@@ -2,7 +2,7 @@
 
 use http_types::{Request, Response};
 use portfield::{member::State, schedule::Scheduler};
-use portfield_net::{http1::json, rpc};
+use portfield_net::{http1::json_response, rpc};
 use serde_json::{Value, json};
 
 use crate::shell::Shell;
@@ -11,20 +11,20 @@
 pub(crate) fn answer(shell: &Shell, request: &Request) -> Response {
     match request.url().path() {
         "/ready" => ready(shell),
-        "/status" => json(200, &shell.read(|it| status(it))),
+        "/status" => json_response(200, &shell.read(|it| status(it))),
         "/decisions" => decisions(shell, request),
-        _ => json(404, &json!({ "error": "try /ready, /status or /decisions" })),
+        _ => json_response(404, &json!({ "error": "try /ready, /status or /decisions" })),
     }
 }
 
 fn ready(shell: &Shell) -> Response {
     let revision = shell.read(|it| it.fleet().revision);
     let status = if 0 < revision { 200 } else { 503 };
-    json(status, &json!({ "revision": revision }))
+    json_response(status, &json!({ "revision": revision }))
 }
 
 fn status(core: &Scheduler) -> Value {
-    let (sent, received) = rpc::traffic();
+    let (sent, received) = rpc::control_traffic();
     let members: Vec<_> = core
         .view()
         .iter()
@@ -74,7 +74,7 @@
     let host = query("host").and_then(|it| it.parse().ok());
     let ticket = query("ticket").and_then(|it| it.parse().ok());
     let (Some(host), Some(ticket)) = (host, ticket) else {
-        return json(400, &json!({ "error": "give host and ticket" }));
+        return json_response(400, &json!({ "error": "give host and ticket" }));
     };
     let all: Vec<_> = shell.read(|it| {
         let all = it.decisions(host, ticket);
@@ -82,5 +82,5 @@
             .map(|it| json!({ "at_ms": it.at.as_millis(), "text": it.step.to_string() }))
             .collect()
     });
-    json(200, &all)
+    json_response(200, &all)
 }
--- a/crates/portfield-scheduler/src/main.rs
+++ b/crates/portfield-scheduler/src/main.rs
@@ -22,7 +22,7 @@
 const N_THREADS: usize = 0;
 
 fn main() -> eyre::Result<()> {
-    daemon::start(Settings::open, N_THREADS, run)
+    daemon::run(Settings::open, N_THREADS, run)
 }
 
 async fn run(rt: Runtime, settings: Settings) -> eyre::Result<()> {
@@ -36,10 +36,14 @@
         SchedulerServer::new(grpc::Server::new(shell.clone())),
     ));
     let state = shell.clone();
-    rt.spawn(http1::serve(rt.clone(), admin, http1::at_once(move |it| admin::answer(&state, it))));
+    rt.spawn(http1::serve(
+        rt.clone(),
+        admin,
+        http1::sync_handler(move |it| admin::answer(&state, it)),
+    ));
     watch::start(&rt, &shell, &settings);
     rt.spawn(shell.clone().keep_time());
-    daemon::stop_signal().await?;
+    daemon::shutdown_signal().await?;
     log::info!("handing over");
     shell.feed(Event::Leave);
     clock::sleep(HAND_OVER).await;
--- a/crates/portfield-scheduler/src/settings.rs
+++ b/crates/portfield-scheduler/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::Path, time::Duration};
 
 use portfield_net::{
-    dial::Links,
+    connector::Connector,
     settings::{Error, Reader},
 };
 
@@ -21,7 +21,7 @@
     /// Schedulers to ask for the members while the platform is down.
     pub seeds: Vec<SocketAddr>,
     /// Relays towards other data centres.
-    pub links: Links,
+    pub links: Connector,
     /// Time between two looks at the host list.
     pub list_period: Duration,
     /// Time between two looks at the configuration's revision.
@@ -39,10 +39,10 @@
         let res = Self {
             listen: it.address("listen"),
             admin: it.address("admin"),
-            data_centre: it.text("data_centre"),
+            data_centre: it.string("data_centre"),
             platform: it.address("platform"),
             seeds: it.addresses("seeds"),
-            links: Links::new(it.address_table("links")),
+            links: Connector::new(it.address_table("links")),
             list_period: it.millis("list_period_ms", 2000, (100, 60_000)),
             config_period: it.millis("config_period_ms", 5000, (100, 60_000)),
             report_period: it.millis("report_period_ms", 500, (50, 5000)),
--- a/crates/portfield-scheduler/src/shell.rs
+++ b/crates/portfield-scheduler/src/shell.rs
@@ -16,7 +16,7 @@
     schedule::{self, Action, Event, Scheduler},
     wire,
 };
-use portfield_net::{clock, dial::Links, metrics::Metrics, rpc::Channel, rt::Runtime};
+use portfield_net::{clock, connector::Connector, metrics::Metrics, rpc::Channel, rt::Runtime};
 
 use crate::settings::Settings;
 
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct Shell {
     pub rt: Runtime,
-    pub links: Links,
+    pub links: Connector,
     pub metrics: Metrics,
     wake: (Sender<()>, Receiver<()>),
     state: Mutex<State>,
@@ -73,7 +73,7 @@
             leaving: false,
         };
         let limits = schedule::Limits::default();
-        let core = schedule::Settings { me, incarnation: clock::life(), limits };
+        let core = schedule::Settings { me, incarnation: clock::unix_millis(), limits };
         Arc::new(Self {
             rt,
             links: settings.links.clone(),
--- a/crates/portfield-scheduler/src/watch.rs
+++ b/crates/portfield-scheduler/src/watch.rs
@@ -6,7 +6,9 @@
     ids::UpstreamId,
     schedule::{Event, Health, Status},
 };
-use portfield_net::{clock, http1::Target, platform::Platform, rpc, rt::Runtime, store};
+use portfield_net::{
+    clock, fleet_store, http1::Client, platform::PlatformClient, rpc, rt::Runtime,
+};
 use serde::Deserialize;
 
 use crate::{settings::Settings, shell::Shell};
@@ -29,7 +31,7 @@
 
 /// Starts all watches.
 pub(crate) fn start(rt: &Runtime, shell: &Arc<Shell>, settings: &Settings) {
-    let platform = Platform::new(settings.platform, PLATFORM_TIMEOUT);
+    let platform = PlatformClient::new(settings.platform, PLATFORM_TIMEOUT);
     rt.spawn(watch_hosts(shell.clone(), platform.clone(), settings.list_period));
     rt.spawn(watch_fleet(shell.clone(), platform, settings.config_period));
     rt.spawn(watch_upstreams(shell.clone(), settings.report_period));
@@ -37,22 +39,22 @@
     rt.spawn(join(shell.clone(), settings.seeds.clone()));
 }
 
-async fn watch_hosts(shell: Arc<Shell>, platform: Platform, period: Duration) {
+async fn watch_hosts(shell: Arc<Shell>, platform: PlatformClient, period: Duration) {
     let mut tag = String::new();
     loop {
-        if let Ok(Some((hosts, fresh))) = platform.hosts_changed(&tag).await {
+        if let Ok(Some((hosts, fresh))) = platform.read_hosts_if_changed(&tag).await {
             tag = fresh;
-            let entries = hosts.iter().map(|it| it.entry()).collect();
+            let entries = hosts.iter().map(|it| it.list_entry()).collect();
             shell.feed(Event::Listed(entries));
         }
         clock::sleep(period).await;
     }
 }
 
-async fn watch_fleet(shell: Arc<Shell>, platform: Platform, period: Duration) {
+async fn watch_fleet(shell: Arc<Shell>, platform: PlatformClient, period: Duration) {
     loop {
         let above = shell.read(|it| it.fleet().revision);
-        match store::read_fleet(&platform, above).await {
+        match fleet_store::read_fleet(&platform, above).await {
             Ok(Some(fleet)) => shell.adopt(fleet),
             Ok(None) => (),
             Err(err) => log::debug!(err:%; "platform"),
@@ -71,7 +73,7 @@
 }
 
 async fn report(shell: Arc<Shell>, id: UpstreamId, address: SocketAddr) {
-    let target = Target { timeout: REPORT_TIMEOUT, ..Target::direct(address) };
+    let target = Client { timeout: REPORT_TIMEOUT, ..Client::direct(address) };
     let health = match target.get::<Report>("/health").await {
         Ok(it) => Health::Up { running: it.running, leaving: it.leaving },
         Err(_) => Health::Down,
@@ -89,7 +91,7 @@
         shell.metrics.gauge("slots_used", sum(|it| u64::from(it.used)));
         let waiting = |it: &Status| it.backlog.iter().map(|it| u64::from(it.waiting)).sum();
         shell.metrics.gauge("waiting", sum(waiting));
-        let (sent, received) = rpc::traffic();
+        let (sent, received) = rpc::control_traffic();
         shell.metrics.gauge("control_bytes", sent + received);
     }
 }
--- a/crates/portfield-standins/src/main.rs
+++ b/crates/portfield-standins/src/main.rs
@@ -97,7 +97,7 @@
         }
         Role::Call { address, path, body } => {
             let method = if body.is_some() { Method::Post } else { Method::Get };
-            let target = http1::Target::direct(address);
+            let target = http1::Client::direct(address);
             let text = target.send(method, &path, body.unwrap_or_default().into_bytes()).await?;
             writeln!(std::io::stdout(), "{text}")?;
             return Ok(());
--- a/crates/portfield-standins/src/platform.rs
+++ b/crates/portfield-standins/src/platform.rs
@@ -10,8 +10,8 @@
 use http_types::{Method, Request, Response};
 use portfield_net::{
     clock,
-    http1::{self, json, read},
-    platform::{ABSENT, Committed, Host, Row, Transaction},
+    http1::{self, json_response, read_json},
+    platform::{ABSENT_VERSION, CommitOutcome, Host, Row, Transaction},
     rt::Runtime,
 };
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
     }
     if path == "/counts" {
         let state = platform.lock();
-        return json(200, &json!({ "reads": state.n_reads, "commits": state.n_commits }));
+        return json_response(200, &json!({ "reads": state.n_reads, "commits": state.n_commits }));
     }
     if path == "/hosts" && request.method() != Method::Get {
         return change_hosts(&platform, &mut request).await;
@@ -77,11 +77,11 @@
         return hang().await;
     }
     match (request.method(), path.as_str()) {
-        (Method::Post, "/read") => match read::<Vec<String>>(&mut request).await {
-            Ok(keys) => json(200, &platform.read(&keys)),
+        (Method::Post, "/read") => match read_json::<Vec<String>>(&mut request).await {
+            Ok(keys) => json_response(200, &platform.read(&keys)),
             Err(res) => res,
         },
-        (Method::Post, "/commit") => match read::<Transaction>(&mut request).await {
+        (Method::Post, "/commit") => match read_json::<Transaction>(&mut request).await {
             Ok(it) => commit(&platform, &it).await,
             Err(res) => res,
         },
@@ -89,27 +89,27 @@
         (Method::Put, _) => {
             let body = request.body_bytes().await.unwrap_or_default();
             platform.lock().objects.insert(path, body);
-            json(200, &json!({}))
+            json_response(200, &json!({}))
         }
         (Method::Get, _) => match platform.lock().objects.get(&path) {
             Some(it) => Response::from(it.as_slice()),
-            None => json(404, &json!({ "error": "no such object" })),
+            None => json_response(404, &json!({ "error": "no such object" })),
         },
-        _ => json(404, &json!({ "error": "no such call" })),
+        _ => json_response(404, &json!({ "error": "no such call" })),
     }
 }
 
 /// Never answers, as a service that is down behind its address.
 async fn hang() -> Response {
     clock::sleep(Duration::from_secs(30)).await;
-    json(503, &json!({ "error": "down" }))
+    json_response(503, &json!({ "error": "down" }))
 }
 
 async fn set_faults(platform: &Platform, request: &mut Request) -> Response {
-    match read::<Faults>(request).await {
+    match read_json::<Faults>(request).await {
         Ok(it) => {
             platform.lock().faults = it;
-            json(200, &json!({}))
+            json_response(200, &json!({}))
         }
         Err(res) => res,
     }
@@ -118,7 +118,7 @@
 /// Adds, changes or removes hosts; the list that is read follows unless it is frozen.
 async fn change_hosts(platform: &Platform, request: &mut Request) -> Response {
     let method = request.method();
-    let host = match read::<Host>(request).await {
+    let host = match read_json::<Host>(request).await {
         Ok(it) => it,
         Err(res) => return res,
     };
@@ -127,7 +127,7 @@
     if method != Method::Delete {
         state.hosts.push(host);
     }
-    json(200, &json!({}))
+    json_response(200, &json!({}))
 }
 
 /// Answers with the host list, or that it is still the one that the caller has.
@@ -136,7 +136,7 @@
     let text = serde_json::to_string(&hosts).unwrap_or_default();
     let tag = format!("\"{:x}\"", xxh3_64(text.as_bytes()));
     let known = request.header("if-none-match").is_some_and(|it| it.as_str() == tag);
-    let mut res = if known { Response::new(304) } else { json(200, &hosts) };
+    let mut res = if known { Response::new(304) } else { json_response(200, &hosts) };
     res.insert_header("etag", tag);
     res
 }
@@ -149,7 +149,7 @@
     if take_one(&mut platform.lock().faults.lose_answers) {
         return hang().await;
     }
-    json(200, &res)
+    json_response(200, &res)
 }
 
 fn take_one(n: &mut u32) -> bool {
@@ -177,7 +177,7 @@
         state.shown.clone()
     }
 
-    fn commit(&self, transaction: &Transaction) -> Committed {
+    fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         let mut state = self.lock();
         state.n_commits += 1;
         let conflicts: Vec<_> = transaction
@@ -188,18 +188,18 @@
             .map(|(_, row)| row)
             .collect();
         if !conflicts.is_empty() {
-            return Committed::Conflict(conflicts);
+            return CommitOutcome::Conflict(conflicts);
         }
         for it in &transaction.puts {
-            let entry = state.rows.entry(it.key.clone()).or_insert((ABSENT, String::new()));
+            let entry = state.rows.entry(it.key.clone()).or_insert((ABSENT_VERSION, String::new()));
             *entry = (entry.0 + 1, it.value.clone());
         }
-        Committed::Applied
+        CommitOutcome::Applied
     }
 }
 
 fn row(state: &State, key: &str) -> Row {
     let found = state.rows.get(key).cloned();
-    let (version, value) = found.unwrap_or((ABSENT, String::new()));
+    let (version, value) = found.unwrap_or((ABSENT_VERSION, String::new()));
     Row { key: key.to_owned(), version, value }
 }
--- a/crates/portfield-standins/src/relay.rs
+++ b/crates/portfield-standins/src/relay.rs
@@ -12,7 +12,7 @@
 use http_types::{Request, Response};
 use portfield_net::{
     clock,
-    http1::{self, json, read},
+    http1::{self, json_response, read_json},
     rt::Runtime,
 };
 use serde::Deserialize;
@@ -65,13 +65,13 @@
 }
 
 async fn switch(state: Arc<State>, mut request: Request) -> Response {
-    let it = match read::<Switch>(&mut request).await {
+    let it = match read_json::<Switch>(&mut request).await {
         Ok(it) => it,
         Err(res) => return res,
     };
     let delay = it.delay_us.map_or(state.default.delay, Duration::from_micros);
     state.lock().insert((it.from, it.to), Link { cut: it.cut, delay });
-    json(200, &json!({}))
+    json_response(200, &json!({}))
 }
 
 async fn accept(rt: Runtime, state: Arc<State>, from: String, listener: TcpListener) {
--- a/crates/portfieldctl/src/change.rs
+++ b/crates/portfieldctl/src/change.rs
@@ -5,12 +5,12 @@
 use eyre::{WrapErr, bail};
 use portfield::fleet::{Fleet, Intent, Plan};
 use portfield_net::{
-    platform::Platform,
-    store::{self, Confirmed},
+    fleet_store::{self, ConfirmOutcome},
+    platform::PlatformClient,
 };
 
 /// Stores a plan for the intent in `file` and returns its changes and id.
-pub(crate) async fn plan(platform: &Platform, file: &Path) -> eyre::Result<String> {
+pub(crate) async fn plan(platform: &PlatformClient, file: &Path) -> eyre::Result<String> {
     let text = fs::read_to_string(file).wrap_err_with(|| file.display().to_string())?;
     let intent = Intent::parse(&text)?;
     let base = read_current(platform).await?;
@@ -18,7 +18,7 @@
 }
 
 /// Stores a plan to drain an upstream and returns its changes and id.
-pub(crate) async fn drain(platform: &Platform, upstream: SocketAddr) -> eyre::Result<String> {
+pub(crate) async fn drain(platform: &PlatformClient, upstream: SocketAddr) -> eyre::Result<String> {
     let base = read_current(platform).await?;
     let mut fleet = base.clone();
     let Some(found) = fleet.upstreams.iter_mut().find(|it| it.address == upstream) else {
@@ -29,8 +29,8 @@
 }
 
 /// Puts a plan in force, if the configuration has not changed since it was made.
-pub(crate) async fn confirm(platform: &Platform, id: &str) -> eyre::Result<String> {
-    let plan = store::read_plan(platform, id).await.wrap_err("reading the plan")?;
+pub(crate) async fn confirm(platform: &PlatformClient, id: &str) -> eyre::Result<String> {
+    let plan = fleet_store::read_plan(platform, id).await.wrap_err("reading the plan")?;
     let base = read_current(platform).await?;
     let describe_conflict = || {
         let err = plan.check(id, &base).err();
@@ -44,25 +44,25 @@
     if plan.id() != id {
         plan.check(id, &base)?;
     }
-    match store::confirm(platform, &plan).await? {
-        Confirmed::InForce => Ok(format!("revision {} is in force\n", plan.fleet.revision)),
-        Confirmed::Overtaken => bail!("{}", describe_conflict()),
-        Confirmed::Unclear => {
+    match fleet_store::confirm_plan(platform, &plan).await? {
+        ConfirmOutcome::InForce => Ok(format!("revision {} is in force\n", plan.fleet.revision)),
+        ConfirmOutcome::Conflict => bail!("{}", describe_conflict()),
+        ConfirmOutcome::Unknown => {
             bail!("the platform's reply was lost and the plan may be in force; run `confirm` again")
         }
     }
 }
 
-async fn read_current(platform: &Platform) -> eyre::Result<Fleet> {
-    let fleet = store::read_fleet(platform, 0).await.wrap_err("reading the configuration")?;
+async fn read_current(platform: &PlatformClient) -> eyre::Result<Fleet> {
+    let fleet = fleet_store::read_fleet(platform, 0).await.wrap_err("reading the configuration")?;
     Ok(fleet.unwrap_or_default())
 }
 
-async fn save_plan(platform: &Platform, plan: &Plan) -> eyre::Result<String> {
+async fn save_plan(platform: &PlatformClient, plan: &Plan) -> eyre::Result<String> {
     if plan.changes.is_empty() {
         return Ok("nothing would change\n".to_owned());
     }
-    store::keep_plan(platform, plan).await.wrap_err("storing the plan")?;
+    fleet_store::write_plan(platform, plan).await.wrap_err("storing the plan")?;
     let mut res = String::new();
     for it in &plan.changes {
         writeln!(res, "{it}")?;
--- a/crates/portfieldctl/src/evacuations.rs
+++ b/crates/portfieldctl/src/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt::Write, net::SocketAddr};
 
-use portfield_net::http1::Target;
+use portfield_net::http1::Client;
 use serde::Deserialize;
 
 /// Path on a host's metrics address.
@@ -20,7 +20,7 @@
 ///
 /// Returns an error if the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
-    let evacuated: Vec<Row> = Target::direct(host).get(PATH).await?;
+    let evacuated: Vec<Row> = Client::direct(host).get(PATH).await?;
     if evacuated.is_empty() {
         return Ok("no data centre is evacuated\n".to_owned());
     }
--- a/crates/portfieldctl/src/explain.rs
+++ b/crates/portfieldctl/src/explain.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, fmt::Write};
 
 use eyre::{OptionExt, bail};
-use portfield_net::{http1::Target, platform::Platform};
+use portfield_net::{http1::Client, platform::PlatformClient};
 use serde::Deserialize;
 
 #[derive(Debug, Deserialize)]
@@ -20,12 +20,12 @@
 }
 
 /// Lists the decisions on a request: first the router's, then those of each scheduler.
-pub(crate) async fn show(platform: &Platform, id: &str) -> eyre::Result<String> {
+pub(crate) async fn show(platform: &PlatformClient, id: &str) -> eyre::Result<String> {
     let ip = id.split('-').next().unwrap_or_default();
-    let hosts = platform.hosts().await?;
+    let hosts = platform.read_hosts().await?;
     let host = hosts.iter().find(|it| it.router.ip().to_string() == ip);
     let host = host.ok_or_eyre("no host has the address at the start of the request id")?;
-    let target = Target::direct(host.router_admin);
+    let target = Client::direct(host.router_admin);
     let records: Vec<Record> = target.get(&format!("/records?{id}")).await?;
     if records.is_empty() {
         bail!("the router at {ip} has no records of request {id}");
@@ -37,7 +37,7 @@
     let tickets: BTreeSet<_> = records.iter().map(|it| it.ticket).filter(|it| *it != 0).collect();
     let peers = hosts.iter().filter(|it| it.data_centre == host.data_centre);
     for peer in peers {
-        let target = Target::direct(peer.scheduler_admin);
+        let target = Client::direct(peer.scheduler_admin);
         for ticket in &tickets {
             let path = format!("/decisions?host={ip}&ticket={ticket}");
             let Ok(decisions) = target.get::<Vec<Decision>>(&path).await else { continue };
--- a/crates/portfieldctl/src/main.rs
+++ b/crates/portfieldctl/src/main.rs
@@ -11,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 use eyre::OptionExt;
-use portfield_net::{platform::Platform, rt::Runtime};
+use portfield_net::{platform::PlatformClient, rt::Runtime};
 
 /// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
@@ -83,7 +83,7 @@
         let address = args
             .platform
             .ok_or_eyre("no platform address: pass --platform ADDRESS or set PORTFIELD_PLATFORM")?;
-        Ok::<_, eyre::Report>(Platform::new(address, PLATFORM_TIMEOUT))
+        Ok::<_, eyre::Report>(PlatformClient::new(address, PLATFORM_TIMEOUT))
     };
     match args.command {
         Command::Plan { file } => change::plan(&platform()?, &file).await,
--- a/crates/portfieldctl/src/quarantine.rs
+++ b/crates/portfieldctl/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write, net::SocketAddr};
 
 use http_types::Method;
-use portfield_net::http1::Target;
+use portfield_net::http1::Client;
 use serde::Deserialize;
 
 /// Path on a host's metrics address.
@@ -23,7 +23,7 @@
 ///
 /// Returns an error if the host does not answer.
 pub(crate) async fn show(host: SocketAddr) -> eyre::Result<String> {
-    let refused: Vec<Row> = Target::direct(host).get(PATH).await?;
+    let refused: Vec<Row> = Client::direct(host).get(PATH).await?;
     if refused.is_empty() {
         return Ok("no request is refused\n".to_owned());
     }
@@ -40,6 +40,6 @@
 ///
 /// Returns an error if the host does not answer or has not quarantined the request.
 pub(crate) async fn lift(host: SocketAddr, fingerprint: &str) -> eyre::Result<String> {
-    Target::direct(host).send(Method::Delete, &format!("{PATH}/{fingerprint}"), Vec::new()).await?;
+    Client::direct(host).send(Method::Delete, &format!("{PATH}/{fingerprint}"), Vec::new()).await?;
     Ok(format!("{fingerprint} may run again\n"))
 }
--- a/crates/portfieldctl/src/status.rs
+++ b/crates/portfieldctl/src/status.rs
@@ -3,20 +3,20 @@
 use std::fmt::Write;
 
 use portfield_net::{
-    http1::Target,
-    platform::{Host, Platform},
+    http1::Client,
+    platform::{Host, PlatformClient},
 };
 use serde_json::Value;
 
 /// Lists problems, the configuration revision, hosts and shards.
-pub(crate) async fn show(platform: &Platform) -> eyre::Result<String> {
-    let hosts = platform.hosts().await?;
+pub(crate) async fn show(platform: &PlatformClient) -> eyre::Result<String> {
+    let hosts = platform.read_hosts().await?;
     let mut problems = Vec::new();
     let mut rows = Vec::new();
     let mut shards = Vec::new();
     let mut newest = 0;
     for host in &hosts {
-        let [router, scheduler] = [host.router_admin, host.scheduler_admin].map(Target::direct);
+        let [router, scheduler] = [host.router_admin, host.scheduler_admin].map(Client::direct);
         let router = router.get::<Value>("/status").await.unwrap_or_default();
         let scheduler = scheduler.get::<Value>("/status").await.unwrap_or_default();
         find_problems(host, &router, &scheduler, &mut problems);
--- a/crates/portfieldctl/tests/host_pages.rs
+++ b/crates/portfieldctl/tests/host_pages.rs
@@ -18,7 +18,7 @@
     let (listener, address) =
         future::block_on(http1::bind("127.0.0.1:0".parse().unwrap())).unwrap();
     let deleted = deleted.clone();
-    let handler = http1::at_once(move |it: &Request| respond(it, &deleted));
+    let handler = http1::sync_handler(move |it: &Request| respond(it, &deleted));
     let task = rt.clone();
     thread::spawn(move || task.block_on(0, http1::serve(rt, listener, handler)));
     address
@@ -27,18 +27,18 @@
 fn respond(request: &Request, deleted: &Mutex<Vec<String>>) -> Response {
     let path = request.url().path();
     match request.method() {
-        Method::Get if path == "/quarantine" => http1::json(
+        Method::Get if path == "/quarantine" => http1::json_response(
             200,
             &json!([{ "fingerprint": "00c0ffee", "workspace": "masons", "n_ends": 3, "left_s": 97 }]),
         ),
         Method::Get if path == "/evacuations" => {
-            http1::json(200, &json!([{ "data_centre": "north", "n_upstreams": 47 }]))
+            http1::json_response(200, &json!([{ "data_centre": "north", "n_upstreams": 47 }]))
         }
         Method::Delete if path.ends_with("/00c0ffee") => {
             deleted.lock().unwrap().push(path.to_owned());
-            http1::json(200, &"lifted")
+            http1::json_response(200, &"lifted")
         }
-        _ => http1::json(404, &"nothing is known against this request here"),
+        _ => http1::json_response(404, &"nothing is known against this request here"),
     }
 }
 
