--- a/crates/portfield-net/src/clock.rs
+++ b/crates/portfield-net/src/clock.rs
@@ -22,56 +22,56 @@
 use futures_lite::future;
 use rustix::time::{ClockId, DynamicClockId, Timespec, clock_gettime, clock_gettime_dynamic};
 
-static START: OnceLock<Start> = OnceLock::new();
+static ORIGIN: OnceLock<Origin> = OnceLock::new();
 /// Tells all that wait that time went by unseen.
-static WOKE: Event = Event::new();
+static WAKE: Event = Event::new();
 /// Milliseconds that [`advance`] added.
-static SKIPPED: AtomicU64 = AtomicU64::new(0);
+static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// When this process first asked.
 #[derive(Debug, Clone, Copy)]
-enum Start {
-    Boot(Timespec),
+enum Origin {
+    Boottime(Timespec),
     /// The system has no clock that counts the time asleep.
-    Steady(Instant),
+    Monotonic(Instant),
 }
 
 /// Returns the time since this process first asked, that asleep included.
 ///
 /// Some 30 ns a call, as the steady clock's (release build, one core).
 pub fn now() -> Duration {
-    let since = match start() {
-        Start::Boot(start) => since(start),
-        Start::Steady(start) => start.elapsed(),
+    let elapsed = match origin() {
+        Origin::Boottime(origin) => elapsed_since(origin),
+        Origin::Monotonic(origin) => origin.elapsed(),
     };
-    since + Duration::from_millis(SKIPPED.load(Ordering::Relaxed))
+    elapsed + Duration::from_millis(ADVANCED_MS.load(Ordering::Relaxed))
 }
 
 /// Returns whether [`now`] counts the time that the machine is suspended; without it a host that wakes believes
 /// that all it knows is as fresh as before.
 pub fn counts_suspend() -> bool {
-    matches!(start(), Start::Boot(_))
+    matches!(origin(), Origin::Boottime(_))
 }
 
 /// Returns a number that is larger in each later start of a process: milliseconds since 1970.
 pub fn unix_millis() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |it| it.as_millis() as u64)
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    unix_time.map_or(0, |it| it.as_millis() as u64)
 }
 
 /// Has everybody who waits look at the clock again: time went by that their timers did not count.
 pub fn wake_waiters() {
-    WOKE.notify(usize::MAX);
+    WAKE.notify(usize::MAX);
 }
 
 /// Lets time go by as while the machine is suspended: [`now`] counts it, timers do not. For tests.
 pub fn advance(time: Duration) {
-    SKIPPED.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
+    ADVANCED_MS.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
 }
 
 /// Waits.
 pub async fn sleep(time: Duration) {
-    Deadline::new(time).await_end().await;
+    Deadline::new(time).wait().await;
 }
 
 /// Returns an alarm that ends after a time; cheaper than [`timeout`] where many short waits share one limit.
@@ -82,54 +82,54 @@
 /// A moment that can be waited for several times.
 #[derive(Debug)]
 pub struct Deadline {
-    end: Duration,
+    at: Duration,
     timer: async_io::Timer,
     /// The timer is to ring at the end, as far as it counts.
-    is_set: bool,
-    woke: Pin<Box<EventListener>>,
+    is_armed: bool,
+    wake: Pin<Box<EventListener>>,
 }
 
 impl Deadline {
     fn new(time: Duration) -> Self {
-        let end = now().saturating_add(time);
-        let woke = Box::pin(WOKE.listen());
-        Self { end, timer: async_io::Timer::after(time), is_set: true, woke }
+        let at = now().saturating_add(time);
+        let wake = Box::pin(WAKE.listen());
+        Self { at, timer: async_io::Timer::after(time), is_armed: true, wake }
     }
 
     /// Waits for the moment, by the clock that counts the time asleep.
-    async fn await_end(&mut self) {
+    async fn wait(&mut self) {
         loop {
-            let left = self.end.saturating_sub(now());
+            let left = self.at.saturating_sub(now());
             if left.is_zero() {
                 return;
             }
-            if !self.is_set {
+            if !self.is_armed {
                 self.timer.set_after(left);
-                self.is_set = true;
+                self.is_armed = true;
             }
-            let rang = async {
+            let timer_fired = async {
                 (&mut self.timer).await;
                 false
             };
-            let woke = async {
-                self.woke.as_mut().await;
+            let woken = async {
+                self.wake.as_mut().await;
                 true
             };
-            if future::or(rang, woke).await {
-                self.woke = Box::pin(WOKE.listen());
+            if future::or(timer_fired, woken).await {
+                self.wake = Box::pin(WAKE.listen());
             }
-            self.is_set = false;
+            self.is_armed = false;
         }
     }
 }
 
 /// Runs a future until an alarm ends; `None` if it did not end before.
-pub async fn timeout_at<T>(alarm: &mut Deadline, f: impl Future<Output = T>) -> Option<T> {
-    let late = async {
-        alarm.await_end().await;
+pub async fn timeout_at<T>(deadline: &mut Deadline, f: impl Future<Output = T>) -> Option<T> {
+    let expired = async {
+        deadline.wait().await;
         None
     };
-    future::or(async { Some(f.await) }, late).await
+    future::or(async { Some(f.await) }, expired).await
 }
 
 /// Runs a future for at most a time; `None` if it did not end.
@@ -137,17 +137,17 @@
     timeout_at(&mut deadline(time), f).await
 }
 
-fn start() -> Start {
-    *START.get_or_init(|| match clock_gettime_dynamic(DynamicClockId::Boottime) {
-        Ok(it) => Start::Boot(it),
-        Err(_) => Start::Steady(Instant::now()),
+fn origin() -> Origin {
+    *ORIGIN.get_or_init(|| match clock_gettime_dynamic(DynamicClockId::Boottime) {
+        Ok(it) => Origin::Boottime(it),
+        Err(_) => Origin::Monotonic(Instant::now()),
     })
 }
 
 /// Returns the time since a reading of the clock that counts the time asleep.
-fn since(start: Timespec) -> Duration {
+fn elapsed_since(origin: Timespec) -> Duration {
     let now = clock_gettime(ClockId::Boottime);
-    let nanos = (now.tv_sec - start.tv_sec) * 1_000_000_000 + (now.tv_nsec - start.tv_nsec);
+    let nanos = (now.tv_sec - origin.tv_sec) * 1_000_000_000 + (now.tv_nsec - origin.tv_nsec);
     // A clock that reads less than before ends nothing.
     Duration::from_nanos(u64::try_from(nanos).unwrap_or(0))
 }
--- a/crates/portfield-net/tests/clock.rs
+++ b/crates/portfield-net/tests/clock.rs
@@ -11,19 +11,19 @@
 const LONG: Duration = Duration::from_secs(3600);
 
 /// Time that one test lets go by goes by for all: one at a time.
-static CLOCK: Mutex<()> = Mutex::new(());
+static CLOCK_LOCK: Mutex<()> = Mutex::new(());
 
-fn own_clock() -> MutexGuard<'static, ()> {
-    CLOCK.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_clock() -> MutexGuard<'static, ()> {
+    CLOCK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A host that was suspended went on waiting for what was left of each wait before.
 #[test]
-fn whoever_waits_looks_at_the_clock_again_after_time_asleep() {
-    let _clock = own_clock();
+fn waits_that_expired_during_suspend_end_on_resume() {
+    let _clock = lock_clock();
     assert!(clock::counts_suspend());
     let start = Instant::now();
-    let asleep = async {
+    let suspend = async {
         future::yield_now().await;
         clock::advance(LONG);
         clock::wake_waiters();
@@ -31,18 +31,18 @@
     let waits = future::zip(
         future::zip(clock::sleep(LONG), clock::timeout(LONG, future::pending::<()>())),
         async {
-            let mut alarm = clock::deadline(LONG);
-            clock::timeout_at(&mut alarm, future::pending::<()>()).await
+            let mut deadline = clock::deadline(LONG);
+            clock::timeout_at(&mut deadline, future::pending::<()>()).await
         },
     );
-    let (((), late), before) = future::block_on(future::zip(waits, asleep)).0;
-    assert_eq!((late, before), (None, None));
+    let (((), timed_out), expired) = future::block_on(future::zip(waits, suspend)).0;
+    assert_eq!((timed_out, expired), (None, None));
     assert!(start.elapsed() < Duration::from_secs(60));
 }
 
 #[test]
-fn a_wait_goes_on_that_is_not_over_after_time_asleep() {
-    let _clock = own_clock();
+fn unexpired_wait_continues_after_suspend() {
+    let _clock = lock_clock();
     let wait = clock::timeout(LONG, async {
         future::yield_now().await;
         clock::advance(LONG / 4);
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn an_alarm_bounds_many_waits_and_stays_over() {
-    let _clock = own_clock();
-    let mut alarm = clock::deadline(Duration::from_millis(20));
+fn deadline_covers_several_waits_and_stays_expired() {
+    let _clock = lock_clock();
+    let mut deadline = clock::deadline(Duration::from_millis(20));
     future::block_on(async {
-        assert_eq!(clock::timeout_at(&mut alarm, async { 7 }).await, Some(7));
-        assert_eq!(clock::timeout_at(&mut alarm, future::pending::<()>()).await, None);
-        assert_eq!(clock::timeout_at(&mut alarm, future::pending::<()>()).await, None);
+        assert_eq!(clock::timeout_at(&mut deadline, async { 7 }).await, Some(7));
+        assert_eq!(clock::timeout_at(&mut deadline, future::pending::<()>()).await, None);
+        assert_eq!(clock::timeout_at(&mut deadline, future::pending::<()>()).await, None);
     });
 }
