--- a/crates/portfield-net/src/clock.rs
+++ b/crates/portfield-net/src/clock.rs
@@ -1,13 +1,12 @@
-//! The only place that reads clocks.
+//! Clock readings, waits and timeouts of all programs.
 //!
-//! A machine may be suspended for seconds. Three clocks tell of it what they do:
+//! A machine may be suspended for seconds. The three clocks treat this time differently:
 //!
-//! - `CLOCK_BOOTTIME` counts that time: [`now`] reads it, and with it all ages, deadlines and windows.
-//! - The steady clock does not, and the timers of `async-io` run on it: they come late by the time asleep. Nothing
-//!   here that waits takes the end of a timer for the moment waited for; it looks at [`now`] again, also when
-//!   [`wake_waiters`] says that time went by unseen.
-//! - The time of day counts it, and may be set: it is used where processes that do not share a clock compare, by
-//!   the second ([`unix_millis`]).
+//! - `CLOCK_BOOTTIME` includes it. [`now`] reads this clock, so all ages, deadlines and time windows do too.
+//! - The monotonic clock excludes it. The timers of `async-io` run on this clock and fire late by the time suspended.
+//!   So a wait here checks [`now`] again when its timer fires and when [`wake_waiters`] is called.
+//! - The wall clock includes it, but may be set. It serves for comparisons between processes that share no other
+//!   clock, to the second ([`unix_millis`]).
 
 use std::{
     pin::Pin,
@@ -23,22 +22,22 @@
 use rustix::time::{ClockId, DynamicClockId, Timespec, clock_gettime, clock_gettime_dynamic};
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
-/// Tells all that wait that time went by unseen.
+/// Notifies all pending waits to check the clock again.
 static WAKE: Event = Event::new();
-/// Milliseconds that [`advance`] added.
+/// Total time added by [`advance`], in milliseconds.
 static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// When this process first asked.
+/// First reading of the clock in this process; [`now`] counts from it.
 #[derive(Debug, Clone, Copy)]
 enum Origin {
     Boottime(Timespec),
-    /// The system has no clock that counts the time asleep.
+    /// Fallback if the system has no clock that includes time suspended.
     Monotonic(Instant),
 }
 
-/// Returns the time since this process first asked, that asleep included.
+/// Returns the time since the first call in this process, including time suspended.
 ///
-/// Some 30 ns a call, as the steady clock's (release build, one core).
+/// A call takes about 30 ns, as long as a reading of the monotonic clock (release build, one core).
 pub fn now() -> Duration {
     let elapsed = match origin() {
         Origin::Boottime(origin) => elapsed_since(origin),
@@ -47,44 +46,47 @@
     elapsed + Duration::from_millis(ADVANCED_MS.load(Ordering::Relaxed))
 }
 
-/// Returns whether [`now`] counts the time that the machine is suspended; without it a host that wakes believes
-/// that all it knows is as fresh as before.
+/// Returns whether [`now`] includes time suspended. If not, a host that resumes takes its outdated data for fresh.
 pub fn counts_suspend() -> bool {
     matches!(origin(), Origin::Boottime(_))
 }
 
-/// Returns a number that is larger in each later start of a process: milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970, 0 if the clock is set to before that.
+///
+/// Serves as the incarnation number of a process, which must grow with each restart.
 pub fn unix_millis() -> u64 {
     let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     unix_time.map_or(0, |it| it.as_millis() as u64)
 }
 
-/// Has everybody who waits look at the clock again: time went by that their timers did not count.
+/// Makes all pending waits check the clock again, after the machine was suspended.
 pub fn wake_waiters() {
     WAKE.notify(usize::MAX);
 }
 
-/// Lets time go by as while the machine is suspended: [`now`] counts it, timers do not. For tests.
+/// Advances [`now`] but not the timers, as if the machine had been suspended. For tests.
 pub fn advance(time: Duration) {
     ADVANCED_MS.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
 }
 
-/// Waits.
+/// Waits for a duration, which includes time suspended.
 pub async fn sleep(time: Duration) {
     Deadline::new(time).wait().await;
 }
 
-/// Returns an alarm that ends after a time; cheaper than [`timeout`] where many short waits share one limit.
+/// Returns a deadline after the given time from now.
+///
+/// Cheaper than [`timeout`] where many short waits share one limit.
 pub fn deadline(time: Duration) -> Deadline {
     Deadline::new(time)
 }
 
-/// A moment that can be waited for several times.
+/// A point in time that several waits can share, see [`timeout_at`].
 #[derive(Debug)]
 pub struct Deadline {
     at: Duration,
     timer: async_io::Timer,
-    /// The timer is to ring at the end, as far as it counts.
+    /// The timer is set to the time left and has not fired since.
     is_armed: bool,
     wake: Pin<Box<EventListener>>,
 }
@@ -96,7 +98,7 @@
         Self { at, timer: async_io::Timer::after(time), is_armed: true, wake }
     }
 
-    /// Waits for the moment, by the clock that counts the time asleep.
+    /// Waits until [`now`] reaches the deadline.
     async fn wait(&mut self) {
         loop {
             let left = self.at.saturating_sub(now());
@@ -123,7 +125,7 @@
     }
 }
 
-/// Runs a future until an alarm ends; `None` if it did not end before.
+/// Runs a future until a deadline; returns `None` if the deadline came first.
 pub async fn timeout_at<T>(deadline: &mut Deadline, f: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         deadline.wait().await;
@@ -132,7 +134,7 @@
     future::or(async { Some(f.await) }, expired).await
 }
 
-/// Runs a future for at most a time; `None` if it did not end.
+/// Runs a future for at most the given time; returns `None` if it did not complete.
 pub async fn timeout<T>(time: Duration, f: impl Future<Output = T>) -> Option<T> {
     timeout_at(&mut deadline(time), f).await
 }
@@ -144,10 +146,10 @@
     })
 }
 
-/// Returns the time since a reading of the clock that counts the time asleep.
+/// Returns the time since a reading of `CLOCK_BOOTTIME`.
 fn elapsed_since(origin: Timespec) -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     let nanos = (now.tv_sec - origin.tv_sec) * 1_000_000_000 + (now.tv_nsec - origin.tv_nsec);
-    // A clock that reads less than before ends nothing.
+    // If the clock went back, no time has passed.
     Duration::from_nanos(u64::try_from(nanos).unwrap_or(0))
 }
--- a/crates/portfield-net/tests/clock.rs
+++ b/crates/portfield-net/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Waits, while time goes by that timers do not count.
+//! Waits while the machine is suspended, which timers do not count.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -10,14 +10,15 @@
 
 const LONG: Duration = Duration::from_secs(3600);
 
-/// Time that one test lets go by goes by for all: one at a time.
+/// Serializes the tests: advancing the clock affects the whole process.
 static CLOCK_LOCK: Mutex<()> = Mutex::new(());
 
 fn lock_clock() -> MutexGuard<'static, ()> {
     CLOCK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A host that was suspended went on waiting for what was left of each wait before.
+/// Guards against waits that run for their remaining time again after the machine was suspended:
+/// their timers do not count the time suspended.
 #[test]
 fn waits_that_expired_during_suspend_end_on_resume() {
     let _clock = lock_clock();
