--- a/crates/portfield-net/src/connector.rs
+++ b/crates/portfield-net/src/connector.rs
@@ -10,7 +10,7 @@
 /// Time in which a connection is open or is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest answer of a relay to CONNECT, in bytes.
-const MAX_ANSWER: usize = 1024;
+const MAX_RESPONSE: usize = 1024;
 
 /// Relays towards other data centres, by the data centre's name.
 ///
@@ -34,7 +34,7 @@
     /// sent then.
     pub async fn connect(&self, data_centre: &str, address: SocketAddr) -> io::Result<TcpStream> {
         let relay = self.relays.get(data_centre).copied();
-        let open = async {
+        let connect = async {
             let Some(relay) = relay else {
                 let stream = TcpStream::connect(address).await?;
                 stream.set_nodelay(true)?;
@@ -43,24 +43,24 @@
             // A relay that refuses says nothing about the address behind it.
             let mut stream = TcpStream::connect(relay).await.map_err(io::Error::other)?;
             stream.set_nodelay(true)?;
-            ask_relay(&mut stream, address).await?;
+            open_tunnel(&mut stream, address).await?;
             Ok(stream)
         };
-        let late = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
-        clock::timeout(CONNECT_TIMEOUT, open).await.unwrap_or_else(late)
+        let timed_out = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
+        clock::timeout(CONNECT_TIMEOUT, connect).await.unwrap_or_else(timed_out)
     }
 }
 
-async fn ask_relay(stream: &mut TcpStream, address: SocketAddr) -> io::Result<()> {
+async fn open_tunnel(stream: &mut TcpStream, address: SocketAddr) -> io::Result<()> {
     let head = format!("CONNECT {address} HTTP/1.1\r\nhost: {address}\r\n\r\n");
     stream.write_all(head.as_bytes()).await?;
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut byte = [0];
-    while !answer.ends_with(b"\r\n\r\n") && answer.len() < MAX_ANSWER {
+    while !response.ends_with(b"\r\n\r\n") && response.len() < MAX_RESPONSE {
         stream.read_exact(&mut byte).await?;
-        answer.push(byte[0]);
+        response.push(byte[0]);
     }
-    if answer.starts_with(b"HTTP/1.1 200") {
+    if response.starts_with(b"HTTP/1.1 200") {
         return Ok(());
     }
     Err(io::Error::other("the relay refused"))
--- a/crates/portfield-net/src/daemon.rs
+++ b/crates/portfield-net/src/daemon.rs
@@ -28,7 +28,7 @@
 ///
 /// Where the settings are not acceptable, or what `run` says.
 pub fn run<S, F>(
-    open: impl FnOnce(&std::path::Path) -> Result<S, settings::Error>,
+    load_settings: impl FnOnce(&std::path::Path) -> Result<S, settings::Error>,
     n_threads: usize,
     run: impl FnOnce(Runtime, S) -> F,
 ) -> eyre::Result<()>
@@ -36,7 +36,7 @@
     F: Future<Output = eyre::Result<()>>,
 {
     let args = Args::parse();
-    let settings = open(&args.settings)?;
+    let settings = load_settings(&args.settings)?;
     if args.check {
         return Ok(());
     }
--- a/crates/portfield-net/src/panics.rs
+++ b/crates/portfield-net/src/panics.rs
@@ -21,16 +21,16 @@
 /// ```
 pub fn catch<T>(what: &str, f: impl FnOnce() -> T) -> Option<T> {
     let res = catch_unwind(AssertUnwindSafe(f)).ok();
-    note(what, res)
+    log_panic(what, res)
 }
 
 /// The same for a future.
 pub async fn catch_async<T>(what: &str, f: impl Future<Output = T>) -> Option<T> {
     let res = AssertUnwindSafe(f).catch_unwind().await.ok();
-    note(what, res)
+    log_panic(what, res)
 }
 
-fn note<T>(what: &str, res: Option<T>) -> Option<T> {
+fn log_panic<T>(what: &str, res: Option<T>) -> Option<T> {
     if res.is_none() {
         log::error!(what; "panic contained");
     }
--- a/crates/portfield-net/src/sse.rs
+++ b/crates/portfield-net/src/sse.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// End of an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 
 /// Collects pieces and gives out whole events.
 ///
@@ -21,32 +21,32 @@
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     partial: BytesMut,
-    last: Option<String>,
-    n: u64,
+    last_id: Option<String>,
+    n_events: u64,
 }
 
 impl EventBuffer {
     /// Adds a piece and returns what it completes, empty if nothing.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.partial.extend_from_slice(data);
-        let end = self.partial.windows(END.len()).rposition(|it| it == END);
+        let end = self.partial.windows(EVENT_END.len()).rposition(|it| it == EVENT_END);
         let Some(end) = end else { return Bytes::new() };
-        let whole = self.partial.split_to(end + END.len()).freeze();
-        self.n += count(&whole);
-        if let Some(it) = last_id(&whole) {
-            self.last = Some(it);
+        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.n_events += count_events(&complete);
+        if let Some(it) = last_id(&complete) {
+            self.last_id = Some(it);
         }
-        whole
+        complete
     }
 
     /// Returns the id of the last whole event that had one.
     pub fn last_event_id(&self) -> Option<&str> {
-        self.last.as_deref()
+        self.last_id.as_deref()
     }
 
     /// Returns how many whole events came.
     pub fn count(&self) -> u64 {
-        self.n
+        self.n_events
     }
 
     /// Returns whether an event has begun and not ended.
@@ -60,8 +60,8 @@
     }
 }
 
-fn count(events: &[u8]) -> u64 {
-    events.windows(END.len()).filter(|it| *it == END).count() as u64
+fn count_events(events: &[u8]) -> u64 {
+    events.windows(EVENT_END.len()).filter(|it| *it == EVENT_END).count() as u64
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
--- a/crates/portfield-net/tests/http_choice.rs
+++ b/crates/portfield-net/tests/async_h1_limitations.rs
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn a_body_that_is_cut_short_is_taken_as_whole() {
+fn async_h1_accepts_a_truncated_body() {
     let text = exchange(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nabc");
     assert!(text.contains("200 OK") && text.contains("got 3 bytes"), "{text}");
 }
 
 #[test]
-fn a_pipelined_request_is_lost() {
-    let one = b"GET / HTTP/1.1\r\nhost: a\r\n\r\nGET / HTTP/1.1\r\nhost: a\r\n\r\n";
-    assert_eq!(exchange(one).matches("200 OK").count(), 1);
+fn async_h1_drops_pipelined_requests() {
+    let two_requests = b"GET / HTTP/1.1\r\nhost: a\r\n\r\nGET / HTTP/1.1\r\nhost: a\r\n\r\n";
+    assert_eq!(exchange(two_requests).matches("200 OK").count(), 1);
 }
--- a/crates/portfield-net/tests/descriptors.rs
+++ b/crates/portfield-net/tests/fd_exhaustion.rs
@@ -7,7 +7,7 @@
 /// The first wait on a connection of the ready port opened a second reactor: where descriptors had
 /// run out by then, the process ended.
 #[test]
-fn a_process_without_descriptors_still_waits() {
+fn timers_work_after_descriptors_run_out() {
     Runtime::default().block_on(0, async {
         let pid = format!("--pid={}", std::process::id());
         assert!(
