--- a/crates/portfield-net/src/connector.rs
+++ b/crates/portfield-net/src/connector.rs
@@ -1,4 +1,4 @@
-//! Opening connections, by way of a relay where the settings name one.
+//! TCP connections to other data centres, through relays where the settings name them.
 
 use std::{collections::HashMap, io, net::SocketAddr, time::Duration};
 
@@ -7,21 +7,21 @@
 
 use crate::clock;
 
-/// Time in which a connection is open or is given up.
+/// Timeout for opening a connection, including the relay's response.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest answer of a relay to CONNECT, in bytes.
+/// Longest response head of a relay to `CONNECT`, in bytes.
 const MAX_RESPONSE: usize = 1024;
 
-/// Relays towards other data centres, by the data centre's name.
+/// Opens connections to addresses in other data centres, through a relay if one is configured.
 ///
-/// A relay takes `CONNECT address` (RFC 9110, section 9.3.6) and passes bytes on.
+/// A relay accepts `CONNECT address` (RFC 9110, section 9.3.6) and then forwards bytes.
 #[derive(Debug, Clone, Default)]
 pub struct Connector {
     relays: HashMap<String, SocketAddr>,
 }
 
 impl Connector {
-    /// Builds the table.
+    /// Creates a connector from the relays' addresses by the name of the data centre.
     pub fn new(relays: HashMap<String, SocketAddr>) -> Self {
         Self { relays }
     }
@@ -30,8 +30,8 @@
     ///
     /// # Errors
     ///
-    /// Whatever the socket says, or a time-out after a second. Nothing of a request was
-    /// sent then.
+    /// Returns the socket's error, or [`io::ErrorKind::TimedOut`] after a second. No part of a
+    /// request was sent then.
     pub async fn connect(&self, data_centre: &str, address: SocketAddr) -> io::Result<TcpStream> {
         let relay = self.relays.get(data_centre).copied();
         let connect = async {
@@ -40,13 +40,14 @@
                 stream.set_nodelay(true)?;
                 return Ok(stream);
             };
-            // A relay that refuses says nothing about the address behind it.
+            // A refused connection to the relay must not count as one refused by the address.
             let mut stream = TcpStream::connect(relay).await.map_err(io::Error::other)?;
             stream.set_nodelay(true)?;
             open_tunnel(&mut stream, address).await?;
             Ok(stream)
         };
-        let timed_out = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
+        let timed_out =
+            || Err(io::Error::new(io::ErrorKind::TimedOut, "timed out while connecting"));
         clock::timeout(CONNECT_TIMEOUT, connect).await.unwrap_or_else(timed_out)
     }
 }
@@ -63,5 +64,5 @@
     if response.starts_with(b"HTTP/1.1 200") {
         return Ok(());
     }
-    Err(io::Error::other("the relay refused"))
+    Err(io::Error::other("the relay rejected CONNECT"))
 }
--- a/crates/portfield-net/src/daemon.rs
+++ b/crates/portfield-net/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the long-running processes have in common: arguments, logs, the signal to stop.
+//! Command line, logging and shutdown signal of the long-running processes.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 
 use crate::{logs, rt::Runtime, settings};
 
-/// Arguments of a long-running process.
+/// Command line of a long-running process.
 #[derive(Debug, Parser)]
 #[command(name = "portfield", version)]
 pub struct Args {
@@ -21,12 +21,12 @@
     pub check: bool,
 }
 
-/// Reads the arguments and the settings, and runs the process with `n_threads` threads beside
-/// the main one.
+/// Parses the command line, loads the settings and runs the process on the main thread and
+/// `n_threads` more. Returns after loading the settings if `--check` was given.
 ///
 /// # Errors
 ///
-/// Where the settings are not acceptable, or what `run` says.
+/// Returns an error if the settings are invalid, or the error of `run`.
 pub fn run<S, F>(
     load_settings: impl FnOnce(&std::path::Path) -> Result<S, settings::Error>,
     n_threads: usize,
@@ -45,13 +45,14 @@
     rt.block_on(n_threads, run(rt.clone(), settings))
 }
 
-/// Waits until the process is told to stop.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Where signals cannot be waited for.
+/// Returns an error if the signal handlers cannot be installed.
 pub async fn shutdown_signal() -> eyre::Result<()> {
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).wrap_err("signals")?;
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int]).wrap_err("cannot install signal handlers")?;
     signals.next().await;
     Ok(())
 }
--- a/crates/portfield-net/src/panics.rs
+++ b/crates/portfield-net/src/panics.rs
@@ -1,15 +1,14 @@
-//! Keeps what one input does from ending the process.
+//! Catches panics in the processing of a single input.
 //!
-//! A host that ends on an input leaves it to the next one, which ends too: a caller sends its request again, a
-//! configuration and a list are read by all, a datagram comes to all. So what is done with such an input is
-//! given up, with a log line, and the process goes on. Tasks of the host's own are not contained: without them it
-//! does not do its work, and has to start anew.
+//! Without this, one input could end all hosts in turn: a caller sends its request again to the next host, and every
+//! host reads the same configuration, upstream list and datagrams. So a panic only ends the processing of the input
+//! and is logged. Panics in the host's own tasks are not caught: the host cannot work without them and must restart.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use futures_lite::FutureExt;
 
-/// Does something with an input; `None` if that panicked.
+/// Calls a function and returns its result, or `None` if it panicked. `what` names the input in the log.
 ///
 /// # Examples
 ///
@@ -24,7 +23,7 @@
     log_panic(what, res)
 }
 
-/// The same for a future.
+/// Runs a future and returns its output, or `None` if it panicked. `what` names the input in the log.
 pub async fn catch_async<T>(what: &str, f: impl Future<Output = T>) -> Option<T> {
     let res = AssertUnwindSafe(f).catch_unwind().await.ok();
     log_panic(what, res)
@@ -32,7 +31,7 @@
 
 fn log_panic<T>(what: &str, res: Option<T>) -> Option<T> {
     if res.is_none() {
-        log::error!(what; "panic contained");
+        log::error!(what; "panic caught");
     }
     res
 }
--- a/crates/portfield-net/src/sse.rs
+++ b/crates/portfield-net/src/sse.rs
@@ -1,11 +1,11 @@
-//! Server-sent events, taken whole from pieces that end anywhere.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// End of an event.
+/// Terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Collects pieces and gives out whole events.
+/// Buffers chunks of an event stream, which may end anywhere, and returns complete events.
 ///
 /// # Examples
 ///
@@ -26,7 +26,7 @@
 }
 
 impl EventBuffer {
-    /// Adds a piece and returns what it completes, empty if nothing.
+    /// Appends a chunk and returns the bytes of all events that it completes, possibly none.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
         self.partial.extend_from_slice(data);
         let end = self.partial.windows(EVENT_END.len()).rposition(|it| it == EVENT_END);
@@ -39,22 +39,22 @@
         complete
     }
 
-    /// Returns the id of the last whole event that had one.
+    /// Returns the id of the last complete event that had one.
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Returns how many whole events came.
+    /// Returns the number of complete events so far.
     pub fn count(&self) -> u64 {
         self.n_events
     }
 
-    /// Returns whether an event has begun and not ended.
+    /// Returns whether the buffer holds the beginning of an incomplete event.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Takes the bytes of an event that has begun and not ended.
+    /// Removes and returns the bytes of the incomplete event.
     pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
--- a/crates/portfield-net/tests/async_h1_limitations.rs
+++ b/crates/portfield-net/tests/async_h1_limitations.rs
@@ -1,11 +1,11 @@
-//! Why callers and upstreams are not served by `async-h1`: what docs/design/http.md says of
-//! it, held against the library. If one of these fails, the choice is to be weighed anew.
+//! Limitations of `async-h1` for which callers and upstreams are not served by it, see
+//! docs/design/http.md. If a test fails, reconsider that choice.
 
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use http_types::{Request, Response};
 
-/// Serves one connection, sends `bytes` on it, ends the sending side and returns what came back.
+/// Serves one connection, sends `bytes` on it, closes the sending side and returns the response.
 fn exchange(bytes: &'static [u8]) -> String {
     future::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/portfield-net/tests/fd_exhaustion.rs
+++ b/crates/portfield-net/tests/fd_exhaustion.rs
@@ -1,11 +1,12 @@
-//! A process whose descriptors run out. One test only: the limit is the whole process's.
+//! A process that has run out of file descriptors. Only one test, as the limit applies to the whole
+//! process.
 
 use std::{process::Command, time::Duration};
 
 use portfield_net::rt::Runtime;
 
-/// The first wait on a connection of the ready port opened a second reactor: where descriptors had
-/// run out by then, the process ended.
+/// Guards against a panic of the second reactor, that of `async-h1`: it was opened by the first wait
+/// on a connection of the readiness port and panicked if no descriptor was left by then.
 #[test]
 fn timers_work_after_descriptors_run_out() {
     Runtime::default().block_on(0, async {
--- a/crates/portfield-net/tests/panics.rs
+++ b/crates/portfield-net/tests/panics.rs
@@ -1,9 +1,9 @@
-//! What one input does ends no process.
+//! Panics in the processing of one input.
 
 use futures_lite::future;
 use portfield_net::panics;
 
-/// A request that ended the host that read it went to the next one.
+/// Guards against a request that ends one host after the other: callers send it again to the next.
 #[test]
 fn panic_ends_only_the_future_that_panicked() {
     let panicking = async {
