--- a/crates/portfield-net/src/http1.rs
+++ b/crates/portfield-net/src/http1.rs
@@ -73,7 +73,7 @@
     /// See [`Error`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let text = self.send(Method::Get, path, Vec::new()).await?;
-        parse(&text)
+        parse_json(&text)
     }
 
     /// Reads a JSON value, and a header of the answer where it has it.
@@ -84,11 +84,11 @@
     pub async fn get_with_header<T: DeserializeOwned>(
         &self,
         path: &str,
-        name: &str,
+        header: &str,
     ) -> Result<(T, Option<String>), Error> {
         let request = self.request(Method::Get, path, Vec::new())?;
-        let (text, value) = self.exchange(request, name).await?;
-        Ok((parse(&text)?, value))
+        let (text, value) = self.exchange(request, header).await?;
+        Ok((parse_json(&text)?, value))
     }
 
     /// Reads a JSON value unless it is still the one named by `tag` (RFC 9110, section 13.1.2);
@@ -109,7 +109,7 @@
             Err(Error::Status(304, _)) => return Ok(None),
             Err(err) => return Err(err),
         };
-        Ok(Some((parse(&text)?, tag.unwrap_or_default())))
+        Ok(Some((parse_json(&text)?, tag.unwrap_or_default())))
     }
 
     /// Sends a JSON value and reads one.
@@ -124,7 +124,7 @@
     ) -> Result<T, Error> {
         let body = serde_json::to_vec(body).map_err(|err| Error::InvalidBody(err.to_string()))?;
         let text = self.send(Method::Post, path, body).await?;
-        parse(&text)
+        parse_json(&text)
     }
 
     /// Sends a request and returns the body of its answer.
@@ -150,29 +150,31 @@
     async fn exchange(
         &self,
         request: Request,
-        name: &str,
+        header: &str,
     ) -> Result<(String, Option<String>), Error> {
         let connect = self.connector.connect(&self.data_centre, self.address);
         let stream = connect.await.map_err(|err| Error::NotSent(err.to_string()))?;
-        let late = || Err(Error::OutcomeUnknown("no answer in time".to_owned()));
-        clock::timeout(self.timeout, exchange(stream, request, name)).await.unwrap_or_else(late)
+        let timed_out = || Err(Error::OutcomeUnknown("no answer in time".to_owned()));
+        clock::timeout(self.timeout, exchange(stream, request, header))
+            .await
+            .unwrap_or_else(timed_out)
     }
 }
 
 async fn exchange(
     stream: TcpStream,
     request: Request,
-    name: &str,
+    header: &str,
 ) -> Result<(String, Option<String>), Error> {
-    let unclear = |err: http_types::Error| Error::OutcomeUnknown(err.to_string());
-    let mut response = async_h1::connect(stream, request).await.map_err(unclear)?;
-    let header = |name: &str| response.header(name).map(|it| it.as_str().to_owned());
-    let (length, value) = (header("content-length"), header(name));
+    let unknown = |err: http_types::Error| Error::OutcomeUnknown(err.to_string());
+    let mut response = async_h1::connect(stream, request).await.map_err(unknown)?;
+    let value_of = |name: &str| response.header(name).map(|it| it.as_str().to_owned());
+    let (length, value) = (value_of("content-length"), value_of(header));
     let status = response.status();
     if status == StatusCode::NotModified {
         return Err(Error::Status(status.into(), String::new()));
     }
-    let text = response.body_string().await.map_err(unclear)?;
+    let text = response.body_string().await.map_err(unknown)?;
     // The library hands over a body cut short as if it were whole.
     if length.is_some_and(|it| it.parse() != Ok(text.len())) {
         return Err(Error::OutcomeUnknown("the answer was cut short".to_owned()));
@@ -183,7 +185,7 @@
     Err(Error::Status(status.into(), text))
 }
 
-fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
+fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     serde_json::from_str(text).map_err(|err| Error::InvalidBody(err.to_string()))
 }
 
@@ -201,11 +203,11 @@
         let handler = handler.clone();
         rt.spawn(async move {
             let _ = stream.set_nodelay(true);
-            let answer = |request| {
+            let respond = |request| {
                 let res = handler(request);
                 async { Ok(res.await) }
             };
-            if let Err(err) = async_h1::accept(stream, answer).await {
+            if let Err(err) = async_h1::accept(stream, respond).await {
                 log::debug!("connection ended: {err}");
             }
         });
--- a/crates/portfield-net/src/panics.rs
+++ b/crates/portfield-net/src/panics.rs
@@ -31,7 +31,7 @@
 
 fn log_panic<T>(what: &str, res: Option<T>) -> Option<T> {
     if res.is_none() {
-        log::error!(what; "panic caught");
+        log::error!(what; "panic contained");
     }
     res
 }
--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -94,13 +94,13 @@
 /// A client of the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
-    target: Client,
+    client: Client,
 }
 
 impl PlatformClient {
     /// Builds a client.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self { target: Client { timeout, ..Client::direct(address) } }
+        Self { client: Client { timeout, ..Client::direct(address) } }
     }
 
     /// Reads rows; one that does not exist has version [`ABSENT_VERSION`].
@@ -109,7 +109,7 @@
     ///
     /// Where the platform does not answer.
     pub async fn read_rows(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
-        self.target.post("/read", &keys).await
+        self.client.post("/read", &keys).await
     }
 
     /// Reads one row.
@@ -128,7 +128,7 @@
     ///
     /// [`http1::Error::OutcomeUnknown`] where it may have been applied all the same.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, http1::Error> {
-        self.target.post("/commit", transaction).await
+        self.client.post("/commit", transaction).await
     }
 
     /// Reads an object.
@@ -137,7 +137,7 @@
     ///
     /// Where the store does not answer or has no such object.
     pub async fn read_object(&self, name: &str) -> Result<String, http1::Error> {
-        self.target.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
+        self.client.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
     }
 
     /// Writes an object.
@@ -146,7 +146,7 @@
     ///
     /// Where the store does not answer.
     pub async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), http1::Error> {
-        self.target.send(Method::Put, &format!("/objects/{name}"), body).await.map(|_| ())
+        self.client.send(Method::Put, &format!("/objects/{name}"), body).await.map(|_| ())
     }
 
     /// Reads the host list.
@@ -155,7 +155,7 @@
     ///
     /// Where the platform does not answer.
     pub async fn read_hosts(&self) -> Result<Vec<Host>, http1::Error> {
-        self.target.get("/hosts").await
+        self.client.get("/hosts").await
     }
 
     /// Reads the host list unless it is still the one named by `tag`; returns its new tag.
@@ -167,6 +167,6 @@
         &self,
         tag: &str,
     ) -> Result<Option<(Vec<Host>, String)>, http1::Error> {
-        self.target.get_if_changed("/hosts", tag).await
+        self.client.get_if_changed("/hosts", tag).await
     }
 }
