--- a/crates/portfield-net/src/http1.rs
+++ b/crates/portfield-net/src/http1.rs
@@ -1,7 +1,8 @@
-//! Small HTTP/1.1 exchanges over `async-h1`: admin ports, the platform, load reports.
+//! HTTP/1.1 client and server for small exchanges over `async-h1`: admin ports, the platform, load
+//! reports.
 //!
-//! Callers' requests and upstreams' answers do not go through here; docs/design/http.md
-//! says why.
+//! Not for requests of callers and responses of upstreams: `async-h1` accepts truncated bodies and
+//! drops pipelined requests, see docs/design/http.md.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -13,19 +14,19 @@
 
 use crate::{clock, connector::Connector, rt::Runtime};
 
-/// Connections that may wait to be accepted: many callers may come at one moment.
+/// Connections that may wait to be accepted, enough for many clients that connect at once.
 const BACKLOG: i32 = 4096;
 
-/// Why an exchange failed.
+/// Failure of an exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// No connection could be opened: the request did not run.
+    /// The request could not be built or no connection opened, so it did not run.
     NotSent(String),
-    /// The connection broke or took too long: the request may have run.
+    /// The connection broke or the exchange timed out, so the request may have run.
     OutcomeUnknown(String),
-    /// The answer's status is not 200; with its body.
+    /// The response has a status other than 200; with its body.
     Status(u16, String),
-    /// The answer's body is not what it should be.
+    /// The body of the request or the response is not valid.
     InvalidBody(String),
 }
 
@@ -33,30 +34,30 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NotSent(it) => write!(f, "not sent: {it}"),
-            Self::OutcomeUnknown(it) => write!(f, "sent, but the answer was lost: {it}"),
+            Self::OutcomeUnknown(it) => write!(f, "sent, but the response was lost: {it}"),
             Self::Status(status, body) => write!(f, "answered {status}: {body}"),
-            Self::InvalidBody(it) => write!(f, "answered something else: {it}"),
+            Self::InvalidBody(it) => write!(f, "invalid body: {it}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Where to send a request, and how long to wait for its answer.
+/// Client of one server, with a connection per request.
 #[derive(Debug, Clone)]
 pub struct Client {
     /// Address of the server.
     pub address: SocketAddr,
-    /// Its data centre, empty where no relay is needed.
+    /// Data centre of the server, empty if no relay is needed.
     pub data_centre: String,
-    /// Relays.
+    /// Opens the connections.
     pub connector: Connector,
-    /// Longest time for the whole exchange.
+    /// Time limit for an exchange once the connection is open.
     pub timeout: Duration,
 }
 
 impl Client {
-    /// Builds a target that is reached directly, within two seconds.
+    /// Creates a client that connects without a relay and waits two seconds for a response.
     pub fn direct(address: SocketAddr) -> Self {
         Self {
             address,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Reads a JSON value.
+    /// Gets a JSON value.
     ///
     /// # Errors
     ///
@@ -76,7 +77,7 @@
         parse_json(&text)
     }
 
-    /// Reads a JSON value, and a header of the answer where it has it.
+    /// Gets a JSON value, and a header of the response if present.
     ///
     /// # Errors
     ///
@@ -91,8 +92,8 @@
         Ok((parse_json(&text)?, value))
     }
 
-    /// Reads a JSON value unless it is still the one named by `tag` (RFC 9110, section 13.1.2);
-    /// returns it with its new tag.
+    /// Gets a JSON value and its entity tag, or `None` if the value still has the entity tag `tag`
+    /// (RFC 9110, section 13.1.2).
     ///
     /// # Errors
     ///
@@ -112,7 +113,7 @@
         Ok(Some((parse_json(&text)?, tag.unwrap_or_default())))
     }
 
-    /// Sends a JSON value and reads one.
+    /// Posts a JSON value and returns the JSON value of the response.
     ///
     /// # Errors
     ///
@@ -127,7 +128,7 @@
         parse_json(&text)
     }
 
-    /// Sends a request and returns the body of its answer.
+    /// Sends a request and returns the body of the response.
     ///
     /// # Errors
     ///
@@ -146,7 +147,7 @@
         Ok(res)
     }
 
-    /// Returns the answer's body, and one of its headers where it has it.
+    /// Sends a request and returns the response's body, and a header of it if present.
     async fn exchange(
         &self,
         request: Request,
@@ -154,7 +155,8 @@
     ) -> Result<(String, Option<String>), Error> {
         let connect = self.connector.connect(&self.data_centre, self.address);
         let stream = connect.await.map_err(|err| Error::NotSent(err.to_string()))?;
-        let timed_out = || Err(Error::OutcomeUnknown("no answer in time".to_owned()));
+        let timed_out =
+            || Err(Error::OutcomeUnknown("timed out waiting for the response".to_owned()));
         clock::timeout(self.timeout, exchange(stream, request, header))
             .await
             .unwrap_or_else(timed_out)
@@ -175,9 +177,9 @@
         return Err(Error::Status(status.into(), String::new()));
     }
     let text = response.body_string().await.map_err(unknown)?;
-    // The library hands over a body cut short as if it were whole.
+    // The library returns a truncated body as if it were complete.
     if length.is_some_and(|it| it.parse() != Ok(text.len())) {
-        return Err(Error::OutcomeUnknown("the answer was cut short".to_owned()));
+        return Err(Error::OutcomeUnknown("the response was truncated".to_owned()));
     }
     if status == StatusCode::Ok {
         return Ok((text, value));
@@ -214,14 +216,14 @@
     }
 }
 
-/// Builds a handler for [`serve`] from a function that answers without waiting.
+/// Turns a synchronous function into a handler for [`serve`].
 pub fn sync_handler(
     f: impl Fn(&Request) -> Response + Clone,
 ) -> impl Fn(Request) -> std::future::Ready<Response> + Clone {
     move |request| std::future::ready(f(&request))
 }
 
-/// Builds a JSON answer.
+/// Builds a response with a JSON body.
 pub fn json_response(status: u16, value: &impl Serialize) -> Response {
     let mut res = Response::new(status);
     res.set_content_type(http_types::mime::JSON);
@@ -233,18 +235,18 @@
 ///
 /// # Errors
 ///
-/// The answer to give where the body is something else.
+/// Returns a response with status 400 if the body is not such a value.
 pub async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
     let text = request.body_string().await.unwrap_or_default();
     serde_json::from_str(&text)
         .map_err(|err| json_response(400, &serde_json::json!({ "error": err.to_string() })))
 }
 
-/// Binds a listener; port 0 takes any free port.
+/// Binds a listener and returns it with its address. Port 0 takes any free port.
 ///
 /// # Errors
 ///
-/// Whatever the socket says.
+/// Returns the socket's error.
 pub async fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -1,8 +1,8 @@
-//! Clients of the platform: the transactional table service, the object store, the host list.
+//! Client of the platform: its transactional table, object store and host list.
 //!
-//! The table service takes a transaction of checks and writes: it applies all writes or
-//! none, and says which check failed. An answer that is lost leaves the outcome unclear;
-//! callers read back what they wrote.
+//! A transaction consists of checks and writes. The table applies all writes, or none if a check
+//! fails, and then returns the rows that differ. If the response is lost, the outcome is unknown and
+//! the rows must be read to find out.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,7 +20,7 @@
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Grows with each write; [`ABSENT_VERSION`] where there is no row.
+    /// Grows with each write; [`ABSENT_VERSION`] if the row does not exist.
     pub version: u64,
     /// Its value.
     pub value: String,
@@ -29,18 +29,18 @@
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// The version that it must have.
+    /// Version that the row must have.
     pub version: u64,
 }
 
 /// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its new value.
+    /// New value of the row.
     pub value: String,
 }
 
@@ -53,34 +53,34 @@
     pub puts: Vec<Put>,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommitOutcome {
     /// All writes were applied.
     Applied,
-    /// A check failed; with the rows that differ as they are.
+    /// A check failed and nothing was written; with the current rows whose versions differ.
     Conflict(Vec<Row>),
 }
 
-/// A host as the platform lists it.
+/// A host in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Address of its scheduler; its IP number names the host.
+    /// Address of the scheduler. Its IP address identifies the host.
     pub scheduler: SocketAddr,
-    /// Address that its router serves callers on.
+    /// Address of the router for callers.
     pub router: SocketAddr,
-    /// Address of its router's admin port.
+    /// Address of the router's admin port.
     pub router_admin: SocketAddr,
-    /// Address of its scheduler's admin port.
+    /// Address of the scheduler's admin port.
     pub scheduler_admin: SocketAddr,
-    /// Name of its data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// The platform is about to take it away.
+    /// The platform is about to remove the host.
     pub leaving: bool,
 }
 
 impl Host {
-    /// Returns the entry for membership.
+    /// Returns the host's entry in the list that membership uses.
     pub fn list_entry(&self) -> ListEntry {
         ListEntry {
             host: self.scheduler.ip(),
@@ -98,16 +98,16 @@
 }
 
 impl PlatformClient {
-    /// Builds a client.
+    /// Creates a client; `timeout` limits each exchange.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { client: Client { timeout, ..Client::direct(address) } }
     }
 
-    /// Reads rows; one that does not exist has version [`ABSENT_VERSION`].
+    /// Reads rows. A row that does not exist has version [`ABSENT_VERSION`].
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
+    /// Returns an error if the platform does not respond.
     pub async fn read_rows(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
         self.client.post("/read", &keys).await
     }
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
+    /// Returns an error if the platform does not respond.
     pub async fn read_row(&self, key: &str) -> Result<Row, http1::Error> {
         let rows = self.read_rows(&[key.to_owned()]).await?;
         rows.into_iter().next().ok_or(http1::Error::InvalidBody("no row".to_owned()))
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// [`http1::Error::OutcomeUnknown`] where it may have been applied all the same.
+    /// Returns [`http1::Error::OutcomeUnknown`] if the transaction may have been applied.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, http1::Error> {
         self.client.post("/commit", transaction).await
     }
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// Where the store does not answer or has no such object.
+    /// Returns an error if the store does not respond or has no such object.
     pub async fn read_object(&self, name: &str) -> Result<String, http1::Error> {
         self.client.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
     }
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Where the store does not answer.
+    /// Returns an error if the store does not respond.
     pub async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), http1::Error> {
         self.client.send(Method::Put, &format!("/objects/{name}"), body).await.map(|_| ())
     }
@@ -153,16 +153,16 @@
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
+    /// Returns an error if the platform does not respond.
     pub async fn read_hosts(&self) -> Result<Vec<Host>, http1::Error> {
         self.client.get("/hosts").await
     }
 
-    /// Reads the host list unless it is still the one named by `tag`; returns its new tag.
+    /// Reads the host list and its entity tag, or `None` if it still has the entity tag `tag`.
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
+    /// Returns an error if the platform does not respond.
     pub async fn read_hosts_if_changed(
         &self,
         tag: &str,
