--- a/crates/portfield-net/src/http1.rs
+++ b/crates/portfield-net/src/http1.rs
@@ -210,7 +210,7 @@
                 async { Ok(res.await) }
             };
             if let Err(err) = async_h1::accept(stream, respond).await {
-                log::debug!("connection ended: {err}");
+                log::debug!("connection failed: {err}");
             }
         });
     }
--- a/crates/portfield-net/src/logs.rs
+++ b/crates/portfield-net/src/logs.rs
@@ -21,20 +21,20 @@
 use crate::clock;
 
 /// Lines that wait for a slow reader before more are left out; at 300 bytes each, 300 KB.
-const QUEUED_LINES: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 /// Time for which lines are gathered before they are written together.
 pub const BATCH_PERIOD: Duration = Duration::from_millis(50);
 /// Time over which a burst above the rate is let through.
-const BURST: Duration = Duration::from_secs(2);
+const BURST_TIME: Duration = Duration::from_secs(2);
 /// Time between two lines that tell what was left out.
-const OMITTED_PERIOD: Duration = Duration::from_secs(1);
+const OMITTED_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends the process's logs to standard error, one JSON object a line.
 pub fn init() {
-    apply(Stderr::default().with_layout(JsonLayout::default()));
+    install(Stderr::default().with_layout(JsonLayout::default()));
 }
 
-/// Sends the process's logs to standard output, one JSON object a line, at most `lines_s` a
+/// Sends the process's logs to standard output, one JSON object a line, at most `rate` a
 /// second; what is above that, or what a slow reader holds up, is left out and counted.
 ///
 /// Nothing that logs ever waits for the reader: a thread of its own writes.
@@ -42,8 +42,8 @@
 /// # Errors
 ///
 /// Where the thread cannot be started.
-pub fn init_rate_limited(lines_s: u32) -> io::Result<()> {
-    let (sender, receiver) = sync_channel::<Vec<u8>>(QUEUED_LINES);
+pub fn init_rate_limited(rate: u32) -> io::Result<()> {
+    let (sender, receiver) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
     thread::Builder::new().name("logs".to_owned()).spawn(move || {
         let mut out = io::stdout().lock();
         while let Ok(mut lines) = receiver.recv() {
@@ -56,11 +56,11 @@
             }
         }
     })?;
-    apply(RateLimitedAppender::new(lines_s, sender));
+    install(RateLimitedAppender::new(rate, sender));
     Ok(())
 }
 
-fn apply(append: impl Into<Box<dyn Append>>) {
+fn install(append: impl Into<Box<dyn Append>>) {
     logforth::starter_log::builder()
         .dispatch(|it| it.filter(LevelFilter::MoreSevereEqual(Level::Info)).append(append))
         .apply();
@@ -71,40 +71,40 @@
 pub struct RateLimitedAppender {
     layout: JsonLayout,
     sender: SyncSender<Vec<u8>>,
-    state: Mutex<State>,
+    limit: Mutex<RateLimit>,
 }
 
 #[derive(Debug)]
-struct State {
-    lines_s: f64,
-    allowance: f64,
-    at: Duration,
+struct RateLimit {
+    rate: f64,
+    tokens: f64,
+    refilled_at: Duration,
     omitted: BTreeMap<String, u64>,
-    told: Duration,
+    reported_at: Duration,
 }
 
 impl RateLimitedAppender {
-    /// Builds an appender that hands at most `lines_s` lines a second to a channel.
-    pub fn new(lines_s: u32, sender: SyncSender<Vec<u8>>) -> Self {
-        let lines_s = f64::from(lines_s);
-        let state = State {
-            lines_s,
-            allowance: lines_s * BURST.as_secs_f64(),
-            at: Duration::ZERO,
+    /// Builds an appender that hands at most `rate` lines a second to a channel.
+    pub fn new(rate: u32, sender: SyncSender<Vec<u8>>) -> Self {
+        let rate = f64::from(rate);
+        let limit = RateLimit {
+            rate,
+            tokens: rate * BURST_TIME.as_secs_f64(),
+            refilled_at: Duration::ZERO,
             omitted: BTreeMap::new(),
-            told: Duration::ZERO,
+            reported_at: Duration::ZERO,
         };
-        Self { layout: JsonLayout::default(), sender, state: Mutex::new(state) }
+        Self { layout: JsonLayout::default(), sender, limit: Mutex::new(limit) }
     }
 
-    fn tell_omitted(&self, state: &mut State, now: Duration) {
-        if state.omitted.is_empty() || now < state.told + OMITTED_PERIOD {
+    fn report_omitted(&self, limit: &mut RateLimit, now: Duration) {
+        if limit.omitted.is_empty() || now < limit.reported_at + OMITTED_INTERVAL {
             return;
         }
-        state.told = now;
-        let line = serde_json::json!({ "message": "lines left out", "kvs": state.omitted });
+        limit.reported_at = now;
+        let line = serde_json::json!({ "message": "lines left out", "kvs": limit.omitted });
         if self.sender.try_send(format!("{line}\n").into_bytes()).is_ok() {
-            state.omitted.clear();
+            limit.omitted.clear();
         }
     }
 }
@@ -112,22 +112,22 @@
 impl Append for RateLimitedAppender {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now = clock::now();
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let most = state.lines_s * BURST.as_secs_f64();
-        let earned = now.saturating_sub(state.at).as_secs_f64() * state.lines_s;
-        state.allowance = (state.allowance + earned).min(most);
-        state.at = now;
-        self.tell_omitted(&mut state, now);
-        let mut sent = false;
-        if 1.0 <= state.allowance {
+        let mut limit = self.limit.lock().unwrap_or_else(PoisonError::into_inner);
+        let capacity = limit.rate * BURST_TIME.as_secs_f64();
+        let refill = now.saturating_sub(limit.refilled_at).as_secs_f64() * limit.rate;
+        limit.tokens = (limit.tokens + refill).min(capacity);
+        limit.refilled_at = now;
+        self.report_omitted(&mut limit, now);
+        let mut is_sent = false;
+        if 1.0 <= limit.tokens {
             let mut line = self.layout.format(record, diags)?;
             line.push(b'\n');
-            sent = self.sender.try_send(line).is_ok();
+            is_sent = self.sender.try_send(line).is_ok();
         }
-        if sent {
-            state.allowance -= 1.0;
+        if is_sent {
+            limit.tokens -= 1.0;
         } else {
-            *state.omitted.entry(record.payload().to_string()).or_default() += 1;
+            *limit.omitted.entry(record.payload().to_string()).or_default() += 1;
         }
         Ok(())
     }
--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -119,7 +119,9 @@
     /// Returns an error if the platform does not respond.
     pub async fn read_row(&self, key: &str) -> Result<Row, http1::Error> {
         let rows = self.read_rows(&[key.to_owned()]).await?;
-        rows.into_iter().next().ok_or(http1::Error::InvalidBody("no row".to_owned()))
+        rows.into_iter()
+            .next()
+            .ok_or(http1::Error::InvalidBody("the response has no row".to_owned()))
     }
 
     /// Applies a transaction.
--- a/crates/portfield-net/src/rpc.rs
+++ b/crates/portfield-net/src/rpc.rs
@@ -28,17 +28,17 @@
 };
 
 /// Time between two pings of an idle connection.
-const PING_PERIOD: Duration = Duration::from_secs(3);
+const PING_INTERVAL: Duration = Duration::from_secs(3);
 /// Time in which a ping is answered.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
-static SENT: AtomicU64 = AtomicU64::new(0);
-static RECEIVED: AtomicU64 = AtomicU64::new(0);
+static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
+static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the bytes of control traffic that this process sent and received so far,
 /// framing included.
 pub fn control_traffic() -> (u64, u64) {
-    (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
+    (SENT_BYTES.load(Ordering::Relaxed), RECEIVED_BYTES.load(Ordering::Relaxed))
 }
 
 /// One connection to a scheduler.
@@ -58,9 +58,9 @@
         let authority = stream.peer_addr()?.to_string().parse().map_err(io::Error::other)?;
         let (sender, connection) = client::Builder::new(rt.clone())
             .timer(HyperTimer)
-            .keep_alive_interval(PING_PERIOD)
+            .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
-            .handshake(FuturesIo::new(Counted { stream }))
+            .handshake(FuturesIo::new(CountingStream { stream }))
             .await
             .map_err(io::Error::other)?;
         rt.spawn(async move {
@@ -121,12 +121,12 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let adapter = Adapter { service: service.clone() };
+        let adapter = TonicAdapter { service: service.clone() };
         let connection = server::Builder::new(rt.clone())
             .timer(HyperTimer)
-            .keep_alive_interval(PING_PERIOD)
+            .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
-            .serve_connection(FuturesIo::new(Counted { stream }), adapter);
+            .serve_connection(FuturesIo::new(CountingStream { stream }), adapter);
         rt.spawn(async move {
             let _ = connection.await;
         });
@@ -134,11 +134,11 @@
 }
 
 /// Gives hyper a tonic service.
-struct Adapter<T> {
+struct TonicAdapter<T> {
     service: T,
 }
 
-impl<T, F> hyper::service::Service<http::Request<Incoming>> for Adapter<T>
+impl<T, F> hyper::service::Service<http::Request<Incoming>> for TonicAdapter<T>
 where
     T: Service<http::Request<Body>, Response = http::Response<Body>, Future = F> + Clone,
     F: Future<Output = Result<http::Response<Body>, T::Error>> + Send + 'static,
@@ -181,30 +181,30 @@
 impl hyper::rt::Sleep for Sleep {}
 
 /// A stream whose bytes are counted as control traffic.
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let res = Pin::new(&mut self.stream).poll_read(cx, buf);
-        count(&RECEIVED, &res);
+        count_bytes(&RECEIVED_BYTES, &res);
         res
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let res = Pin::new(&mut self.stream).poll_write(cx, buf);
-        count(&SENT, &res);
+        count_bytes(&SENT_BYTES, &res);
         res
     }
 
@@ -217,7 +217,7 @@
     }
 }
 
-fn count(counter: &AtomicU64, res: &Poll<io::Result<usize>>) {
+fn count_bytes(counter: &AtomicU64, res: &Poll<io::Result<usize>>) {
     if let Poll::Ready(Ok(n)) = res {
         counter.fetch_add(*n as u64, Ordering::Relaxed);
     }
--- a/crates/portfield-net/src/rt.rs
+++ b/crates/portfield-net/src/rt.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 
 /// A time that does not pass before it is asked for.
-const FAR_AWAY: Duration = Duration::from_secs(3600);
+const FAR_FUTURE: Duration = Duration::from_secs(3600);
 
 /// A handle on the process's executor.
 #[derive(Debug, Clone, Default)]
@@ -17,7 +17,7 @@
 impl Runtime {
     /// Runs a future to its end, with `n_threads` more threads for what it spawns.
     pub fn block_on<T>(&self, n_threads: usize, f: impl Future<Output = T>) -> T {
-        open_reactors();
+        init_reactors();
         let (stop, stopped) = async_channel::bounded::<()>(1);
         thread::scope(|scope| {
             for _ in 0..n_threads {
@@ -49,10 +49,10 @@
 ///
 /// Each opens with the first timer that is waited for, and ends the process where descriptors have
 /// run out by then: at the start there are some.
-fn open_reactors() {
-    let ours = future::poll_once(async_io::Timer::after(FAR_AWAY));
-    let older = future::poll_once(async_io_1::Timer::after(FAR_AWAY));
-    let _ = future::block_on(future::zip(ours, older));
+fn init_reactors() {
+    let current = future::poll_once(async_io::Timer::after(FAR_FUTURE));
+    let legacy = future::poll_once(async_io_1::Timer::after(FAR_FUTURE));
+    let _ = future::block_on(future::zip(current, legacy));
 }
 
 impl<F> hyper::rt::Executor<F> for Runtime
