--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -43,14 +43,14 @@
         ready:% = ready_address, metrics:% = metrics_address, peers:% = peers_address,
         version = env!("CARGO_PKG_VERSION"); "started"
     );
-    if !clock::counts_sleep() {
+    if !clock::counts_suspend() {
         log::warn!(name = host.settings().name; "no clock counts time in system sleep");
     }
     let state = host.clone();
-    let handler = http1::at_once(move |it| admin::readiness(&state, it));
+    let handler = http1::sync_handler(move |it| admin::readiness(&state, it));
     rt.spawn(http1::serve(rt.clone(), ready, handler));
     let state = host.clone();
-    let handler = http1::at_once(move |it| admin::handle_operator(&state, it));
+    let handler = http1::sync_handler(move |it| admin::handle_operator(&state, it));
     rt.spawn(http1::serve(rt.clone(), metrics, handler));
     rt.spawn(rpc::serve(
         rt.clone(),
@@ -61,7 +61,7 @@
     rt.spawn(monitor_load(host.clone()));
     store_watch::start(&host, pending_writes);
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let serving = rt.task(server::serve(host.clone(), listener, stopped));
+    let serving = rt.spawn_cancellable(server::serve(host.clone(), listener, stopped));
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload(&host, &path);
     }
@@ -134,7 +134,7 @@
 }
 
 /// Time for the last log lines to be written.
-const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::GATHER);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20).saturating_add(logs::BATCH_PERIOD);
 
 /// Reloads the settings; those that need a restart keep their value.
 fn reload(host: &Arc<Host>, path: &std::path::Path) {
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -14,7 +14,7 @@
         let length = self.suspend_detector().tick(clock::now())?;
         log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host was suspended");
         self.metrics.count("stood_still");
-        clock::woke();
+        clock::wake_waiters();
         self.balancer().record_suspension(length);
         self.peers().clear_forwards();
         Some(length)
--- a/crates/portfield-net/src/http1.rs
+++ b/crates/portfield-net/src/http1.rs
@@ -1,7 +1,8 @@
-//! Small HTTP/1.1 exchanges over `async-h1`: admin ports, the platform, load reports.
+//! HTTP/1.1 client and server for small exchanges over `async-h1`: admin ports, the platform, load
+//! reports.
 //!
-//! Callers' requests and upstreams' answers do not go through here; docs/design/http.md
-//! says why.
+//! Not for requests of callers and responses of upstreams: `async-h1` accepts truncated bodies and
+//! drops pipelined requests, see docs/design/http.md.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -11,72 +12,72 @@
 use serde::{Serialize, de::DeserializeOwned};
 use socket2::{Domain, Socket, Type};
 
-use crate::{clock, dial::Links, rt::Runtime};
+use crate::{clock, connector::Connector, rt::Runtime};
 
-/// Connections that may wait to be accepted: many callers may come at one moment.
+/// Connections that may wait to be accepted, enough for many clients that connect at once.
 const BACKLOG: i32 = 4096;
 
-/// Why an exchange failed.
+/// Failure of an exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// No connection could be opened: the request did not run.
-    Unsent(String),
-    /// The connection broke or took too long: the request may have run.
-    Unclear(String),
-    /// The answer's status is not 200; with its body.
+    /// The request could not be built or no connection opened, so it did not run.
+    NotSent(String),
+    /// The connection broke or the exchange timed out, so the request may have run.
+    OutcomeUnknown(String),
+    /// The response has a status other than 200; with its body.
     Status(u16, String),
-    /// The answer's body is not what it should be.
-    Body(String),
+    /// The body of the request or the response is not valid.
+    InvalidBody(String),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Unsent(it) => write!(f, "not sent: {it}"),
-            Self::Unclear(it) => write!(f, "sent, but the answer was lost: {it}"),
+            Self::NotSent(it) => write!(f, "not sent: {it}"),
+            Self::OutcomeUnknown(it) => write!(f, "sent, but the response was lost: {it}"),
             Self::Status(status, body) => write!(f, "answered {status}: {body}"),
-            Self::Body(it) => write!(f, "answered something else: {it}"),
+            Self::InvalidBody(it) => write!(f, "invalid body: {it}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Where to send a request, and how long to wait for its answer.
+/// Client of one server, with a connection per request.
 #[derive(Debug, Clone)]
-pub struct Target {
+pub struct Client {
     /// Address of the server.
     pub address: SocketAddr,
-    /// Its data centre, empty where no relay is needed.
+    /// Data centre of the server, empty if no relay is needed.
     pub data_centre: String,
-    /// Relays.
-    pub links: Links,
-    /// Longest time for the whole exchange.
+    /// Opens the connections.
+    pub connector: Connector,
+    /// Time limit for an exchange once the connection is open.
     pub timeout: Duration,
 }
 
-impl Target {
-    /// Builds a target that is reached directly, within two seconds.
+impl Client {
+    /// Creates a client that connects without a relay and waits two seconds for a response.
     pub fn direct(address: SocketAddr) -> Self {
         Self {
             address,
             data_centre: String::new(),
-            links: Links::default(),
+            connector: Connector::default(),
             timeout: Duration::from_secs(2),
         }
     }
 
-    /// Reads a JSON value.
+    /// Gets a JSON value.
     ///
     /// # Errors
     ///
     /// See [`Error`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let text = self.send(Method::Get, path, Vec::new()).await?;
-        parse(&text)
+        parse_json(&text)
     }
 
-    /// Reads a JSON value, and a header of the answer where it has it.
+    /// Gets a JSON value, and a header of the response if present.
     ///
     /// # Errors
     ///
@@ -84,20 +85,20 @@
     pub async fn get_with_header<T: DeserializeOwned>(
         &self,
         path: &str,
-        name: &str,
+        header: &str,
     ) -> Result<(T, Option<String>), Error> {
         let request = self.request(Method::Get, path, Vec::new())?;
-        let (text, value) = self.exchange(request, name).await?;
-        Ok((parse(&text)?, value))
+        let (text, value) = self.exchange(request, header).await?;
+        Ok((parse_json(&text)?, value))
     }
 
-    /// Reads a JSON value unless it is still the one named by `tag` (RFC 9110, section 13.1.2);
-    /// returns it with its new tag.
+    /// Gets a JSON value and its entity tag, or `None` if the value still has the entity tag `tag`
+    /// (RFC 9110, section 13.1.2).
     ///
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn get_changed<T: DeserializeOwned>(
+    pub async fn get_if_changed<T: DeserializeOwned>(
         &self,
         path: &str,
         tag: &str,
@@ -109,10 +110,10 @@
             Err(Error::Status(304, _)) => return Ok(None),
             Err(err) => return Err(err),
         };
-        Ok(Some((parse(&text)?, tag.unwrap_or_default())))
+        Ok(Some((parse_json(&text)?, tag.unwrap_or_default())))
     }
 
-    /// Sends a JSON value and reads one.
+    /// Posts a JSON value and returns the JSON value of the response.
     ///
     /// # Errors
     ///
@@ -122,12 +123,12 @@
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, Error> {
-        let body = serde_json::to_vec(body).map_err(|err| Error::Body(err.to_string()))?;
+        let body = serde_json::to_vec(body).map_err(|err| Error::InvalidBody(err.to_string()))?;
         let text = self.send(Method::Post, path, body).await?;
-        parse(&text)
+        parse_json(&text)
     }
 
-    /// Sends a request and returns the body of its answer.
+    /// Sends a request and returns the body of the response.
     ///
     /// # Errors
     ///
@@ -139,43 +140,46 @@
 
     fn request(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Request, Error> {
         let url = Url::parse(&format!("http://{}{path}", self.address))
-            .map_err(|err| Error::Unsent(err.to_string()))?;
+            .map_err(|err| Error::NotSent(err.to_string()))?;
         let mut res = Request::new(method, url);
         res.insert_header("connection", "close");
         res.set_body(body);
         Ok(res)
     }
 
-    /// Returns the answer's body, and one of its headers where it has it.
+    /// Sends a request and returns the response's body, and a header of it if present.
     async fn exchange(
         &self,
         request: Request,
-        name: &str,
+        header: &str,
     ) -> Result<(String, Option<String>), Error> {
-        let connect = self.links.connect(&self.data_centre, self.address);
-        let stream = connect.await.map_err(|err| Error::Unsent(err.to_string()))?;
-        let late = || Err(Error::Unclear("no answer in time".to_owned()));
-        clock::timeout(self.timeout, exchange(stream, request, name)).await.unwrap_or_else(late)
+        let connect = self.connector.connect(&self.data_centre, self.address);
+        let stream = connect.await.map_err(|err| Error::NotSent(err.to_string()))?;
+        let timed_out =
+            || Err(Error::OutcomeUnknown("timed out waiting for the response".to_owned()));
+        clock::timeout(self.timeout, exchange(stream, request, header))
+            .await
+            .unwrap_or_else(timed_out)
     }
 }
 
 async fn exchange(
     stream: TcpStream,
     request: Request,
-    name: &str,
+    header: &str,
 ) -> Result<(String, Option<String>), Error> {
-    let unclear = |err: http_types::Error| Error::Unclear(err.to_string());
-    let mut response = async_h1::connect(stream, request).await.map_err(unclear)?;
-    let header = |name: &str| response.header(name).map(|it| it.as_str().to_owned());
-    let (length, value) = (header("content-length"), header(name));
+    let unknown = |err: http_types::Error| Error::OutcomeUnknown(err.to_string());
+    let mut response = async_h1::connect(stream, request).await.map_err(unknown)?;
+    let value_of = |name: &str| response.header(name).map(|it| it.as_str().to_owned());
+    let (length, value) = (value_of("content-length"), value_of(header));
     let status = response.status();
     if status == StatusCode::NotModified {
         return Err(Error::Status(status.into(), String::new()));
     }
-    let text = response.body_string().await.map_err(unclear)?;
-    // The library hands over a body cut short as if it were whole.
+    let text = response.body_string().await.map_err(unknown)?;
+    // The library returns a truncated body as if it were complete.
     if length.is_some_and(|it| it.parse() != Ok(text.len())) {
-        return Err(Error::Unclear("the answer was cut short".to_owned()));
+        return Err(Error::OutcomeUnknown("the response was truncated".to_owned()));
     }
     if status == StatusCode::Ok {
         return Ok((text, value));
@@ -183,8 +187,8 @@
     Err(Error::Status(status.into(), text))
 }
 
-fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    serde_json::from_str(text).map_err(|err| Error::Body(err.to_string()))
+fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
+    serde_json::from_str(text).map_err(|err| Error::InvalidBody(err.to_string()))
 }
 
 /// Serves requests on a listener until the process ends.
@@ -201,26 +205,26 @@
         let handler = handler.clone();
         rt.spawn(async move {
             let _ = stream.set_nodelay(true);
-            let answer = |request| {
+            let respond = |request| {
                 let res = handler(request);
                 async { Ok(res.await) }
             };
-            if let Err(err) = async_h1::accept(stream, answer).await {
-                log::debug!("connection ended: {err}");
+            if let Err(err) = async_h1::accept(stream, respond).await {
+                log::debug!("connection failed: {err}");
             }
         });
     }
 }
 
-/// Builds a handler for [`serve`] from a function that answers without waiting.
-pub fn at_once(
+/// Turns a synchronous function into a handler for [`serve`].
+pub fn sync_handler(
     f: impl Fn(&Request) -> Response + Clone,
 ) -> impl Fn(Request) -> std::future::Ready<Response> + Clone {
     move |request| std::future::ready(f(&request))
 }
 
-/// Builds a JSON answer.
-pub fn json(status: u16, value: &impl Serialize) -> Response {
+/// Builds a response with a JSON body.
+pub fn json_response(status: u16, value: &impl Serialize) -> Response {
     let mut res = Response::new(status);
     res.set_content_type(http_types::mime::JSON);
     res.set_body(serde_json::to_vec(value).unwrap_or_default());
@@ -231,18 +235,18 @@
 ///
 /// # Errors
 ///
-/// The answer to give where the body is something else.
-pub async fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
+/// Returns a response with status 400 if the body is not such a value.
+pub async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
     let text = request.body_string().await.unwrap_or_default();
     serde_json::from_str(&text)
-        .map_err(|err| json(400, &serde_json::json!({ "error": err.to_string() })))
+        .map_err(|err| json_response(400, &serde_json::json!({ "error": err.to_string() })))
 }
 
-/// Binds a listener; port 0 takes any free port.
+/// Binds a listener and returns it with its address. Port 0 takes any free port.
 ///
 /// # Errors
 ///
-/// Whatever the socket says.
+/// Returns the socket's error.
 pub async fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/portfield/tests/gossip_simulation/mod.rs
+++ b/crates/portfield/tests/gossip_simulation/mod.rs
@@ -26,13 +26,12 @@
     pub peers: PeerTable,
     pub balancer: Balancer,
     pub quarantine: Quarantine,
-    pub drain_marks: DrainMarks,
-    pub started_at: Duration,
+    pub drains: DrainMarks,
+    pub started: Duration,
     pub next_digest: Duration,
     pub sequence: u64,
     pub incarnation: u64,
     pub is_alive: bool,
-<<<<<<< /tmp/tmpigs6opva
     /// Time of each other host's last digest, direct or relayed, by the hash of the host.
     pub last_heard: HashMap<u64, Duration>,
     /// Time of each other data centre's last summary, and number of hosts that it covers.
@@ -40,72 +39,33 @@
     /// Version of the operator's evacuation orders that it knows.
     pub orders_version: u64,
     /// Version that it is fetching, and when the fetch completes.
-||||||| /tmp/tmp9kgq5nhh
-    /// When each other host's own word was last heard, itself or through the speaker.
-    pub heard: HashMap<u64, Duration>,
-    /// When the sum of each other data centre was last heard, and for how many it spoke.
-    pub sums: HashMap<u32, (Duration, u32)>,
-    /// Version of the operator's orders that it knows.
-    pub orders: u64,
-    /// The version that it fetches, and when it has it.
-=======
-    /// When each other host's own word was last heard, itself or through the speaker.
-    pub heard_at: HashMap<u64, Duration>,
-    /// When the sum of each other data centre was last heard, and for how many it spoke.
-    pub summaries: HashMap<u32, (Duration, u32)>,
-    /// Version of the operator's orders that it knows.
-    pub orders_version: u64,
-    /// The version that it fetches, and when it has it.
->>>>>>> /tmp/tmp156x3dlw
     pub fetching: Option<(u64, Duration)>,
     pub n_sent: u64,
     pub n_received: u64,
 }
 
-<<<<<<< /tmp/tmpigs6opva
 pub struct Simulation {
-||||||| /tmp/tmp9kgq5nhh
-pub struct World {
-=======
-pub struct FleetSim {
->>>>>>> /tmp/tmp156x3dlw
     pub now: Duration,
     pub hosts: Vec<Host>,
     pub in_flight: Vec<(Duration, SocketAddr, SocketAddr, Digest)>,
     /// Percentage of datagrams that are lost.
-    pub loss_percent: u32,
+    pub loss: u32,
     pub rng: fastrand::Rng,
 }
 
-<<<<<<< /tmp/tmpigs6opva
 impl Simulation {
     /// Builds a fleet that starts now; each host knows all others, as from the store, or only the
     /// first `n_seeds` of them.
-||||||| /tmp/tmp9kgq5nhh
-impl World {
-    /// Builds a fleet that starts now; each host knows all others by the store, or only `n_seeds`.
-=======
-impl FleetSim {
-    /// Builds a fleet that starts now; each host knows all others by the store, or only `n_seeds`.
->>>>>>> /tmp/tmp156x3dlw
     pub fn new(n_centres: u32, n_each: u32, n_seeds: Option<usize>) -> Self {
         let mut res = Self {
             now: Duration::from_millis(1),
             hosts: Vec::new(),
             in_flight: Vec::new(),
-            loss_percent: 0,
+            loss: 0,
             rng: fastrand::Rng::with_seed(SEED),
         };
-<<<<<<< /tmp/tmpigs6opva
         (0..n_centres * n_each).for_each(|it| res.add_host(it % n_centres, it));
         res.add_peers(n_seeds);
-||||||| /tmp/tmp9kgq5nhh
-        (0..n_centres * n_each).for_each(|it| res.add(it % n_centres, it));
-        res.meet(n_seeds);
-=======
-        (0..n_centres * n_each).for_each(|it| res.add_host(it % n_centres, it));
-        res.introduce_hosts(n_seeds);
->>>>>>> /tmp/tmp156x3dlw
         res
     }
 
@@ -120,41 +80,23 @@
             peers: PeerTable::new(config, std::iter::empty()),
             balancer: Balancer::new(Duration::from_secs(4)),
             quarantine: Quarantine::default(),
-            drain_marks: DrainMarks::default(),
-            started_at: self.now + jitter,
+            drains: DrainMarks::default(),
+            started: self.now + jitter,
             next_digest: self.now + jitter,
             sequence: 0,
             incarnation: 1,
             is_alive: true,
-<<<<<<< /tmp/tmpigs6opva
             last_heard: HashMap::new(),
             summaries: HashMap::new(),
             orders_version: 0,
-||||||| /tmp/tmp9kgq5nhh
-            heard: HashMap::new(),
-            sums: HashMap::new(),
-            orders: 0,
-=======
-            heard_at: HashMap::new(),
-            summaries: HashMap::new(),
-            orders_version: 0,
->>>>>>> /tmp/tmp156x3dlw
             fetching: None,
             n_sent: 0,
             n_received: 0,
         });
     }
 
-<<<<<<< /tmp/tmpigs6opva
     /// Adds the other hosts to each host's table.
     pub fn add_peers(&mut self, n_seeds: Option<usize>) {
-||||||| /tmp/tmp9kgq5nhh
-    /// Lets each host know of the others.
-    pub fn meet(&mut self, n_seeds: Option<usize>) {
-=======
-    /// Lets each host know of the others.
-    pub fn introduce_hosts(&mut self, n_seeds: Option<usize>) {
->>>>>>> /tmp/tmp156x3dlw
         let all: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         for host in &mut self.hosts {
             match n_seeds {
@@ -164,16 +106,8 @@
         }
     }
 
-<<<<<<< /tmp/tmpigs6opva
     /// Restarts a dead host at the same address.
     pub fn restart(&mut self, i: usize) {
-||||||| /tmp/tmp9kgq5nhh
-    /// Starts a dead host anew at the same address.
-    pub fn revive(&mut self, i: usize) {
-=======
-    /// Starts a dead host anew at the same address.
-    pub fn restart_host(&mut self, i: usize) {
->>>>>>> /tmp/tmp156x3dlw
         let known: Vec<_> = self.hosts.iter().map(|it| (it.address, it.data_centre)).collect();
         let now = self.now;
         let host = &mut self.hosts[i];
@@ -186,13 +120,13 @@
         known.iter().for_each(|it| host.peers.add_host(it.0, Some(it.1)));
         host.balancer = Balancer::new(Duration::from_secs(4));
         host.quarantine = Quarantine::default();
-        host.drain_marks = DrainMarks::default();
-        (host.started_at, host.next_digest, host.sequence) = (now, now, 0);
+        host.drains = DrainMarks::default();
+        (host.started, host.next_digest, host.sequence) = (now, now, 0);
         host.incarnation += 1;
         host.is_alive = true;
     }
 
-    pub fn run_for(&mut self, time: Duration) {
+    pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
@@ -202,31 +136,17 @@
                 if let Some((orders_version, _)) = host.fetching.take_if(|it| it.1 <= self.now) {
                     host.orders_version = orders_version;
                 }
-<<<<<<< /tmp/tmpigs6opva
                 if self.hosts[i].is_alive && self.hosts[i].next_digest <= self.now {
                     self.send_digests(i);
-||||||| /tmp/tmp9kgq5nhh
-                if self.hosts[i].is_alive && self.hosts[i].next <= self.now {
-                    self.tell(i);
-=======
-                if self.hosts[i].is_alive && self.hosts[i].next_digest <= self.now {
-                    self.send_digest(i);
->>>>>>> /tmp/tmp156x3dlw
                 }
             }
         }
     }
 
-<<<<<<< /tmp/tmpigs6opva
     pub fn send_digests(&mut self, i: usize) {
-||||||| /tmp/tmp9kgq5nhh
-    pub fn tell(&mut self, i: usize) {
-=======
-    pub fn send_digest(&mut self, i: usize) {
->>>>>>> /tmp/tmp156x3dlw
         let now = self.now;
         let host = &mut self.hosts[i];
-        let uptime = now - host.started_at;
+        let uptime = now - host.started;
         let topology = host.peers.refresh_topology(uptime);
         host.sequence += 1;
         let mut digest = Digest {
@@ -242,7 +162,7 @@
         host.balancer.fill_digest(uptime, &mut digest);
         digest.suspects = host.quarantine.suspects_for_digest(uptime, &topology, host.sequence);
         digest.draining =
-            host.drain_marks.take_for_digest(topology.digest_scope(host.sequence), |_| true);
+            host.drains.take_for_digest(topology.digest_scope(host.sequence), |_| true);
         let mut outgoing = Vec::new();
         if topology.is_leader() {
             let mut summary = Digest {
@@ -253,12 +173,14 @@
             };
             host.balancer.fill_summary(uptime, &mut summary);
             summary.suspects = host.quarantine.suspects_for_summary(uptime);
-            summary.draining = host.drain_marks.for_summary(|_| true);
+            summary.draining = host.drains.for_summary(|_| true);
             let recipients = host.peers.summary_recipients(uptime, host.sequence);
             outgoing.extend(recipients.into_iter().map(|it| (it, summary.clone())));
         }
         digest.relayed = host.peers.take_forwards();
-        outgoing.extend(host.peers.recipients(host.sequence).into_iter().map(|it| (it, digest.clone())));
+        outgoing.extend(
+            host.peers.recipients(host.sequence).into_iter().map(|it| (it, digest.clone())),
+        );
         host.next_digest = now + topology.period();
         self.send(i, outgoing);
     }
@@ -267,7 +189,7 @@
         let from = self.hosts[i].address;
         self.hosts[i].n_sent += outgoing.len() as u64;
         for (to, digest) in outgoing {
-            if self.loss_percent <= self.rng.u32(0..100) {
+            if self.loss <= self.rng.u32(0..100) {
                 self.in_flight.push((self.now + ONE_WAY_DELAY, from, to, digest));
             }
         }
@@ -280,7 +202,7 @@
         self.in_flight = later;
         for (_, from, to, digest) in due {
             let to = self.hosts.iter().position(|it| it.address == to && it.is_alive);
-            if let Some(i) = to.filter(|i| self.hosts[*i].started_at <= now) {
+            if let Some(i) = to.filter(|i| self.hosts[*i].started <= now) {
                 self.receive(i, from, digest);
             }
         }
@@ -290,7 +212,7 @@
     pub fn receive(&mut self, i: usize, from: SocketAddr, mut digest: Digest) {
         let host = &mut self.hosts[i];
         host.n_received += 1;
-        let now = self.now - host.started_at;
+        let now = self.now - host.started;
         let topology = host.peers.topology();
         let mut outgoing = Vec::new();
         if digest.seeks_hosts && topology.is_hierarchical() {
@@ -312,19 +234,13 @@
             host.peers.record_digest(now, from, &it);
             host.quarantine.merge(now, &it.suspects);
             it.draining.iter().for_each(|it| {
-                host.drain_marks.insert(*it);
+                host.drains.insert(*it);
             });
             if host.orders_version < it.orders_version && host.fetching.is_none() {
                 host.fetching = Some((it.orders_version, self.now + FETCH_TIME));
             }
             if it.n_summed == 0 {
-<<<<<<< /tmp/tmpigs6opva
                 host.last_heard.insert(it.host, self.now);
-||||||| /tmp/tmp9kgq5nhh
-                host.heard.insert(it.host, self.now);
-=======
-                host.heard_at.insert(it.host, self.now);
->>>>>>> /tmp/tmp156x3dlw
             } else {
                 host.summaries.insert(it.data_centre, (self.now, it.n_summed));
             }
@@ -347,21 +263,9 @@
 
     /// Checks that each live host has recently heard all live hosts of its data centre.
     #[track_caller]
-<<<<<<< /tmp/tmpigs6opva
     pub fn check_local_heard(&self, age: Duration) {
-||||||| /tmp/tmp9kgq5nhh
-    pub fn check_near_known(&self, age: Duration) {
-=======
-    pub fn check_local_known(&self, age: Duration) {
->>>>>>> /tmp/tmp156x3dlw
         for (host, other) in self.pairs().filter(|it| it.0.data_centre == it.1.data_centre) {
-<<<<<<< /tmp/tmpigs6opva
             let at = host.last_heard.get(&host_hash(other.address));
-||||||| /tmp/tmp9kgq5nhh
-            let at = host.heard.get(&host_hash(other.address));
-=======
-            let at = host.heard_at.get(&host_hash(other.address));
->>>>>>> /tmp/tmp156x3dlw
             let is_known = at.is_some_and(|it| self.now <= *it + age);
             assert!(is_known, "{} of {}: {at:?}", host.address, other.address);
         }
@@ -369,16 +273,8 @@
 
     /// Checks that each live host has recently heard all live hosts and counts no dead ones.
     #[track_caller]
-<<<<<<< /tmp/tmpigs6opva
     pub fn check_all_heard(&self, age: Duration) {
         self.check_local_heard(age);
-||||||| /tmp/tmp9kgq5nhh
-    pub fn check_all_known(&self, age: Duration) {
-        self.check_near_known(age);
-=======
-    pub fn check_all_known(&self, age: Duration) {
-        self.check_local_known(age);
->>>>>>> /tmp/tmp156x3dlw
         for (host, other) in self.pairs().filter(|it| it.0.data_centre != it.1.data_centre) {
             let n = self.n_alive(other.data_centre);
             let summary = host.summaries.get(&other.data_centre);
