--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -111,7 +111,7 @@
     loop {
         let known = host.quarantine().suspect(clock::now(), request);
         let Some(suspect) = known else { return };
-        let row = StoredSuspect { suspect: Some(suspect), written: clock::life() };
+        let row = StoredSuspect { suspect: Some(suspect), written: clock::unix_millis() };
         let res =
             store.write(store::QUARANTINE_TABLE, &row_key(request), &row.encode_to_vec()).await;
         let Err(err) = res else { return };
@@ -137,7 +137,7 @@
         return Err(row.key);
     };
     // The clock of the writing host may be ahead; its row then counts as written now.
-    let age = clock::life().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
+    let age = clock::unix_millis().saturating_sub(written).min(u64::from(u32::MAX)) as u32;
     suspect.ends.iter_mut().for_each(|it| it.age = it.age.saturating_add(age));
     suspect.cleared = suspect.cleared.map(|it| it.saturating_add(age));
     let is_expired = |age: u32| quarantine::RETENTION <= Duration::from_millis(u64::from(age));
--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -1,26 +1,26 @@
-//! Clients of the platform: the transactional table service, the object store, the host list.
+//! Client of the platform: its transactional table, object store and host list.
 //!
-//! The table service takes a transaction of checks and writes: it applies all writes or
-//! none, and says which check failed. An answer that is lost leaves the outcome unclear;
-//! callers read back what they wrote.
+//! A transaction consists of checks and writes. The table applies all writes, or none if a check
+//! fails, and then returns the rows that differ. If the response is lost, the outcome is unknown and
+//! the rows must be read to find out.
 
 use std::{net::SocketAddr, time::Duration};
 
 use http_types::Method;
-use portfield::member::ListEntry;
+use portfield::member::HostListEntry;
 use serde::{Deserialize, Serialize};
 
-use crate::http1::{self, Target};
+use crate::http1::{self, Client};
 
 /// Version of a row that does not exist.
-pub const ABSENT: u64 = 0;
+pub const ABSENT_VERSION: u64 = 0;
 
 /// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Grows with each write; [`ABSENT`] where there is no row.
+    /// Grows with each write; [`ABSENT_VERSION`] if the row does not exist.
     pub version: u64,
     /// Its value.
     pub value: String,
@@ -29,18 +29,18 @@
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// The version that it must have.
+    /// Version that the row must have.
     pub version: u64,
 }
 
 /// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its new value.
+    /// New value of the row.
     pub value: String,
 }
 
@@ -53,36 +53,36 @@
     pub puts: Vec<Put>,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// All writes were applied.
     Applied,
-    /// A check failed; with the rows that differ as they are.
+    /// A check failed and nothing was written; with the current rows whose versions differ.
     Conflict(Vec<Row>),
 }
 
-/// A host as the platform lists it.
+/// A host in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Address of its scheduler; its IP number names the host.
+    /// Address of the scheduler. Its IP address identifies the host.
     pub scheduler: SocketAddr,
-    /// Address that its router serves callers on.
+    /// Address of the router for callers.
     pub router: SocketAddr,
-    /// Address of its router's admin port.
+    /// Address of the router's admin port.
     pub router_admin: SocketAddr,
-    /// Address of its scheduler's admin port.
+    /// Address of the scheduler's admin port.
     pub scheduler_admin: SocketAddr,
-    /// Name of its data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// The platform is about to take it away.
+    /// The platform is about to remove the host.
     pub leaving: bool,
 }
 
 impl Host {
-    /// Returns the entry for membership.
-    pub fn entry(&self) -> ListEntry {
-        ListEntry {
+    /// Returns the host's entry in the list that membership uses.
+    pub fn list_entry(&self) -> HostListEntry {
+        HostListEntry {
             host: self.scheduler.ip(),
             address: self.scheduler,
             data_centre: self.data_centre.clone(),
@@ -93,80 +93,82 @@
 
 /// A client of the platform.
 #[derive(Debug, Clone)]
-pub struct Platform {
-    target: Target,
+pub struct PlatformClient {
+    client: Client,
 }
 
-impl Platform {
-    /// Builds a client.
+impl PlatformClient {
+    /// Creates a client; `timeout` limits each exchange.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self { target: Target { timeout, ..Target::direct(address) } }
+        Self { client: Client { timeout, ..Client::direct(address) } }
     }
 
-    /// Reads rows; one that does not exist has version [`ABSENT`].
+    /// Reads rows. A row that does not exist has version [`ABSENT_VERSION`].
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
-    pub async fn read(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
-        self.target.post("/read", &keys).await
+    /// Returns an error if the platform does not respond.
+    pub async fn read_rows(&self, keys: &[String]) -> Result<Vec<Row>, http1::Error> {
+        self.client.post("/read", &keys).await
     }
 
     /// Reads one row.
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
-    pub async fn read_one(&self, key: &str) -> Result<Row, http1::Error> {
-        let rows = self.read(&[key.to_owned()]).await?;
-        rows.into_iter().next().ok_or(http1::Error::Body("no row".to_owned()))
+    /// Returns an error if the platform does not respond.
+    pub async fn read_row(&self, key: &str) -> Result<Row, http1::Error> {
+        let rows = self.read_rows(&[key.to_owned()]).await?;
+        rows.into_iter()
+            .next()
+            .ok_or(http1::Error::InvalidBody("the response has no row".to_owned()))
     }
 
     /// Applies a transaction.
     ///
     /// # Errors
     ///
-    /// [`http1::Error::Unclear`] where it may have been applied all the same.
-    pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, http1::Error> {
-        self.target.post("/commit", transaction).await
+    /// Returns [`http1::Error::OutcomeUnknown`] if the transaction may have been applied.
+    pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, http1::Error> {
+        self.client.post("/commit", transaction).await
     }
 
     /// Reads an object.
     ///
     /// # Errors
     ///
-    /// Where the store does not answer or has no such object.
-    pub async fn object(&self, name: &str) -> Result<String, http1::Error> {
-        self.target.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
+    /// Returns an error if the store does not respond or has no such object.
+    pub async fn read_object(&self, name: &str) -> Result<String, http1::Error> {
+        self.client.send(Method::Get, &format!("/objects/{name}"), Vec::new()).await
     }
 
     /// Writes an object.
     ///
     /// # Errors
     ///
-    /// Where the store does not answer.
+    /// Returns an error if the store does not respond.
     pub async fn put_object(&self, name: &str, body: Vec<u8>) -> Result<(), http1::Error> {
-        self.target.send(Method::Put, &format!("/objects/{name}"), body).await.map(|_| ())
+        self.client.send(Method::Put, &format!("/objects/{name}"), body).await.map(|_| ())
     }
 
     /// Reads the host list.
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
-    pub async fn hosts(&self) -> Result<Vec<Host>, http1::Error> {
-        self.target.get("/hosts").await
+    /// Returns an error if the platform does not respond.
+    pub async fn read_hosts(&self) -> Result<Vec<Host>, http1::Error> {
+        self.client.get("/hosts").await
     }
 
-    /// Reads the host list unless it is still the one named by `tag`; returns its new tag.
+    /// Reads the host list and its entity tag, or `None` if it still has the entity tag `tag`.
     ///
     /// # Errors
     ///
-    /// Where the platform does not answer.
-    pub async fn hosts_changed(
+    /// Returns an error if the platform does not respond.
+    pub async fn read_hosts_if_changed(
         &self,
         tag: &str,
     ) -> Result<Option<(Vec<Host>, String)>, http1::Error> {
-        self.target.get_changed("/hosts", tag).await
+        self.client.get_if_changed("/hosts", tag).await
     }
 }
--- a/crates/portfield/src/route/admission.rs
+++ b/crates/portfield/src/route/admission.rs
@@ -1,20 +1,21 @@
-//! Bounded queues per workspace: who floods is refused, and nobody else is.
+//! Admission control: a bounded queue per workspace, so that a workspace that sends too much is
+//! the only one rejected.
 
 use std::collections::HashMap;
 
 use crate::{fleet::Workspace, ids::WorkspaceId};
 
-/// A workspace has as much waiting at this router as it may.
+/// Error: the workspace's queue at this router is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Held {
+struct Usage {
     requests: usize,
     bytes: usize,
 }
 
-/// What each workspace has waiting at one router.
+/// Requests and body bytes that each workspace has waiting at one router.
 ///
 /// # Examples
 ///
@@ -30,49 +31,49 @@
 ///     queue_bytes: 100,
 /// };
 /// let mut admission = Admission::default();
-/// assert!(admission.enter(&workspace, 60).is_ok());
-/// assert!(admission.enter(&workspace, 10).is_err());
-/// admission.leave(1, 60);
-/// assert!(admission.enter(&workspace, 10).is_ok());
+/// assert!(admission.admit(&workspace, 60).is_ok());
+/// assert!(admission.admit(&workspace, 10).is_err());
+/// admission.release(1, 60);
+/// assert!(admission.admit(&workspace, 10).is_ok());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
-    held: HashMap<WorkspaceId, Held>,
+    usage: HashMap<WorkspaceId, Usage>,
 }
 
 impl Admission {
-    /// Lets a request in, if the workspace's queue has room for it.
+    /// Counts a request with a body of `bytes` as waiting, if the workspace's queue has room.
     ///
     /// # Errors
     ///
-    /// [`Full`] where the count or the bytes are used up.
-    pub fn enter(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), Full> {
-        let held = self.held.entry(workspace.id).or_default();
-        if workspace.queue <= held.requests || workspace.queue_bytes < held.bytes + bytes {
-            return Err(Full);
+    /// [`QueueFull`] if the request would exceed the limit of requests or of bytes.
+    pub fn admit(&mut self, workspace: &Workspace, bytes: usize) -> Result<(), QueueFull> {
+        let usage = self.usage.entry(workspace.id).or_default();
+        if workspace.queue <= usage.requests || workspace.queue_bytes < usage.bytes + bytes {
+            return Err(QueueFull);
         }
-        held.requests += 1;
-        held.bytes += bytes;
+        usage.requests += 1;
+        usage.bytes += bytes;
         Ok(())
     }
 
-    /// Notes that a request no longer waits.
-    pub fn leave(&mut self, id: WorkspaceId, bytes: usize) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        held.requests -= 1;
-        held.bytes -= bytes;
-        if held.requests == 0 {
-            self.held.remove(&id);
+    /// Removes a request with a body of `bytes` from the workspace's queue.
+    pub fn release(&mut self, id: WorkspaceId, bytes: usize) {
+        let Some(usage) = self.usage.get_mut(&id) else { return };
+        usage.requests -= 1;
+        usage.bytes -= bytes;
+        if usage.requests == 0 {
+            self.usage.remove(&id);
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.held.values().map(|it| it.requests).sum()
+        self.usage.values().map(|it| it.requests).sum()
     }
 
     /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.usage.is_empty()
     }
 }
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -165,7 +165,7 @@
         self.mean_share = (sum / self.shares.len().max(1) as u32).max(1);
         let target_ms = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
         self.target_latency = Duration::from_millis(target_ms);
-        self.slots.configure(now, fleet.upstreams_of(self.shard));
+        self.slots.configure(now, fleet.upstreams_in_shard(self.shard));
     }
 
     /// Returns when the owner may grant its first slot.
