--- a/crates/portfield/tests/gossip_simulation/mod.rs
+++ b/crates/portfield/tests/gossip_simulation/mod.rs
@@ -10,6 +10,7 @@
     wire::Digest,
 };
 
+/// Step of the virtual time.
 pub const STEP: Duration = Duration::from_millis(1);
 /// Delay of a datagram.
 pub const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
@@ -28,6 +29,7 @@
     pub quarantine: Quarantine,
     pub drains: DrainMarks,
     pub started: Duration,
+    /// When its next digest is due.
     pub next_digest: Duration,
     pub sequence: u64,
     pub incarnation: u64,
@@ -44,9 +46,11 @@
     pub n_received: u64,
 }
 
+/// Simulated hosts and the datagrams between them.
 pub struct Simulation {
     pub now: Duration,
     pub hosts: Vec<Host>,
+    /// Datagrams on their way: arrival time, sender, receiver, digest.
     pub in_flight: Vec<(Duration, SocketAddr, SocketAddr, Digest)>,
     /// Percentage of datagrams that are lost.
     pub loss: u32,
@@ -69,6 +73,7 @@
         res
     }
 
+    /// Adds a host with a random start delay.
     pub fn add_host(&mut self, data_centre: u32, number: u32) {
         let address = SocketAddr::from(([10, data_centre as u8, 0, 0], 7000 + number as u16));
         let config =
@@ -126,6 +131,7 @@
         host.is_alive = true;
     }
 
+    /// Advances the virtual time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -143,6 +149,7 @@
         }
     }
 
+    /// Sends a host's digest, and its data centre's summary if it is the leader.
     pub fn send_digests(&mut self, i: usize) {
         let now = self.now;
         let host = &mut self.hosts[i];
@@ -185,6 +192,7 @@
         self.send(i, outgoing);
     }
 
+    /// Sends digests from a host; some are lost.
     pub fn send(&mut self, i: usize, outgoing: Vec<(SocketAddr, Digest)>) {
         let from = self.hosts[i].address;
         self.hosts[i].n_sent += outgoing.len() as u64;
@@ -195,6 +203,7 @@
         }
     }
 
+    /// Delivers the datagrams that are due.
     pub fn deliver(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
@@ -267,7 +276,7 @@
         for (host, other) in self.pairs().filter(|it| it.0.data_centre == it.1.data_centre) {
             let at = host.last_heard.get(&host_hash(other.address));
             let is_known = at.is_some_and(|it| self.now <= *it + age);
-            assert!(is_known, "{} of {}: {at:?}", host.address, other.address);
+            assert!(is_known, "{}: last digest of {} at {at:?}", host.address, other.address);
         }
     }
 
@@ -279,7 +288,11 @@
             let n = self.n_alive(other.data_centre);
             let summary = host.summaries.get(&other.data_centre);
             let is_known = summary.is_some_and(|it| self.now <= it.0 + age && it.1 == n);
-            assert!(is_known, "{} of {n} in {}: {summary:?}", host.address, other.data_centre);
+            assert!(
+                is_known,
+                "{}: summary of data centre {} with {n} live hosts is {summary:?}",
+                host.address, other.data_centre
+            );
         }
     }
 
@@ -293,6 +306,7 @@
         alive().flat_map(move |host| peers_of(host).map(move |it| (host, it)))
     }
 
+    /// Returns the number of live hosts in a data centre.
     pub fn n_alive(&self, data_centre: u32) -> u32 {
         let alive = |it: &&Host| it.is_alive && it.data_centre == data_centre;
         self.hosts.iter().filter(alive).count() as u32
