--- a/crates/portfield-load/src/measure.rs
+++ b/crates/portfield-load/src/measure.rs
@@ -9,7 +9,7 @@
 use portfield::fleet::Fleet;
 use portfield_net::clock;
 use portfield_replay::{
-    gap::{Backlog, Gap},
+    gap::{Backlog, FairnessGap},
     trace::Arrival,
 };
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct Measure {
     pub rows: BTreeMap<String, Row>,
-    pub gap: Gap,
+    pub gap: FairnessGap,
     pub paces: Histogram<u64>,
     started: HashMap<(String, u64, u32), Vec<Duration>>,
     n_ended: usize,
@@ -69,7 +69,7 @@
         let shares = fleet.workspaces.iter().map(|it| f64::from(it.share)).collect();
         Self {
             rows,
-            gap: Gap::new(shares),
+            gap: FairnessGap::new(shares),
             paces: histogram(),
             started: HashMap::new(),
             n_ended: 0,
@@ -84,7 +84,7 @@
         row.n_sent += 1;
         if 1 < it.cost {
             row.waiting += 1;
-            self.gap.set_backlogged(row.idx, Backlog::Waits);
+            self.gap.set_backlog(row.idx, Backlog::Waiting);
         }
     }
 
@@ -102,7 +102,7 @@
     pub(crate) fn token(&mut self, it: &Arrival) {
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
         row.tokens += 1;
-        self.gap.serve(row.idx, 1.0);
+        self.gap.record_service(row.idx, 1.0);
     }
 
     /// Counts the mean time between the tokens of one answer.
@@ -139,10 +139,10 @@
 }
 
 impl Row {
-    fn leave_queue(&mut self, gap: &mut Gap) {
+    fn leave_queue(&mut self, gap: &mut FairnessGap) {
         self.waiting = self.waiting.saturating_sub(1);
         if self.waiting == 0 {
-            gap.set_backlogged(self.idx, Backlog::Idle);
+            gap.set_backlog(self.idx, Backlog::Empty);
         }
     }
 }
--- a/crates/portfield-load/src/report.rs
+++ b/crates/portfield-load/src/report.rs
@@ -58,7 +58,7 @@
             }
         });
         let names: Vec<_> = measure.names();
-        let (a, b) = measure.gap.pair();
+        let (a, b) = measure.gap.largest_pair();
         Self {
             workspaces: workspaces.collect(),
             requests: n_total,
--- a/crates/portfield-replay/src/gap.rs
+++ b/crates/portfield-replay/src/gap.rs
@@ -6,92 +6,92 @@
 /// # Examples
 ///
 /// ```
-/// use portfield_replay::gap::Gap;
+/// use portfield_replay::gap::FairnessGap;
 ///
-/// let mut gap = Gap::new(vec![1.0, 2.0]);
-/// gap.set_backlogged(0, Backlog::Waits);
-/// gap.set_backlogged(1, Backlog::Waits);
-/// gap.serve(0, 10.0);
-/// gap.serve(1, 20.0);
+/// let mut gap = FairnessGap::new(vec![1.0, 2.0]);
+/// gap.set_backlog(0, Backlog::Waiting);
+/// gap.set_backlog(1, Backlog::Waiting);
+/// gap.record_service(0, 10.0);
+/// gap.record_service(1, 20.0);
 /// assert_eq!(gap.largest(), 10.0);
 /// # use portfield_replay::gap::Backlog;
 /// ```
 #[derive(Debug, Clone)]
-pub struct Gap {
+pub struct FairnessGap {
     shares: Vec<f64>,
     /// Services that each workspace uses, a bit each: only who shares one can be compared.
-    uses: Vec<u64>,
-    service: Vec<f64>,
-    backlogged: Vec<Backlog>,
+    service_masks: Vec<u64>,
+    normalised_service: Vec<f64>,
+    backlogs: Vec<Backlog>,
     /// Least and largest difference of each pair since both were last idle or not.
-    ranges: Vec<(f64, f64)>,
+    difference_ranges: Vec<(f64, f64)>,
     largest: f64,
-    pair: (usize, usize),
+    largest_pair: (usize, usize),
 }
 
 /// Whether a workspace has requests that wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Backlog {
     /// It has.
-    Waits,
+    Waiting,
     /// It has not.
-    Idle,
+    Empty,
 }
 
-impl Gap {
+impl FairnessGap {
     /// Builds the measure for workspaces with the given shares.
     pub fn new(shares: Vec<f64>) -> Self {
         let n = shares.len();
         Self {
-            service: vec![0.0; n],
-            backlogged: vec![Backlog::Idle; n],
-            ranges: vec![(0.0, 0.0); n * n],
-            uses: vec![1; n],
+            normalised_service: vec![0.0; n],
+            backlogs: vec![Backlog::Empty; n],
+            difference_ranges: vec![(0.0, 0.0); n * n],
+            service_masks: vec![1; n],
             shares,
             largest: 0.0,
-            pair: (0, 0),
+            largest_pair: (0, 0),
         }
     }
 
     /// Says which services each workspace uses, a bit each.
-    pub fn with_uses(mut self, uses: Vec<u64>) -> Self {
-        self.uses = uses;
+    pub fn with_services(mut self, service_masks: Vec<u64>) -> Self {
+        self.service_masks = service_masks;
         self
     }
 
     /// Notes whether a workspace is backlogged from now on.
-    pub fn set_backlogged(&mut self, idx: usize, backlog: Backlog) {
-        if self.backlogged[idx] == backlog {
+    pub fn set_backlog(&mut self, idx: usize, backlog: Backlog) {
+        if self.backlogs[idx] == backlog {
             return;
         }
-        self.backlogged[idx] = backlog;
-        if backlog == Backlog::Idle {
+        self.backlogs[idx] = backlog;
+        if backlog == Backlog::Empty {
             return;
         }
         for other in 0..self.shares.len() {
-            let diff = self.diff(idx, other);
-            *self.range(idx, other) = (diff, diff);
+            let difference = self.difference(idx, other);
+            *self.difference_range(idx, other) = (difference, difference);
         }
     }
 
     /// Counts service, in tokens.
-    pub fn serve(&mut self, idx: usize, cost: f64) {
-        self.service[idx] += cost / self.shares[idx];
-        if self.backlogged[idx] == Backlog::Idle {
+    pub fn record_service(&mut self, idx: usize, tokens: f64) {
+        self.normalised_service[idx] += tokens / self.shares[idx];
+        if self.backlogs[idx] == Backlog::Empty {
             return;
         }
         for other in 0..self.shares.len() {
-            let apart = self.uses[idx] & self.uses[other] == 0;
-            if other == idx || apart || self.backlogged[other] == Backlog::Idle {
+            let unrelated = self.service_masks[idx] & self.service_masks[other] == 0;
+            if other == idx || unrelated || self.backlogs[other] == Backlog::Empty {
                 continue;
             }
-            let diff = self.diff(idx, other);
-            let range = self.range(idx, other);
-            *range = (range.0.min(diff), range.1.max(diff));
-            let size = range.1 - range.0;
-            if self.largest < size {
-                self.largest = size;
-                self.pair = (idx, other);
+            let difference = self.difference(idx, other);
+            let range = self.difference_range(idx, other);
+            *range = (range.0.min(difference), range.1.max(difference));
+            let gap = range.1 - range.0;
+            if self.largest < gap {
+                self.largest = gap;
+                self.largest_pair = (idx, other);
             }
         }
     }
@@ -102,8 +102,8 @@
     }
 
     /// Returns the two workspaces between which it was.
-    pub fn pair(&self) -> (usize, usize) {
-        self.pair
+    pub fn largest_pair(&self) -> (usize, usize) {
+        self.largest_pair
     }
 
     /// Starts anew, for the measure of a part of a run.
@@ -111,24 +111,24 @@
         self.largest = 0.0;
         for idx in 0..self.shares.len() {
             for other in 0..idx {
-                let diff = self.diff(idx, other);
-                *self.range(idx, other) = (diff, diff);
+                let difference = self.difference(idx, other);
+                *self.difference_range(idx, other) = (difference, difference);
             }
         }
     }
 
     /// Returns a workspace's service for its share.
-    pub fn service(&self, idx: usize) -> f64 {
-        self.service[idx]
+    pub fn normalised_service(&self, idx: usize) -> f64 {
+        self.normalised_service[idx]
     }
 
-    fn diff(&self, a: usize, b: usize) -> f64 {
+    fn difference(&self, a: usize, b: usize) -> f64 {
         let (a, b) = (a.min(b), a.max(b));
-        self.service[a] - self.service[b]
+        self.normalised_service[a] - self.normalised_service[b]
     }
 
-    fn range(&mut self, a: usize, b: usize) -> &mut (f64, f64) {
+    fn difference_range(&mut self, a: usize, b: usize) -> &mut (f64, f64) {
         let n = self.shares.len();
-        &mut self.ranges[a.min(b) * n + a.max(b)]
+        &mut self.difference_ranges[a.min(b) * n + a.max(b)]
     }
 }
--- a/crates/portfield-replay/src/measure.rs
+++ b/crates/portfield-replay/src/measure.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     case::{Case, Outcome},
-    gap::{Backlog, Gap},
+    gap::{Backlog, FairnessGap},
     trace::Arrival,
 };
 
@@ -36,8 +36,8 @@
     arrivals: Vec<Duration>,
     /// How each request stands.
     pub fates: Vec<Fate>,
-    gap: Gap,
-    late: Option<Gap>,
+    gap: FairnessGap,
+    late: Option<FairnessGap>,
     tail: Option<Duration>,
     waiting: Vec<u32>,
     running: Vec<u32>,
@@ -99,7 +99,7 @@
             owner: arrivals.iter().filter_map(position).collect(),
             arrivals: arrivals.iter().map(|it| Duration::from_millis(it.at)).collect(),
             fates: vec![Fate::Ahead; arrivals.len()],
-            gap: Gap::new(shares.clone()).with_uses(uses(case, &names)),
+            gap: FairnessGap::new(shares.clone()).with_services(uses(case, &names)),
             late: None,
             tail,
             waiting: vec![0; n],
@@ -144,10 +144,10 @@
             self.last_start = now;
             self.longest_wait = self.longest_wait.max(now - self.arrivals[request]);
         }
-        let backlog = if 0 < self.waiting[idx] { Backlog::Waits } else { Backlog::Idle };
-        self.gap.set_backlogged(idx, backlog);
+        let backlog = if 0 < self.waiting[idx] { Backlog::Waiting } else { Backlog::Empty };
+        self.gap.set_backlog(idx, backlog);
         if let Some(it) = &mut self.late {
-            it.set_backlogged(idx, backlog);
+            it.set_backlog(idx, backlog);
         }
     }
 
@@ -160,9 +160,9 @@
             self.late = Some(late);
         }
         let (idx, tokens) = (self.owner[request], f64::from(tokens));
-        self.gap.serve(idx, tokens);
+        self.gap.record_service(idx, tokens);
         if let Some(it) = &mut self.late {
-            it.serve(idx, tokens);
+            it.record_service(idx, tokens);
         }
     }
 
@@ -190,12 +190,12 @@
     /// Returns the figures.
     pub fn figures(&self, now: Duration, n_hosts: usize) -> Figures {
         let count = |fate| self.fates.iter().filter(|it| **it == fate).count();
-        let (a, b) = self.gap.pair();
+        let (a, b) = self.gap.largest_pair();
         Figures {
             gap: self.gap.largest(),
             between: (self.names[a].clone(), self.names[b].clone()),
             bound: self.bound(),
-            gap_at_end: self.late.as_ref().map_or(0.0, Gap::largest),
+            gap_at_end: self.late.as_ref().map_or(0.0, FairnessGap::largest),
             utilisation: self.busy / self.capacity.max(f64::MIN_POSITIVE),
             control: self.bytes as f64 / now.as_secs_f64() / n_hosts as f64,
             wait: self.longest_wait.as_secs_f64(),
