--- a/crates/portfield-replay/src/gap.rs
+++ b/crates/portfield-replay/src/gap.rs
@@ -1,12 +1,14 @@
-//! The fairness gap: the largest difference in service for share between two workspaces
-//! over any time in which both were backlogged.
+//! The fairness gap: the largest difference in normalised service (tokens divided by share)
+//! between two workspaces over any interval in which both had waiting requests.
 
-/// Follows service and backlog and keeps the largest gap.
+/// Tracks the service and backlog of workspaces and the largest gap between two of them.
+///
+/// Workspaces are numbered in the order of their shares.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield_replay::gap::FairnessGap;
+/// use portfield_replay::gap::{Backlog, FairnessGap};
 ///
 /// let mut gap = FairnessGap::new(vec![1.0, 2.0]);
 /// gap.set_backlog(0, Backlog::Waiting);
@@ -14,32 +16,32 @@
 /// gap.record_service(0, 10.0);
 /// gap.record_service(1, 20.0);
 /// assert_eq!(gap.largest(), 10.0);
-/// # use portfield_replay::gap::Backlog;
 /// ```
 #[derive(Debug, Clone)]
 pub struct FairnessGap {
     shares: Vec<f64>,
-    /// Services that each workspace uses, a bit each: only who shares one can be compared.
+    /// Bit set of the services that each workspace uses; only workspaces with a common one are
+    /// compared.
     service_masks: Vec<u64>,
     normalised_service: Vec<f64>,
     backlogs: Vec<Backlog>,
-    /// Least and largest difference of each pair since both were last idle or not.
+    /// Smallest and largest difference of each pair since the later of the two became backlogged.
     difference_ranges: Vec<(f64, f64)>,
     largest: f64,
     largest_pair: (usize, usize),
 }
 
-/// Whether a workspace has requests that wait.
+/// Whether a workspace has waiting requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Backlog {
-    /// It has.
+    /// At least one request waits.
     Waiting,
-    /// It has not.
+    /// No request waits.
     Empty,
 }
 
 impl FairnessGap {
-    /// Builds the measure for workspaces with the given shares.
+    /// Creates a gap of zero for workspaces with the given shares, none of them backlogged.
     pub fn new(shares: Vec<f64>) -> Self {
         let n = shares.len();
         Self {
@@ -53,13 +55,13 @@
         }
     }
 
-    /// Says which services each workspace uses, a bit each.
+    /// Sets the services that each workspace uses, as a bit set; by default all use the same one.
     pub fn with_services(mut self, service_masks: Vec<u64>) -> Self {
         self.service_masks = service_masks;
         self
     }
 
-    /// Notes whether a workspace is backlogged from now on.
+    /// Sets the backlog of a workspace from now on.
     pub fn set_backlog(&mut self, idx: usize, backlog: Backlog) {
         if self.backlogs[idx] == backlog {
             return;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Counts service, in tokens.
+    /// Adds service that a workspace received, in tokens.
     pub fn record_service(&mut self, idx: usize, tokens: f64) {
         self.normalised_service[idx] += tokens / self.shares[idx];
         if self.backlogs[idx] == Backlog::Empty {
@@ -96,17 +98,17 @@
         }
     }
 
-    /// Returns the largest gap so far, in tokens for a share of one.
+    /// Returns the largest gap so far, in tokens per unit of share.
     pub fn largest(&self) -> f64 {
         self.largest
     }
 
-    /// Returns the two workspaces between which it was.
+    /// Returns the two workspaces of the largest gap.
     pub fn largest_pair(&self) -> (usize, usize) {
         self.largest_pair
     }
 
-    /// Starts anew, for the measure of a part of a run.
+    /// Forgets the gaps so far, to measure only the rest of a run.
     pub fn reset(&mut self) {
         self.largest = 0.0;
         for idx in 0..self.shares.len() {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Returns a workspace's service for its share.
+    /// Returns the service of a workspace divided by its share.
     pub fn normalised_service(&self, idx: usize) -> f64 {
         self.normalised_service[idx]
     }
