--- a/crates/portfield-replay/src/baseline.rs
+++ b/crates/portfield-replay/src/baseline.rs
@@ -8,7 +8,7 @@
 use crate::{
     case::Case,
     engine::STEP,
-    measure::{Fate, Figures, Measure},
+    metrics::{Metrics, MetricsCollector, RequestState},
     trace::Arrival,
 };
 
@@ -44,11 +44,11 @@
 }
 
 /// Replays a case's trace under a baseline.
-pub fn replay(baseline: Baseline, case: &Case, arrivals: &[Arrival]) -> Figures {
+pub fn replay(baseline: Baseline, case: &Case, arrivals: &[Arrival]) -> Metrics {
     let mut it = Run::new(baseline, case, arrivals);
     it.run();
     let n_hosts = case.deployment.hosts.iter().sum();
-    it.measure.figures(it.now, n_hosts)
+    it.metrics.summarize(it.now, n_hosts)
 }
 
 struct Run<'a> {
@@ -64,7 +64,7 @@
     /// Service for share as told at the last exchange, and since.
     told: Vec<f64>,
     next: usize,
-    measure: Measure,
+    metrics: MetricsCollector,
 }
 
 impl<'a> Run<'a> {
@@ -94,7 +94,7 @@
             queue: BTreeMap::new(),
             n_events: 0,
             next: 0,
-            measure: Measure::new(case, arrivals),
+            metrics: MetricsCollector::new(case, arrivals),
         };
         for (idx, it) in arrivals.iter().enumerate() {
             res.at(Duration::from_millis(it.at), Event::Arrive(idx));
@@ -112,7 +112,7 @@
     fn run(&mut self) {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            if !self.measure.is_open() {
+            if !self.metrics.has_pending() {
                 return;
             }
             match event {
@@ -125,7 +125,7 @@
     }
 
     fn arrive(&mut self, request: usize) {
-        self.measure.turn(self.now, request, Fate::Waits);
+        self.metrics.set_state(self.now, request, RequestState::Waits);
         let it = &self.arrivals[request];
         let place = match self.baseline {
             Baseline::Fifo => {
@@ -144,7 +144,7 @@
         while self.places[place].used < self.places[place].slots {
             let Some(request) = self.choose(place) else { return };
             self.places[place].used += 1;
-            self.measure.turn(self.now, request, Fate::Runs);
+            self.metrics.set_state(self.now, request, RequestState::Runs);
             let step = self.arrivals[request].cost.min(STEP);
             self.at(self.now + self.time(step), Event::Tokens(request, 0, place));
         }
@@ -164,7 +164,7 @@
     fn make_tokens(&mut self, request: usize, made: u32, place: usize) {
         let cost = self.arrivals[request].cost;
         let step = STEP.min(cost - made);
-        self.measure.serve(self.now, request, step);
+        self.metrics.record_tokens(self.now, request, step);
         let owner = self.owner(request);
         self.places[place].served[owner] += f64::from(step) / self.shares[owner];
         let made = made + step;
@@ -173,7 +173,7 @@
             self.at(self.now + self.time(next), Event::Tokens(request, made, place));
             return;
         }
-        self.measure.turn(self.now, request, Fate::Answered);
+        self.metrics.set_state(self.now, request, RequestState::Answered);
         self.places[place].used -= 1;
         self.dispatch(place);
     }
@@ -190,7 +190,7 @@
     fn sample(&mut self) {
         let busy = self.places.iter().map(|it| it.used).sum();
         let capacity = self.places.iter().map(|it| it.slots).sum();
-        self.measure.sample(self.now, busy, capacity);
+        self.metrics.sample_slots(self.now, busy, capacity);
         self.at(self.now + Duration::from_millis(10), Event::Sample);
     }
 
--- a/crates/portfield-replay/src/case.rs
+++ b/crates/portfield-replay/src/case.rs
@@ -24,7 +24,7 @@
     pub fault: Vec<Fault>,
     /// What a replay must reach.
     #[serde(default)]
-    pub outcome: Outcome,
+    pub outcome: ExpectedOutcome,
 }
 
 /// Hosts and upstreams of a replay.
@@ -153,7 +153,7 @@
 /// What a replay must reach; what is not stated is not held.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Outcome {
+pub struct ExpectedOutcome {
     /// Largest fairness gap, in tokens for a share of one; by formula where not stated.
     pub gap: Option<f64>,
     /// Least utilisation while anything waits, of one.
--- a/crates/portfield-replay/src/lib.rs
+++ b/crates/portfield-replay/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod case;
 pub mod engine;
 pub mod gap;
-pub mod measure;
+pub mod metrics;
 pub mod sim;
 pub mod slopes;
 pub mod trace;
--- a/crates/portfield-replay/src/main.rs
+++ b/crates/portfield-replay/src/main.rs
@@ -12,7 +12,7 @@
 use portfield_replay::{
     baseline::{self, Baseline},
     case::Case,
-    measure::{Figures, Verdict},
+    metrics::{Metrics, Verdict},
     sim, slopes, trace,
 };
 
@@ -77,10 +77,10 @@
     for path in cases {
         let case = Case::read(path)?;
         let arrivals = trace::read(&path.with_extension("jsonl"))?;
-        let figures = sim::replay(&case, &arrivals);
-        let (text, verdict) = figures.judge(&case.outcome);
-        n_broken += usize::from(verdict == Verdict::Broken);
-        let (answered, refused, orphaned) = figures.ends;
+        let metrics = sim::replay(&case, &arrivals);
+        let (text, verdict) = metrics.check(&case.outcome);
+        n_broken += usize::from(verdict == Verdict::Failed);
+        let (answered, refused, orphaned) = metrics.ends;
         writeln!(
             out,
             "{}: {answered} answered, {refused} refused, {orphaned} orphaned",
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-fn row(case: &str, policy: &str, it: &Figures) -> String {
+fn row(case: &str, policy: &str, it: &Metrics) -> String {
     format!(
         "| {case} | {policy} | {:.0} | {:.0} | {:.1} % | {:.0} | {:.1} |",
         it.gap,
--- a/crates/portfield-replay/src/measure.rs
+++ b/crates/portfield-replay/src/metrics.rs
@@ -5,14 +5,14 @@
 use serde::Serialize;
 
 use crate::{
-    case::{Case, Outcome},
+    case::{Case, ExpectedOutcome},
     gap::{Backlog, FairnessGap},
     trace::Arrival,
 };
 
 /// How one request of a replay stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     /// Not arrived yet.
     Ahead,
     /// Waits for a grant.
@@ -29,38 +29,38 @@
 
 /// Measures of a replay under way.
 #[derive(Debug, Clone)]
-pub struct Measure {
+pub struct MetricsCollector {
     names: Vec<String>,
     shares: Vec<f64>,
-    owner: Vec<usize>,
-    arrivals: Vec<Duration>,
+    workspace_indices: Vec<usize>,
+    arrival_times: Vec<Duration>,
     /// How each request stands.
-    pub fates: Vec<Fate>,
+    pub states: Vec<RequestState>,
     gap: FairnessGap,
-    late: Option<FairnessGap>,
-    tail: Option<Duration>,
+    final_gap: Option<FairnessGap>,
+    final_start: Option<Duration>,
     waiting: Vec<u32>,
     running: Vec<u32>,
-    most_running: Vec<u32>,
-    most_cost: u32,
-    busy: f64,
-    capacity: f64,
+    max_running: Vec<u32>,
+    max_cost: u32,
+    busy_time: f64,
+    slot_time: f64,
     last_sample: Option<Duration>,
-    last_start: Duration,
+    pause_start: Duration,
     longest_wait: Duration,
     longest_pause: Duration,
     violations: Vec<String>,
     /// Longest time from an owner's death to the next work for its upstreams.
     pub regrant: Duration,
     /// Control bytes, sent and received.
-    pub bytes: u64,
+    pub control_bytes: u64,
     /// Control messages sent.
-    pub messages: u64,
+    pub control_messages: u64,
 }
 
 /// The figures of a replay.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// Largest gap in tokens for a share of one, and between whom.
     pub gap: f64,
     /// The two workspaces of the largest gap.
@@ -85,123 +85,132 @@
     pub violations: Vec<String>,
 }
 
-impl Measure {
+impl MetricsCollector {
     /// Builds the measures of a case.
     pub fn new(case: &Case, arrivals: &[Arrival]) -> Self {
         let (names, shares) = case.workspaces();
         let position = |it: &Arrival| names.iter().position(|name| *name == it.workspace);
         let end = arrivals.last().map_or(0, |it| it.at);
-        let tail = case.outcome.gap_at_end.map(|(_, secs)| {
+        let final_start = case.outcome.gap_at_end.map(|(_, secs)| {
             Duration::from_millis(end).saturating_sub(Duration::from_secs_f64(secs))
         });
         let n = names.len();
         Self {
-            owner: arrivals.iter().filter_map(position).collect(),
-            arrivals: arrivals.iter().map(|it| Duration::from_millis(it.at)).collect(),
-            fates: vec![Fate::Ahead; arrivals.len()],
-            gap: FairnessGap::new(shares.clone()).with_services(uses(case, &names)),
-            late: None,
-            tail,
+            workspace_indices: arrivals.iter().filter_map(position).collect(),
+            arrival_times: arrivals.iter().map(|it| Duration::from_millis(it.at)).collect(),
+            states: vec![RequestState::Ahead; arrivals.len()],
+            gap: FairnessGap::new(shares.clone()).with_services(service_masks(case, &names)),
+            final_gap: None,
+            final_start,
             waiting: vec![0; n],
             running: vec![0; n],
-            most_running: vec![0; n],
-            most_cost: arrivals.iter().map(|it| it.cost).max().unwrap_or(0),
-            busy: 0.0,
-            capacity: 0.0,
+            max_running: vec![0; n],
+            max_cost: arrivals.iter().map(|it| it.cost).max().unwrap_or(0),
+            busy_time: 0.0,
+            slot_time: 0.0,
             last_sample: None,
-            last_start: Duration::ZERO,
+            pause_start: Duration::ZERO,
             longest_wait: Duration::ZERO,
             longest_pause: Duration::ZERO,
             violations: Vec::new(),
             regrant: Duration::ZERO,
-            bytes: 0,
-            messages: 0,
+            control_bytes: 0,
+            control_messages: 0,
             names,
             shares,
         }
     }
 
-    /// Notes a change of a request's fate; each ends exactly once.
-    pub fn turn(&mut self, now: Duration, request: usize, fate: Fate) {
-        let old = self.fates[request];
-        let ended = matches!(old, Fate::Answered | Fate::Refused | Fate::Orphaned);
+    /// Notes a change of a request's state; each ends exactly once.
+    pub fn set_state(&mut self, now: Duration, request: usize, state: RequestState) {
+        let old = self.states[request];
+        let ended =
+            matches!(old, RequestState::Answered | RequestState::Refused | RequestState::Orphaned);
         if ended {
-            self.violate(format!("request {request} ended as {old:?}, then became {fate:?}"));
+            self.add_violation(format!(
+                "request {request} ended as {old:?}, then became {state:?}"
+            ));
             return;
         }
-        self.fates[request] = fate;
-        let idx = self.owner[request];
-        self.waiting[idx] += u32::from(fate == Fate::Waits);
-        self.waiting[idx] -= u32::from(old == Fate::Waits);
-        self.running[idx] += u32::from(fate == Fate::Runs);
-        self.running[idx] -= u32::from(old == Fate::Runs);
-        self.most_running[idx] = self.most_running[idx].max(self.running[idx]);
-        if fate == Fate::Waits && self.waiting.iter().sum::<u32>() == 1 {
-            self.last_start = now;
+        self.states[request] = state;
+        let idx = self.workspace_indices[request];
+        self.waiting[idx] += u32::from(state == RequestState::Waits);
+        self.waiting[idx] -= u32::from(old == RequestState::Waits);
+        self.running[idx] += u32::from(state == RequestState::Runs);
+        self.running[idx] -= u32::from(old == RequestState::Runs);
+        self.max_running[idx] = self.max_running[idx].max(self.running[idx]);
+        if state == RequestState::Waits && self.waiting.iter().sum::<u32>() == 1 {
+            self.pause_start = now;
         }
-        if fate == Fate::Runs {
-            self.longest_pause = self.longest_pause.max(now - self.last_start);
-            self.last_start = now;
-            self.longest_wait = self.longest_wait.max(now - self.arrivals[request]);
+        if state == RequestState::Runs {
+            self.longest_pause = self.longest_pause.max(now - self.pause_start);
+            self.pause_start = now;
+            self.longest_wait = self.longest_wait.max(now - self.arrival_times[request]);
         }
         let backlog = if 0 < self.waiting[idx] { Backlog::Waiting } else { Backlog::Empty };
         self.gap.set_backlog(idx, backlog);
-        if let Some(it) = &mut self.late {
+        if let Some(it) = &mut self.final_gap {
             it.set_backlog(idx, backlog);
         }
     }
 
     /// Counts tokens of a request.
-    pub fn serve(&mut self, now: Duration, request: usize, tokens: u32) {
-        if self.tail.is_some_and(|it| it <= now) {
-            self.tail = None;
-            let mut late = self.gap.clone();
-            late.reset();
-            self.late = Some(late);
+    pub fn record_tokens(&mut self, now: Duration, request: usize, tokens: u32) {
+        if self.final_start.is_some_and(|it| it <= now) {
+            self.final_start = None;
+            let mut final_gap = self.gap.clone();
+            final_gap.reset();
+            self.final_gap = Some(final_gap);
         }
-        let (idx, tokens) = (self.owner[request], f64::from(tokens));
+        let (idx, tokens) = (self.workspace_indices[request], f64::from(tokens));
         self.gap.record_service(idx, tokens);
-        if let Some(it) = &mut self.late {
+        if let Some(it) = &mut self.final_gap {
             it.record_service(idx, tokens);
         }
     }
 
     /// Counts slots in use since the last sample.
-    pub fn sample(&mut self, now: Duration, busy: u32, capacity: u32) {
+    pub fn sample_slots(&mut self, now: Duration, busy: u32, capacity: u32) {
         let time = (now - self.last_sample.unwrap_or(now)).as_secs_f64();
         self.last_sample = Some(now);
         if self.waiting.iter().all(|it| *it == 0) {
             return;
         }
-        self.busy += time * f64::from(busy.min(capacity));
-        self.capacity += time * f64::from(capacity);
+        self.busy_time += time * f64::from(busy.min(capacity));
+        self.slot_time += time * f64::from(capacity);
     }
 
     /// Notes a broken promise.
-    pub fn violate(&mut self, text: String) {
-        self.violations.push(text);
+    pub fn add_violation(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
     /// Returns whether a request is still to end.
-    pub fn is_open(&self) -> bool {
-        self.fates.iter().any(|it| matches!(it, Fate::Ahead | Fate::Waits | Fate::Runs))
+    pub fn has_pending(&self) -> bool {
+        self.states
+            .iter()
+            .any(|it| matches!(it, RequestState::Ahead | RequestState::Waits | RequestState::Runs))
     }
 
     /// Returns the figures.
-    pub fn figures(&self, now: Duration, n_hosts: usize) -> Figures {
-        let count = |fate| self.fates.iter().filter(|it| **it == fate).count();
+    pub fn summarize(&self, now: Duration, n_hosts: usize) -> Metrics {
+        let count = |state| self.states.iter().filter(|it| **it == state).count();
         let (a, b) = self.gap.largest_pair();
-        Figures {
+        Metrics {
             gap: self.gap.largest(),
             between: (self.names[a].clone(), self.names[b].clone()),
             bound: self.bound(),
-            gap_at_end: self.late.as_ref().map_or(0.0, FairnessGap::largest),
-            utilisation: self.busy / self.capacity.max(f64::MIN_POSITIVE),
-            control: self.bytes as f64 / now.as_secs_f64() / n_hosts as f64,
+            gap_at_end: self.final_gap.as_ref().map_or(0.0, FairnessGap::largest),
+            utilisation: self.busy_time / self.slot_time.max(f64::MIN_POSITIVE),
+            control: self.control_bytes as f64 / now.as_secs_f64() / n_hosts as f64,
             wait: self.longest_wait.as_secs_f64(),
             pause: self.longest_pause.as_secs_f64(),
             regrant: self.regrant.as_secs_f64(),
-            ends: (count(Fate::Answered), count(Fate::Refused), count(Fate::Orphaned)),
+            ends: (
+                count(RequestState::Answered),
+                count(RequestState::Refused),
+                count(RequestState::Orphaned),
+            ),
             violations: self.violations.clone(),
         }
     }
@@ -209,16 +218,16 @@
     /// See docs/design/fairness.md: the two largest terms of `(in flight + 1) * cost / share`.
     fn bound(&self) -> f64 {
         let term = |(running, share): (&u32, &f64)| {
-            f64::from(running + 1) * f64::from(self.most_cost) / share
+            f64::from(running + 1) * f64::from(self.max_cost) / share
         };
-        let mut terms: Vec<_> = self.most_running.iter().zip(&self.shares).map(term).collect();
+        let mut terms: Vec<_> = self.max_running.iter().zip(&self.shares).map(term).collect();
         terms.sort_by(|a, b| b.total_cmp(a));
         terms.iter().take(2).sum()
     }
 }
 
 /// Returns the services that each workspace uses, a bit each.
-fn uses(case: &Case, names: &[String]) -> Vec<u64> {
+fn service_masks(case: &Case, names: &[String]) -> Vec<u64> {
     let mut services: Vec<&str> = Vec::new();
     let mut res = vec![0; names.len()];
     for it in &case.load {
@@ -234,39 +243,39 @@
     res
 }
 
-impl Figures {
+impl Metrics {
     /// Holds the figures against what a case states; returns a line each and whether all hold.
-    pub fn judge(&self, outcome: &Outcome) -> (String, Verdict) {
-        let gap = outcome.gap.unwrap_or(self.bound).min(self.bound);
+    pub fn check(&self, expected: &ExpectedOutcome) -> (String, Verdict) {
+        let gap = expected.gap.unwrap_or(self.bound).min(self.bound);
         let mut lines = vec![("gap at most", gap, self.gap, self.gap <= gap)];
-        if let Some((it, _)) = outcome.gap_at_end {
+        if let Some((it, _)) = expected.gap_at_end {
             lines.push(("gap at the end at most", it, self.gap_at_end, self.gap_at_end <= it));
         }
-        if let Some(it) = outcome.utilisation {
+        if let Some(it) = expected.utilisation {
             lines.push(("utilisation at least", it, self.utilisation, it <= self.utilisation));
         }
-        if let Some(it) = outcome.control {
+        if let Some(it) = expected.control {
             lines.push(("control at most", it, self.control, self.control <= it));
         }
-        if let Some(it) = outcome.wait {
+        if let Some(it) = expected.wait {
             lines.push(("longest wait at most", it, self.wait, self.wait <= it));
         }
-        if let Some(it) = outcome.pause {
+        if let Some(it) = expected.pause {
             lines.push(("longest pause at most", it, self.pause, self.pause <= it));
         }
-        if let Some(it) = outcome.regrant {
+        if let Some(it) = expected.regrant {
             lines.push(("granting again within", it, self.regrant, self.regrant <= it));
         }
         let mut text = String::new();
-        for (name, bound, figure, holds) in &lines {
-            let mark = if *holds { "holds" } else { "BROKEN" };
-            let _ = writeln!(text, "{mark:6} {name} {bound:.3}: {figure:.3}");
+        for (name, bound, value, passed) in &lines {
+            let label = if *passed { "holds" } else { "BROKEN" };
+            let _ = writeln!(text, "{label:6} {name} {bound:.3}: {value:.3}");
         }
         for it in &self.violations {
             let _ = writeln!(text, "BROKEN {it}");
         }
-        let holds = lines.iter().all(|it| it.3) && self.violations.is_empty();
-        (text, if holds { Verdict::Holds } else { Verdict::Broken })
+        let passed = lines.iter().all(|it| it.3) && self.violations.is_empty();
+        (text, if passed { Verdict::Passed } else { Verdict::Failed })
     }
 }
 
@@ -274,7 +283,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It reached all.
-    Holds,
+    Passed,
     /// It missed one, or a promise was broken.
-    Broken,
+    Failed,
 }
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -3,7 +3,7 @@
 use portfield::{ids::UpstreamId, member::rank, schedule::ShardKey};
 
 use super::{World, fleet::centre_name};
-use crate::{case::FaultKind, measure::Fate};
+use crate::{case::FaultKind, metrics::RequestState};
 
 /// Whether a fault begins or ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,7 +101,7 @@
         let mut tickets: Vec<_> = self.hosts[at].tickets.drain().collect();
         tickets.sort_unstable();
         for (_, request) in tickets {
-            self.measure.turn(self.now, request, Fate::Orphaned);
+            self.metrics.set_state(self.now, request, RequestState::Orphaned);
         }
         self.break_sessions(|it| it.0 == at);
     }
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -27,7 +27,7 @@
 use crate::{
     case::Case,
     engine::Engine,
-    measure::{Fate, Figures, Measure},
+    metrics::{Metrics, MetricsCollector, RequestState},
     trace::Arrival,
 };
 
@@ -117,16 +117,16 @@
     left: Option<(UpstreamId, Duration)>,
     /// When the first shard lost its owner, until its upstreams get work again.
     orphaned: Option<Duration>,
-    measure: Measure,
+    metrics: MetricsCollector,
 }
 
 /// Replays a case's trace and returns the figures.
-pub fn replay(case: &Case, arrivals: &[Arrival]) -> Figures {
+pub fn replay(case: &Case, arrivals: &[Arrival]) -> Metrics {
     let mut world = World::new(case, arrivals);
     world.run();
     let n_hosts = world.hosts.len();
     world.check_slots();
-    world.measure.figures(world.now, n_hosts)
+    world.metrics.summarize(world.now, n_hosts)
 }
 
 impl<'a> World<'a> {
@@ -150,7 +150,7 @@
             cuts: Vec::new(),
             left: None,
             orphaned: None,
-            measure: Measure::new(case, arrivals),
+            metrics: MetricsCollector::new(case, arrivals),
         };
         res.add_hosts();
         for (idx, it) in arrivals.iter().enumerate() {
@@ -251,10 +251,10 @@
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
             if limit < at {
-                self.measure.violate("requests were still open at the end".to_owned());
+                self.metrics.add_violation("requests were still open at the end".to_owned());
                 return;
             }
-            if !self.measure.is_open() {
+            if !self.metrics.has_pending() {
                 return;
             }
             self.handle(event);
@@ -298,7 +298,7 @@
     }
 
     fn arrive(&mut self, request: usize) {
-        self.measure.turn(self.now, request, Fate::Waits);
+        self.metrics.set_state(self.now, request, RequestState::Waits);
         let n_hosts = self.hosts.len();
         let mut host = self.arrivals[request].entry % n_hosts;
         // The balancer does not send to a host that is down.
@@ -329,7 +329,7 @@
                 self.hosts[host].tickets.insert(ticket, request);
                 // A grant can't come before the ticket is known: frames take time.
             }
-            _ => self.measure.turn(now, request, Fate::Refused),
+            _ => self.metrics.set_state(now, request, RequestState::Refused),
         }
     }
 
@@ -379,7 +379,7 @@
             route::Action::Start(ticket, upstream) => self.start(idx, ticket, upstream),
             route::Action::Refuse(ticket, _, _) => {
                 if let Some(request) = self.hosts[idx].tickets.remove(&ticket) {
-                    self.measure.turn(self.now, request, Fate::Refused);
+                    self.metrics.set_state(self.now, request, RequestState::Refused);
                 }
             }
             route::Action::Fetch(_) => {
@@ -393,7 +393,8 @@
         let (mut busy, mut capacity) = (0, 0);
         for service in &self.fleet.services {
             let waits = |idx: usize| {
-                self.measure.fates[idx] == Fate::Waits && self.arrivals[idx].service == service.name
+                self.metrics.states[idx] == RequestState::Waits
+                    && self.arrivals[idx].service == service.name
             };
             if !(0..self.arrivals.len()).any(waits) {
                 continue;
@@ -406,7 +407,7 @@
                 }
             }
         }
-        self.measure.sample(self.now, busy, capacity);
+        self.metrics.sample_slots(self.now, busy, capacity);
         self.after(SAMPLE, Event::Sample);
     }
 
@@ -451,7 +452,8 @@
         let slack = usize::from(!self.case.fault.is_empty());
         for (id, it) in &self.engines {
             if it.slots as usize + slack < it.most {
-                self.measure.violate(format!("engine {id} ran {} on {} slots", it.most, it.slots));
+                self.metrics
+                    .add_violation(format!("engine {id} ran {} on {} slots", it.most, it.slots));
             }
         }
     }
--- a/crates/portfield-replay/src/sim/net.rs
+++ b/crates/portfield-replay/src/sim/net.rs
@@ -41,8 +41,8 @@
 
     /// Counts a message at both ends.
     fn count(&mut self, from: usize, to: usize, bytes: usize) {
-        self.measure.bytes += 2 * bytes as u64;
-        self.measure.messages += 1;
+        self.metrics.control_bytes += 2 * bytes as u64;
+        self.metrics.control_messages += 1;
         self.hosts[from].bytes += bytes as u64;
         self.hosts[to].bytes += bytes as u64;
     }
--- a/crates/portfield-replay/src/sim/runs.rs
+++ b/crates/portfield-replay/src/sim/runs.rs
@@ -7,13 +7,13 @@
 use super::{Event, LEAVE_LIMIT, Start, TRANSIT, World};
 use crate::{
     engine::{Job, STEP},
-    measure::Fate,
+    metrics::RequestState,
 };
 
 impl World<'_> {
     pub(super) fn start(&mut self, host: usize, ticket: TicketId, upstream: UpstreamId) {
         let Some(request) = self.hosts[host].tickets.get(&ticket).copied() else { return };
-        self.measure.turn(self.now, request, Fate::Runs);
+        self.metrics.set_state(self.now, request, RequestState::Runs);
         let life = self.hosts[host].lives.1;
         let start = Start { host, life, ticket, request, upstream };
         let delay = self.delay(self.hosts[host].centre, self.engine_centre(upstream));
@@ -32,7 +32,8 @@
             return;
         }
         if self.left.is_some_and(|(id, at)| id == start.upstream && at + LEAVE_LIMIT < self.now) {
-            self.measure.violate(format!("upstream {} got work while leaving", start.upstream));
+            self.metrics
+                .add_violation(format!("upstream {} got work while leaving", start.upstream));
         }
         self.note_regrant(centre);
         self.n_runs += 1;
@@ -53,7 +54,7 @@
             return;
         };
         self.orphaned = None;
-        self.measure.regrant = self.measure.regrant.max(self.now - since);
+        self.metrics.regrant = self.metrics.regrant.max(self.now - since);
     }
 
     pub(super) fn make_tokens(&mut self, upstream: UpstreamId, run: u64) {
@@ -71,7 +72,7 @@
         job.made += step;
         let (made, left) = (job.made, job.cost - job.made);
         let time = engine.time(left.min(STEP));
-        self.measure.serve(now, start.request, step);
+        self.metrics.record_tokens(now, start.request, step);
         if 0 < left {
             self.route(start.host, |it| it.progress(start.ticket, made));
             self.after(time, Event::Tokens(upstream, run));
@@ -82,7 +83,7 @@
             self.end_run(upstream, run);
             let pace = self.engines[&upstream].time(1);
             self.hosts[start.host].tickets.remove(&start.ticket);
-            self.measure.turn(now, start.request, Fate::Answered);
+            self.metrics.set_state(now, start.request, RequestState::Answered);
             self.route(start.host, |it| it.finish(start.ticket, made, pace));
         }
     }
@@ -99,7 +100,7 @@
     pub(super) fn fail(&mut self, start: Start) {
         self.hosts[start.host].tickets.remove(&start.ticket);
         self.route(start.host, |it| it.fail(start.ticket, 0));
-        self.measure.turn(self.now, start.request, Fate::Waits);
+        self.metrics.set_state(self.now, start.request, RequestState::Waits);
         self.submit(start.host, start.request);
     }
 
--- a/crates/portfield-replay/src/sim/size.rs
+++ b/crates/portfield-replay/src/sim/size.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use super::{Event, Host, WARM_UP, World};
-use crate::{case::Case, measure::Figures, trace::Arrival};
+use crate::{case::Case, metrics::Metrics, trace::Arrival};
 
-/// What a replay at size measured beside its figures.
+/// What a replay at size measured beside its metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Size {
-    /// The figures.
-    pub figures: Figures,
+    /// The metrics.
+    pub metrics: Metrics,
     /// Control bytes a second: mean over hosts, the most, and mean over hosts without a shard.
     pub control: (f64, f64, f64),
     /// Hosts that own a shard.
@@ -65,11 +65,11 @@
         let idle: Vec<_> = idle.map(|(_, rate)| *rate).collect();
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
         Size {
-            figures: self.measure.figures(self.now, self.hosts.len()),
+            metrics: self.metrics.summarize(self.now, self.hosts.len()),
             control: (mean(&rates), rates.iter().copied().fold(0.0, f64::max), mean(&idle)),
             n_owners: self.hosts.len() - idle.len(),
             in_force,
-            messages: self.measure.messages,
+            messages: self.metrics.control_messages,
             time: self.now,
         }
     }
--- a/crates/portfield-replay/src/slopes.rs
+++ b/crates/portfield-replay/src/slopes.rs
@@ -18,7 +18,7 @@
 use prost::Message;
 
 use crate::{
-    case::{Case, Deployment, Hint, Load, Outcome},
+    case::{Case, Deployment, ExpectedOutcome, Hint, Load},
     sim,
 };
 
@@ -120,7 +120,7 @@
     let res = sim::replay_part(&case, &arrivals, time);
     let cpu = start.elapsed().as_secs_f64();
     let (mean, most, idle) = res.control;
-    let figures = &res.figures;
+    let metrics = &res.metrics;
     format!(
         "requests a second               {:.0}\n\
          hosts that own a shard          {} of 390\n\
@@ -137,9 +137,9 @@
         res.messages as f64 / res.time.as_secs_f64() / 390.0,
         res.in_force
             .map_or("not in this time".to_owned(), |it| format!("{:.2} s", it.as_secs_f64())),
-        figures.utilisation * 100.0,
-        figures.gap,
-        figures.bound,
+        metrics.utilisation * 100.0,
+        metrics.gap,
+        metrics.bound,
         cpu / res.time.as_secs_f64() / 390.0 * 100.0,
     )
 }
@@ -174,7 +174,7 @@
         },
         load: (0..1200).map(load).collect(),
         fault: Vec::new(),
-        outcome: Outcome::default(),
+        outcome: ExpectedOutcome::default(),
     }
 }
 
--- a/crates/portfield-replay/tests/replay.rs
+++ b/crates/portfield-replay/tests/replay.rs
@@ -8,7 +8,7 @@
 use portfield_replay::{
     baseline::{self, Baseline},
     case::Case,
-    measure::Verdict,
+    metrics::Verdict,
     sim, trace,
     trace::Arrival,
 };
@@ -32,8 +32,8 @@
     let mut broken = String::new();
     for path in cases() {
         let (case, arrivals) = read(&path);
-        let (text, verdict) = sim::replay(&case, &arrivals).judge(&case.outcome);
-        if verdict == Verdict::Broken {
+        let (text, verdict) = sim::replay(&case, &arrivals).check(&case.outcome);
+        if verdict == Verdict::Failed {
             broken += &format!("{}\n{text}\n", path.display());
         }
     }
