--- a/crates/portfield-replay/src/metrics.rs
+++ b/crates/portfield-replay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a replay measured, and the outcomes it is held against.
+//! Metrics of a replay and their check against the expected outcome of its case.
 
 use std::{fmt::Write, time::Duration};
 
@@ -10,83 +10,92 @@
     trace::Arrival,
 };
 
-/// How one request of a replay stands.
+/// State of one request of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
-    /// Not arrived yet.
+    /// It has not arrived yet.
     Ahead,
-    /// Waits for a grant.
+    /// It waits for a grant.
     Waits,
-    /// Runs.
+    /// It runs on an engine, or is on its way to it.
     Runs,
-    /// Was answered.
+    /// It was answered.
     Answered,
-    /// Was refused as not run.
+    /// It was refused without having run.
     Refused,
-    /// Ended with the router that held it.
+    /// It was lost when the router that held it died.
     Orphaned,
 }
 
-/// Measures of a replay under way.
+/// Collects the metrics of a replay while it runs.
 #[derive(Debug, Clone)]
 pub struct MetricsCollector {
     names: Vec<String>,
     shares: Vec<f64>,
+    /// Index of each request's workspace.
     workspace_indices: Vec<usize>,
     arrival_times: Vec<Duration>,
-    /// How each request stands.
+    /// State of each request.
     pub states: Vec<RequestState>,
     gap: FairnessGap,
+    /// Gap since `final_start`, once that time is reached.
     final_gap: Option<FairnessGap>,
     final_start: Option<Duration>,
+    /// Number of waiting requests of each workspace.
     waiting: Vec<u32>,
+    /// Number of running requests of each workspace.
     running: Vec<u32>,
     max_running: Vec<u32>,
     max_cost: u32,
+    /// Sum over slots of the time in use while a request waited, in seconds.
     busy_time: f64,
+    /// Sum over slots of the time while a request waited, in seconds.
     slot_time: f64,
     last_sample: Option<Duration>,
+    /// Time of the last grant, or of the first request that waited after none did.
     pause_start: Duration,
     longest_wait: Duration,
     longest_pause: Duration,
     violations: Vec<String>,
-    /// Longest time from an owner's death to the next work for its upstreams.
+    /// Longest time from the death of a shard's owner to the next request at its upstreams.
     pub regrant: Duration,
-    /// Control bytes, sent and received.
+    /// Bytes of control messages, counted at the sender and at the receiver.
     pub control_bytes: u64,
-    /// Control messages sent.
+    /// Number of control messages sent.
     pub control_messages: u64,
 }
 
-/// The figures of a replay.
+/// Metrics of a finished replay.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Metrics {
-    /// Largest gap in tokens for a share of one, and between whom.
+    /// Largest fairness gap, in tokens per unit of share.
     pub gap: f64,
-    /// The two workspaces of the largest gap.
+    /// Names of the two workspaces of the largest gap.
     pub between: (String, String),
-    /// What the formula of docs/design/fairness.md allows.
+    /// Upper bound of the gap by the formula of docs/design/fairness.md, in the same unit.
     pub bound: f64,
-    /// Largest gap in the last part of the run.
+    /// Largest gap in the final seconds for which the case expects one; zero without such an
+    /// expectation.
     pub gap_at_end: f64,
-    /// Slots in use while anything waited, of one.
+    /// Fraction of the slots that were in use while a request waited.
     pub utilisation: f64,
-    /// Control bytes a second for each host.
+    /// Control bytes per second and host.
     pub control: f64,
     /// Longest wait of a request, in seconds.
     pub wait: f64,
-    /// Longest time without a grant while something waited, in seconds.
+    /// Longest time without a grant while a request waited, in seconds.
     pub pause: f64,
-    /// Longest time from an owner's death to the next work for its upstreams, in seconds.
+    /// Longest time from the death of a shard's owner to the next request at its upstreams, in
+    /// seconds.
     pub regrant: f64,
-    /// Requests answered, refused and orphaned.
+    /// Numbers of requests answered, refused and orphaned.
     pub ends: (usize, usize, usize),
-    /// Broken promises.
+    /// Violated invariants, as text.
     pub violations: Vec<String>,
 }
 
 impl MetricsCollector {
-    /// Builds the measures of a case.
+    /// Creates a collector for a case and its trace.
     pub fn new(case: &Case, arrivals: &[Arrival]) -> Self {
         let (names, shares) = case.workspaces();
         let position = |it: &Arrival| names.iter().position(|name| *name == it.workspace);
@@ -121,7 +130,7 @@
         }
     }
 
-    /// Notes a change of a request's state; each ends exactly once.
+    /// Sets the state of a request; a change after its end is a violation.
     pub fn set_state(&mut self, now: Duration, request: usize, state: RequestState) {
         let old = self.states[request];
         let ended =
@@ -154,7 +163,7 @@
         }
     }
 
-    /// Counts tokens of a request.
+    /// Adds tokens that a request generated.
     pub fn record_tokens(&mut self, now: Duration, request: usize, tokens: u32) {
         if self.final_start.is_some_and(|it| it <= now) {
             self.final_start = None;
@@ -169,7 +178,8 @@
         }
     }
 
-    /// Counts slots in use since the last sample.
+    /// Adds the time since the last sample, with the slots now in use and all slots, if a request
+    /// waits.
     pub fn sample_slots(&mut self, now: Duration, busy: u32, capacity: u32) {
         let time = (now - self.last_sample.unwrap_or(now)).as_secs_f64();
         self.last_sample = Some(now);
@@ -180,19 +190,19 @@
         self.slot_time += time * f64::from(capacity);
     }
 
-    /// Notes a broken promise.
+    /// Adds a violated invariant.
     pub fn add_violation(&mut self, violation: String) {
         self.violations.push(violation);
     }
 
-    /// Returns whether a request is still to end.
+    /// Returns whether any request has not ended yet.
     pub fn has_pending(&self) -> bool {
         self.states
             .iter()
             .any(|it| matches!(it, RequestState::Ahead | RequestState::Waits | RequestState::Runs))
     }
 
-    /// Returns the figures.
+    /// Returns the metrics of the replay up to `now`.
     pub fn summarize(&self, now: Duration, n_hosts: usize) -> Metrics {
         let count = |state| self.states.iter().filter(|it| **it == state).count();
         let (a, b) = self.gap.largest_pair();
@@ -215,7 +225,8 @@
         }
     }
 
-    /// See docs/design/fairness.md: the two largest terms of `(in flight + 1) * cost / share`.
+    /// Returns the upper bound of the gap: the sum of the two largest terms of
+    /// `(in flight + 1) * cost / share` over workspaces, see docs/design/fairness.md.
     fn bound(&self) -> f64 {
         let term = |(running, share): (&u32, &f64)| {
             f64::from(running + 1) * f64::from(self.max_cost) / share
@@ -226,7 +237,7 @@
     }
 }
 
-/// Returns the services that each workspace uses, a bit each.
+/// Returns a bit set of the services that each workspace uses.
 fn service_masks(case: &Case, names: &[String]) -> Vec<u64> {
     let mut services: Vec<&str> = Vec::new();
     let mut res = vec![0; names.len()];
@@ -244,7 +255,8 @@
 }
 
 impl Metrics {
-    /// Holds the figures against what a case states; returns a line each and whether all hold.
+    /// Checks the metrics against the expected outcome of a case; returns a report with one line
+    /// for each check or violation, and the verdict.
     pub fn check(&self, expected: &ExpectedOutcome) -> (String, Verdict) {
         let gap = expected.gap.unwrap_or(self.bound).min(self.bound);
         let mut lines = vec![("gap at most", gap, self.gap, self.gap <= gap)];
@@ -279,11 +291,11 @@
     }
 }
 
-/// Whether a replay reached its outcomes.
+/// Whether a replay reached its expected outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It reached all.
+    /// All checks passed without a violation.
     Passed,
-    /// It missed one, or a promise was broken.
+    /// A check failed, or an invariant was violated.
     Failed,
 }
