--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -2,69 +2,71 @@
 
 use portfield::{ids::UpstreamId, member::rank, schedule::ShardKey};
 
-use super::{World, fleet::centre_name};
+use super::{Simulation, fleet::data_centre_name};
 use crate::{case::FaultKind, metrics::RequestState};
 
 /// Whether a fault begins or ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Switch {
-    On,
-    Off,
+pub(super) enum FaultPhase {
+    Start,
+    End,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Begins or ends a fault.
-    pub(super) fn switch(&mut self, idx: usize, switch: Switch) {
+    pub(super) fn apply_fault(&mut self, idx: usize, phase: FaultPhase) {
         let fault = &self.case.fault[idx];
         let (kind, at) = (fault.kind, fault.at);
-        match (kind, switch) {
-            (FaultKind::Scheduler, Switch::On) => self.kill_scheduler(at),
-            (FaultKind::Scheduler, Switch::Off) => self.start_scheduler(at),
-            (FaultKind::Owner, Switch::On) => {
+        match (kind, phase) {
+            (FaultKind::Scheduler, FaultPhase::Start) => self.kill_scheduler(at),
+            (FaultKind::Scheduler, FaultPhase::End) => self.start_scheduler(at),
+            (FaultKind::Owner, FaultPhase::Start) => {
                 let owner = self.first_owner();
-                self.orphaned = Some(self.now);
+                self.ownerless_since = Some(self.now);
                 self.kill_scheduler(owner);
             }
-            (FaultKind::Host, Switch::On) => self.kill_host(),
-            (FaultKind::Host, Switch::Off) => {
-                let dead = (0..self.hosts.len()).find(|it| self.hosts[*it].silent);
+            (FaultKind::Host, FaultPhase::Start) => self.kill_owner_host(),
+            (FaultKind::Host, FaultPhase::End) => {
+                let dead = (0..self.hosts.len()).find(|it| self.hosts[*it].is_powered_off);
                 if let Some(it) = dead {
-                    self.hosts[it].silent = false;
+                    self.hosts[it].is_powered_off = false;
                     self.start_scheduler(it);
                     self.start_router(it);
                 }
             }
-            (FaultKind::Owner, Switch::Off) => {
+            (FaultKind::Owner, FaultPhase::End) => {
                 let dead = (0..self.hosts.len()).filter(|it| self.hosts[*it].scheduler.is_none());
                 dead.collect::<Vec<_>>().into_iter().for_each(|it| self.start_scheduler(it));
             }
-            (FaultKind::Router, Switch::On) => self.kill_router(at),
-            (FaultKind::Router, Switch::Off) => self.start_router(at),
-            (FaultKind::Cut, Switch::On) => self.cut(at, &[true, true]),
-            (FaultKind::CutOneWay, Switch::On) => self.cut(at, &[true, false]),
-            (FaultKind::Cut | FaultKind::CutOneWay, Switch::Off) => {
-                self.cuts.retain(|it| it.0 != at && it.1 != at);
+            (FaultKind::Router, FaultPhase::Start) => self.kill_router(at),
+            (FaultKind::Router, FaultPhase::End) => self.start_router(at),
+            (FaultKind::Cut, FaultPhase::Start) => self.cut_off(at, &[true, true]),
+            (FaultKind::CutOneWay, FaultPhase::Start) => self.cut_off(at, &[true, false]),
+            (FaultKind::Cut | FaultKind::CutOneWay, FaultPhase::End) => {
+                self.cut_links.retain(|it| it.0 != at && it.1 != at);
             }
             (FaultKind::Slow, _) => {
-                let slowdown = if switch == Switch::On { 10 } else { 1 };
+                let slowdown = if phase == FaultPhase::Start { 10 } else { 1 };
                 let id = self.engine_id(at);
                 if let Some(it) = self.engines.get_mut(&id) {
                     it.slowdown = slowdown;
                 }
             }
-            (FaultKind::Engine, Switch::On) => self.kill_engine(at),
-            (FaultKind::Engine, Switch::Off) => {
+            (FaultKind::Engine, FaultPhase::Start) => self.kill_engine(at),
+            (FaultKind::Engine, FaultPhase::End) => {
                 let id = self.engine_id(at);
                 if let Some(it) = self.engines.get_mut(&id) {
                     it.alive = true;
                 }
             }
-            (FaultKind::Leave, Switch::On) => self.leave(at),
-            (FaultKind::Leave, Switch::Off) => (),
-            (FaultKind::Pause, Switch::On) => self.hosts[at].paused = Some(Vec::new()),
-            (FaultKind::Pause, Switch::Off) => {
-                let held = self.hosts[at].paused.take().unwrap_or_default();
-                held.into_iter().for_each(|it| self.handle(it));
+            (FaultKind::Leave, FaultPhase::Start) => self.mark_leaving(at),
+            (FaultKind::Leave, FaultPhase::End) => (),
+            (FaultKind::Pause, FaultPhase::Start) => {
+                self.hosts[at].paused_events = Some(Vec::new())
+            }
+            (FaultKind::Pause, FaultPhase::End) => {
+                let deferred = self.hosts[at].paused_events.take().unwrap_or_default();
+                deferred.into_iter().for_each(|it| self.handle(it));
             }
         }
     }
@@ -75,11 +77,11 @@
 
     /// Returns the host that owns the first shard of the first data centre.
     fn first_owner(&self) -> usize {
-        let centre = self.fleet.data_centre(&centre_name(0)).unwrap_or(0);
-        let shard = ShardKey { service: self.fleet.services[0].id, data_centre: centre, part: 0 };
-        let alive = self.hosts.iter().filter(|it| it.centre == 0 && it.scheduler.is_some());
+        let data_centre = self.fleet.data_centre(&data_centre_name(0)).unwrap_or(0);
+        let shard = ShardKey { service: self.fleet.services[0].id, data_centre, part: 0 };
+        let alive = self.hosts.iter().filter(|it| it.data_centre == 0 && it.scheduler.is_some());
         let owner = rank(shard, alive.map(|it| it.ip));
-        owner.first().map_or(0, |it| self.host(*it))
+        owner.first().map_or(0, |it| self.host_index(*it))
     }
 
     fn kill_scheduler(&mut self, at: usize) {
@@ -87,10 +89,10 @@
         self.break_sessions(|it| it.1 == at);
     }
 
-    fn kill_host(&mut self) {
+    fn kill_owner_host(&mut self) {
         let at = self.first_owner();
-        self.orphaned = Some(self.now);
-        self.hosts[at].silent = true;
+        self.ownerless_since = Some(self.now);
+        self.hosts[at].is_powered_off = true;
         self.hosts[at].scheduler = None;
         self.kill_router(at);
         self.break_sessions(|it| it.1 == at);
@@ -110,33 +112,33 @@
         let id = self.engine_id(at);
         let Some(engine) = self.engines.get_mut(&id) else { return };
         engine.alive = false;
-        let runs: Vec<_> = engine.jobs.keys().copied().collect();
-        for run in runs {
-            let start = self.runs.get(&run).copied();
-            self.end_run(id, run);
-            if let Some(start) = start.filter(|it| self.is_live(it)) {
-                self.fail(start);
+        let attempt_ids: Vec<_> = engine.jobs.keys().copied().collect();
+        for attempt_id in attempt_ids {
+            let attempt = self.attempts.get(&attempt_id).copied();
+            self.end_attempt(id, attempt_id);
+            if let Some(attempt) = attempt.filter(|it| self.is_router_live(it)) {
+                self.fail_attempt(attempt);
             }
         }
     }
 
-    pub(super) fn leave(&mut self, at: usize) {
+    pub(super) fn mark_leaving(&mut self, at: usize) {
         let id = self.engine_id(at);
         self.fleet.revision += 1;
         self.fleet.upstreams[at].leaving = true;
-        self.left = Some((id, self.now));
+        self.leaving = Some((id, self.now));
         // One scheduler sees it first; the others learn the revision from its probes.
-        let (life, fleet) = (self.hosts[0].lives.0, self.fleet.clone());
-        self.feed(0, life, portfield::schedule::Event::Offered(fleet));
+        let (generation, fleet) = (self.hosts[0].scheduler_generation, self.fleet.clone());
+        self.deliver_to_scheduler(0, generation, portfield::schedule::Event::Offered(fleet));
     }
 
-    fn cut(&mut self, at: usize, ways: &[bool; 2]) {
+    fn cut_off(&mut self, at: usize, directions: &[bool; 2]) {
         for other in (0..self.case.deployment.hosts.len()).filter(|it| *it != at) {
-            if ways[0] {
-                self.cuts.push((at, other));
+            if directions[0] {
+                self.cut_links.push((at, other));
             }
-            if ways[1] {
-                self.cuts.push((other, at));
+            if directions[1] {
+                self.cut_links.push((other, at));
             }
         }
     }
--- a/crates/portfield-replay/src/sim/fleet.rs
+++ b/crates/portfield-replay/src/sim/fleet.rs
@@ -6,23 +6,23 @@
 use crate::case::Case;
 
 /// Longest wait of a request, in milliseconds.
-const WAIT_LIMIT: u64 = 100_000;
+const WAIT_LIMIT_MS: u64 = 100_000;
 
 /// Returns the name of a data centre.
-pub(super) fn centre_name(idx: usize) -> String {
+pub(super) fn data_centre_name(idx: usize) -> String {
     format!("centre-{idx}")
 }
 
 /// Builds the configuration of a case: every service has its own engines.
-pub(super) fn build(case: &Case) -> Fleet {
+pub(super) fn build_fleet(case: &Case) -> Fleet {
     let deployment = &case.deployment;
     let mut intent = Intent {
-        data_centres: (0..deployment.hosts.len()).map(centre_name).collect(),
+        data_centres: (0..deployment.hosts.len()).map(data_centre_name).collect(),
         ..Intent::default()
     };
     for it in &case.load {
         if !intent.services.iter().any(|old| old.name == it.service) {
-            intent.services.push(service(&it.service, deployment.token_us));
+            intent.services.push(service_intent(&it.service, deployment.token_us));
         }
         if !intent.workspaces.iter().any(|old| old.name == it.workspace) {
             intent.workspaces.push(WorkspaceIntent {
@@ -35,13 +35,13 @@
         }
     }
     for (number, it) in intent.services.iter().enumerate() {
-        for (centre, n) in deployment.engines.iter().enumerate() {
+        for (data_centre, n) in deployment.engines.iter().enumerate() {
             for idx in 0..*n {
-                let ip = [127, number as u8 + 1, centre as u8 + 1, idx as u8 + 1];
+                let ip = [127, number as u8 + 1, data_centre as u8 + 1, idx as u8 + 1];
                 intent.upstreams.push(UpstreamIntent {
                     address: (ip, 8000).into(),
                     service: it.name.clone(),
-                    data_centre: centre_name(centre),
+                    data_centre: data_centre_name(data_centre),
                     slots: deployment.slots,
                     leaving: false,
                     fenced: false,
@@ -53,14 +53,14 @@
     intent.number(&Fleet::default())
 }
 
-fn service(name: &str, token_us: u64) -> ServiceIntent {
+fn service_intent(name: &str, token_us: u64) -> ServiceIntent {
     ServiceIntent {
         name: name.to_owned(),
         kind: Kind::Engine,
         repeatable: true,
         first_token_ms: 780,
         token_gap_ms: token_us * 2 / 1000,
-        wait_limit_ms: WAIT_LIMIT,
+        wait_limit_ms: WAIT_LIMIT_MS,
         shard_size: 16,
     }
 }
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -1,13 +1,13 @@
 //! The replay: real decision code of routers and schedulers, virtual time, small fakes of
 //! engines, of the platform and of message delay. The same case gives the same figures.
 
+mod attempts;
 mod faults;
 mod fleet;
-mod net;
-mod runs;
-mod size;
+mod network;
+mod scale;
 
-pub use size::{Size, replay_part};
+pub use scale::{ScaleReport, replay_for};
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -32,48 +32,48 @@
 };
 
 /// Time between two looks at the slots.
-const SAMPLE: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between two looks of a scheduler at the host list.
-const LIST: Duration = Duration::from_secs(2);
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two looks of a scheduler at the configuration.
-const WATCH: Duration = Duration::from_secs(5);
+const CONFIG_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between two load reports.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Load reports are this old.
-const LAG: Duration = Duration::from_millis(200);
+const REPORT_LAG: Duration = Duration::from_millis(200);
 /// Time that the fleet gets before the first request.
 const WARM_UP: Duration = Duration::from_secs(3);
 /// Longest replay after the last arrival.
-const LINGER: Duration = Duration::from_secs(120);
+const DRAIN_LIMIT: Duration = Duration::from_secs(120);
 /// Grants that were under way when their owner died arrive within this time.
-const TRANSIT: Duration = Duration::from_millis(20);
+const MAX_TRANSIT: Duration = Duration::from_millis(20);
 /// Time after which a leaving upstream must get nothing.
-const LEAVE_LIMIT: Duration = Duration::from_secs(3);
+const LEAVE_GRACE: Duration = Duration::from_secs(3);
 
 /// What happens, and when.
 #[derive(Debug, Clone)]
 enum Event {
     Arrive(usize),
-    Scheduler(usize, u64, schedule::Event),
+    SchedulerInput(usize, u64, schedule::Event),
     TickScheduler(usize),
     TickRouter(usize),
-    Frame(usize, HostId, wire::OwnerFrame),
-    RouterUp(usize, HostId),
-    RouterDown(usize, HostId),
-    Begin(Start),
-    Tokens(UpstreamId, u64),
-    Watch(usize),
-    List(usize),
-    Report(usize),
-    Fault(usize, faults::Switch),
-    Sample,
+    OwnerFrame(usize, HostId, wire::OwnerFrame),
+    SessionUp(usize, HostId),
+    SessionDown(usize, HostId),
+    StartAttempt(Attempt),
+    GenerateTokens(UpstreamId, u64),
+    FetchConfig(usize),
+    ListHosts(usize),
+    ReportHealth(usize),
+    Fault(usize, faults::FaultPhase),
+    SampleSlots,
 }
 
 /// A request on its way to an engine.
 #[derive(Debug, Clone, Copy)]
-struct Start {
+struct Attempt {
     host: usize,
-    life: u64,
+    router_generation: u64,
     ticket: TicketId,
     request: usize,
     upstream: UpstreamId,
@@ -84,54 +84,56 @@
 struct Host {
     ip: HostId,
     address: SocketAddr,
-    centre: usize,
+    data_centre: usize,
     scheduler: Option<Scheduler>,
     router: Option<Router>,
     /// Lives of the scheduler and of the router.
-    lives: (u64, u64),
-    paused: Option<Vec<Event>>,
+    scheduler_generation: u64,
+    router_generation: u64,
+    paused_events: Option<Vec<Event>>,
     /// It has no power: nothing there even refuses.
-    silent: bool,
+    is_powered_off: bool,
     tickets: HashMap<TicketId, usize>,
-    ticks: (Duration, Duration),
+    scheduler_tick: Duration,
+    router_tick: Duration,
     /// Control bytes, sent and received.
     bytes: u64,
 }
 
 /// A replay under way.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     case: &'a Case,
     arrivals: &'a [Arrival],
     fleet: Fleet,
     now: Duration,
-    queue: BTreeMap<(Duration, u64), Event>,
+    events: BTreeMap<(Duration, u64), Event>,
     n_events: u64,
     hosts: Vec<Host>,
-    by_ip: HashMap<HostId, usize>,
+    host_indices: HashMap<HostId, usize>,
     engines: BTreeMap<UpstreamId, Engine>,
-    runs: HashMap<u64, Start>,
-    n_runs: u64,
+    attempts: HashMap<u64, Attempt>,
+    n_attempts: u64,
     sessions: BTreeSet<(usize, usize)>,
-    cuts: Vec<(usize, usize)>,
-    left: Option<(UpstreamId, Duration)>,
+    cut_links: Vec<(usize, usize)>,
+    leaving: Option<(UpstreamId, Duration)>,
     /// When the first shard lost its owner, until its upstreams get work again.
-    orphaned: Option<Duration>,
+    ownerless_since: Option<Duration>,
     metrics: MetricsCollector,
 }
 
 /// Replays a case's trace and returns the figures.
 pub fn replay(case: &Case, arrivals: &[Arrival]) -> Metrics {
-    let mut world = World::new(case, arrivals);
-    world.run();
-    let n_hosts = world.hosts.len();
-    world.check_slots();
-    world.metrics.summarize(world.now, n_hosts)
+    let mut simulation = Simulation::new(case, arrivals);
+    simulation.run();
+    let n_hosts = simulation.hosts.len();
+    simulation.check_slots();
+    simulation.metrics.summarize(simulation.now, n_hosts)
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(case: &'a Case, arrivals: &'a [Arrival]) -> Self {
-        let fleet = fleet::build(case);
+        let fleet = fleet::build_fleet(case);
         let token = Duration::from_micros(case.deployment.token_us);
         let engines = fleet.upstreams.iter().map(|it| (it.id, Engine::new(it.slots, token)));
         let mut res = Self {
@@ -140,47 +142,49 @@
             engines: engines.collect(),
             fleet,
             now: Duration::ZERO,
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             n_events: 0,
             hosts: Vec::new(),
-            by_ip: HashMap::new(),
-            runs: HashMap::new(),
-            n_runs: 0,
+            host_indices: HashMap::new(),
+            attempts: HashMap::new(),
+            n_attempts: 0,
             sessions: BTreeSet::new(),
-            cuts: Vec::new(),
-            left: None,
-            orphaned: None,
+            cut_links: Vec::new(),
+            leaving: None,
+            ownerless_since: None,
             metrics: MetricsCollector::new(case, arrivals),
         };
         res.add_hosts();
         for (idx, it) in arrivals.iter().enumerate() {
-            res.at(WARM_UP + Duration::from_millis(it.at), Event::Arrive(idx));
+            res.schedule_at(WARM_UP + Duration::from_millis(it.at), Event::Arrive(idx));
         }
         for (idx, it) in case.fault.iter().enumerate() {
             let [on, off] = [it.during.0, it.during.1].map(Duration::from_secs_f64);
-            res.at(WARM_UP + on, Event::Fault(idx, faults::Switch::On));
-            res.at(WARM_UP + off, Event::Fault(idx, faults::Switch::Off));
+            res.schedule_at(WARM_UP + on, Event::Fault(idx, faults::FaultPhase::Start));
+            res.schedule_at(WARM_UP + off, Event::Fault(idx, faults::FaultPhase::End));
         }
-        res.at(WARM_UP, Event::Sample);
+        res.schedule_at(WARM_UP, Event::SampleSlots);
         res
     }
 
     fn add_hosts(&mut self) {
-        for (centre, n) in self.case.deployment.hosts.clone().into_iter().enumerate() {
+        for (data_centre, n) in self.case.deployment.hosts.clone().into_iter().enumerate() {
             for idx in 0..n {
-                let ip = HostId::from([127, 0, centre as u8 + 1, idx as u8 + 1]);
-                self.by_ip.insert(ip, self.hosts.len());
+                let ip = HostId::from([127, 0, data_centre as u8 + 1, idx as u8 + 1]);
+                self.host_indices.insert(ip, self.hosts.len());
                 self.hosts.push(Host {
                     ip,
                     address: SocketAddr::new(ip, 9090),
-                    centre,
+                    data_centre,
                     scheduler: None,
                     router: None,
-                    lives: (0, 0),
-                    paused: None,
-                    silent: false,
+                    scheduler_generation: 0,
+                    router_generation: 0,
+                    paused_events: None,
+                    is_powered_off: false,
                     tickets: HashMap::new(),
-                    ticks: (Duration::MAX, Duration::MAX),
+                    scheduler_tick: Duration::MAX,
+                    router_tick: Duration::MAX,
                     bytes: 0,
                 });
             }
@@ -192,63 +196,65 @@
     }
 
     fn start_scheduler(&mut self, idx: usize) {
-        let me = self.entry(idx);
+        let me = self.list_entry(idx);
         let host = &mut self.hosts[idx];
-        host.lives.0 += 1;
-        host.ticks.0 = Duration::MAX;
+        host.scheduler_generation += 1;
+        host.scheduler_tick = Duration::MAX;
         // As a wall clock would give it: hosts started one after the other.
         let incarnation = 1_000_000 + 10 * idx as u64 + self.now.as_millis() as u64;
         let settings = schedule::Settings { me, incarnation, limits: Limits::default() };
         host.scheduler = Some(Scheduler::new(settings));
         // Hosts look at different moments.
         let offset = Duration::from_millis(37 * idx as u64 % 1000);
-        self.after(offset, Event::List(idx));
-        self.after(offset, Event::Watch(idx));
-        self.after(offset, Event::Report(idx));
-        self.after(Duration::ZERO, Event::TickScheduler(idx));
+        self.schedule_after(offset, Event::ListHosts(idx));
+        self.schedule_after(offset, Event::FetchConfig(idx));
+        self.schedule_after(offset, Event::ReportHealth(idx));
+        self.schedule_after(Duration::ZERO, Event::TickScheduler(idx));
     }
 
     fn start_router(&mut self, idx: usize) {
         let peer = self.neighbour(idx);
         let seeds = [idx, peer].map(|it| (self.hosts[it].ip, self.hosts[it].address));
         let host = &mut self.hosts[idx];
-        host.lives.1 += 1;
-        host.ticks.1 = Duration::MAX;
-        let mut router = Router::new(host.ip, fleet::centre_name(host.centre), host.lives.1);
+        host.router_generation += 1;
+        host.router_tick = Duration::MAX;
+        let mut router =
+            Router::new(host.ip, fleet::data_centre_name(host.data_centre), host.router_generation);
         for (ip, address) in seeds {
             router.seed(ip, address);
         }
         router.connect(self.now);
         host.router = Some(router);
-        self.after(Duration::ZERO, Event::TickRouter(idx));
+        self.schedule_after(Duration::ZERO, Event::TickRouter(idx));
     }
 
     /// Returns another host of the same data centre.
     fn neighbour(&self, idx: usize) -> usize {
-        let centre = self.hosts[idx].centre;
-        let mut others = (0..self.hosts.len()).filter(|it| self.hosts[*it].centre == centre);
+        let data_centre = self.hosts[idx].data_centre;
+        let mut others =
+            (0..self.hosts.len()).filter(|it| self.hosts[*it].data_centre == data_centre);
         others.find(|it| *it != idx).unwrap_or(idx)
     }
 
-    fn entry(&self, idx: usize) -> ListEntry {
+    fn list_entry(&self, idx: usize) -> ListEntry {
         let it = &self.hosts[idx];
-        let data_centre = fleet::centre_name(it.centre);
+        let data_centre = fleet::data_centre_name(it.data_centre);
         ListEntry { host: it.ip, address: it.address, data_centre, leaving: false }
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule_at(&mut self, at: Duration, event: Event) {
         self.n_events += 1;
-        self.queue.insert((at, self.n_events), event);
+        self.events.insert((at, self.n_events), event);
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
     fn run(&mut self) {
         let last = self.arrivals.last().map_or(0, |it| it.at);
-        let limit = WARM_UP + Duration::from_millis(last) + LINGER;
-        while let Some(((at, _), event)) = self.queue.pop_first() {
+        let limit = WARM_UP + Duration::from_millis(last) + DRAIN_LIMIT;
+        while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
             if limit < at {
                 self.metrics.add_violation("requests were still open at the end".to_owned());
@@ -264,36 +270,38 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::Scheduler(host, life, event) => self.feed(host, life, event),
+            Event::SchedulerInput(host, generation, event) => {
+                self.deliver_to_scheduler(host, generation, event)
+            }
             Event::TickScheduler(host) => {
-                self.hosts[host].ticks.0 = Duration::MAX;
-                let life = self.hosts[host].lives.0;
-                self.feed(host, life, schedule::Event::Tick);
+                self.hosts[host].scheduler_tick = Duration::MAX;
+                let generation = self.hosts[host].scheduler_generation;
+                self.deliver_to_scheduler(host, generation, schedule::Event::Tick);
             }
             Event::TickRouter(host) => {
-                self.hosts[host].ticks.1 = Duration::MAX;
+                self.hosts[host].router_tick = Duration::MAX;
                 let now = self.now;
-                self.route(host, |it| it.tick(now));
+                self.with_router(host, |it| it.tick(now));
             }
-            Event::Frame(host, from, frame) => {
+            Event::OwnerFrame(host, from, frame) => {
                 let now = self.now;
-                self.route(host, |it| it.hear(now, from, &frame));
+                self.with_router(host, |it| it.hear(now, from, &frame));
             }
-            Event::RouterUp(host, from) => {
+            Event::SessionUp(host, from) => {
                 let now = self.now;
-                self.route(host, |it| it.session_up(now, from));
+                self.with_router(host, |it| it.session_up(now, from));
             }
-            Event::RouterDown(host, from) => {
+            Event::SessionDown(host, from) => {
                 let now = self.now;
-                self.route(host, |it| it.session_down(now, from));
+                self.with_router(host, |it| it.session_down(now, from));
             }
-            Event::Begin(start) => self.begin(start),
-            Event::Tokens(upstream, run) => self.make_tokens(upstream, run),
-            Event::Watch(host) => self.watch(host),
-            Event::List(host) => self.list(host),
-            Event::Report(host) => self.report(host),
-            Event::Fault(idx, switch) => self.switch(idx, switch),
-            Event::Sample => self.sample(),
+            Event::StartAttempt(attempt) => self.start_attempt(attempt),
+            Event::GenerateTokens(upstream, id) => self.generate_tokens(upstream, id),
+            Event::FetchConfig(host) => self.fetch_config(host),
+            Event::ListHosts(host) => self.list_hosts(host),
+            Event::ReportHealth(host) => self.report_health(host),
+            Event::Fault(idx, phase) => self.apply_fault(idx, phase),
+            Event::SampleSlots => self.sample_slots(),
         }
     }
 
@@ -324,7 +332,7 @@
             deadline,
         };
         let now = self.now;
-        match self.route(host, |it| it.submit(now, wanted)) {
+        match self.with_router(host, |it| it.submit(now, wanted)) {
             Some(Ok(ticket)) => {
                 self.hosts[host].tickets.insert(ticket, request);
                 // A grant can't come before the ticket is known: frames take time.
@@ -334,49 +342,49 @@
     }
 
     /// Changes a router and carries out what it asks for.
-    fn route<T>(&mut self, idx: usize, f: impl FnOnce(&mut Router) -> T) -> Option<T> {
+    fn with_router<T>(&mut self, idx: usize, f: impl FnOnce(&mut Router) -> T) -> Option<T> {
         let router = self.hosts[idx].router.as_mut()?;
         let res = f(router);
         let actions = router.take_actions();
         let next = router.next_tick();
         for it in actions {
-            self.act_router(idx, it);
+            self.apply_router_action(idx, it);
         }
-        if let Some(at) = next.filter(|it| *it < self.hosts[idx].ticks.1) {
-            self.hosts[idx].ticks.1 = at;
-            self.at(at.max(self.now), Event::TickRouter(idx));
+        if let Some(at) = next.filter(|it| *it < self.hosts[idx].router_tick) {
+            self.hosts[idx].router_tick = at;
+            self.schedule_at(at.max(self.now), Event::TickRouter(idx));
         }
         Some(res)
     }
 
     /// Hands an event to a scheduler and carries out what it asks for.
-    fn feed(&mut self, idx: usize, life: u64, event: schedule::Event) {
+    fn deliver_to_scheduler(&mut self, idx: usize, generation: u64, event: schedule::Event) {
         let host = &mut self.hosts[idx];
-        if host.lives.0 != life {
+        if host.scheduler_generation != generation {
             return;
         }
-        if let Some(held) = &mut host.paused {
-            held.push(Event::Scheduler(idx, life, event));
+        if let Some(deferred) = &mut host.paused_events {
+            deferred.push(Event::SchedulerInput(idx, generation, event));
             return;
         }
         let Some(scheduler) = &mut host.scheduler else { return };
         let actions = scheduler.handle(self.now, event);
         let next = scheduler.next_tick();
         for it in actions {
-            self.act_scheduler(idx, it);
+            self.apply_scheduler_action(idx, it);
         }
         let next = next.max(self.now + Duration::from_millis(1));
-        if next < self.hosts[idx].ticks.0 {
-            self.hosts[idx].ticks.0 = next;
-            self.at(next, Event::TickScheduler(idx));
+        if next < self.hosts[idx].scheduler_tick {
+            self.hosts[idx].scheduler_tick = next;
+            self.schedule_at(next, Event::TickScheduler(idx));
         }
     }
 
-    fn act_router(&mut self, idx: usize, action: route::Action) {
+    fn apply_router_action(&mut self, idx: usize, action: route::Action) {
         match action {
             route::Action::Dial(host, _) => self.dial(idx, host),
-            route::Action::Send(host, frame) => self.send_router(idx, host, frame),
-            route::Action::Start(ticket, upstream) => self.start(idx, ticket, upstream),
+            route::Action::Send(host, frame) => self.send_router_frame(idx, host, frame),
+            route::Action::Start(ticket, upstream) => self.dispatch(idx, ticket, upstream),
             route::Action::Refuse(ticket, _, _) => {
                 if let Some(request) = self.hosts[idx].tickets.remove(&ticket) {
                     self.metrics.set_state(self.now, request, RequestState::Refused);
@@ -384,12 +392,12 @@
             }
             route::Action::Fetch(_) => {
                 let fleet = self.fleet.clone();
-                self.route(idx, |it| it.offer(fleet));
+                self.with_router(idx, |it| it.offer(fleet));
             }
         }
     }
 
-    fn sample(&mut self) {
+    fn sample_slots(&mut self) {
         let (mut busy, mut capacity) = (0, 0);
         for service in &self.fleet.services {
             let waits = |idx: usize| {
@@ -408,42 +416,42 @@
             }
         }
         self.metrics.sample_slots(self.now, busy, capacity);
-        self.after(SAMPLE, Event::Sample);
+        self.schedule_after(SAMPLE_INTERVAL, Event::SampleSlots);
     }
 
-    fn watch(&mut self, idx: usize) {
+    fn fetch_config(&mut self, idx: usize) {
         if self.hosts[idx].scheduler.is_none() {
             return;
         }
-        let (life, fleet) = (self.hosts[idx].lives.0, self.fleet.clone());
-        self.feed(idx, life, schedule::Event::Offered(fleet));
-        self.after(WATCH, Event::Watch(idx));
+        let (generation, fleet) = (self.hosts[idx].scheduler_generation, self.fleet.clone());
+        self.deliver_to_scheduler(idx, generation, schedule::Event::Offered(fleet));
+        self.schedule_after(CONFIG_INTERVAL, Event::FetchConfig(idx));
     }
 
-    fn list(&mut self, idx: usize) {
+    fn list_hosts(&mut self, idx: usize) {
         if self.hosts[idx].scheduler.is_none() {
             return;
         }
         // The list lags so much that it also names the dead.
-        let entries = (0..self.hosts.len()).map(|it| self.entry(it)).collect();
-        let life = self.hosts[idx].lives.0;
-        self.feed(idx, life, schedule::Event::Listed(entries));
-        self.after(LIST, Event::List(idx));
+        let entries = (0..self.hosts.len()).map(|it| self.list_entry(it)).collect();
+        let generation = self.hosts[idx].scheduler_generation;
+        self.deliver_to_scheduler(idx, generation, schedule::Event::Listed(entries));
+        self.schedule_after(LIST_INTERVAL, Event::ListHosts(idx));
     }
 
-    fn report(&mut self, idx: usize) {
+    fn report_health(&mut self, idx: usize) {
         let Some(scheduler) = &self.hosts[idx].scheduler else { return };
-        let life = self.hosts[idx].lives.0;
+        let generation = self.hosts[idx].scheduler_generation;
         for (id, _) in scheduler.watched() {
             let engine = &self.engines[&id];
-            let running = engine.report(self.now.saturating_sub(LAG));
+            let running = engine.report(self.now.saturating_sub(REPORT_LAG));
             let health = match engine.alive {
                 true => Health::Up { running, leaving: false },
                 false => Health::Down,
             };
-            self.feed(idx, life, schedule::Event::Report(id, health));
+            self.deliver_to_scheduler(idx, generation, schedule::Event::Report(id, health));
         }
-        self.after(REPORT, Event::Report(idx));
+        self.schedule_after(REPORT_INTERVAL, Event::ReportHealth(idx));
     }
 
     /// Holds the most requests that ever ran on each engine against its slots; with faults
@@ -458,8 +466,8 @@
         }
     }
 
-    fn engine_centre(&self, id: UpstreamId) -> usize {
-        let centre = self.fleet.upstream(id).map_or(0, |it| it.data_centre);
-        self.fleet.data_centres.iter().position(|it| it.id == centre).unwrap_or(0)
+    fn engine_data_centre(&self, id: UpstreamId) -> usize {
+        let data_centre = self.fleet.upstream(id).map_or(0, |it| it.data_centre);
+        self.fleet.data_centres.iter().position(|it| it.id == data_centre).unwrap_or(0)
     }
 }
--- /dev/null
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -0,0 +1,208 @@
+//! Messages between hosts: delay, loss by cuts and deaths, bytes.
+
+use std::{net::SocketAddr, time::Duration};
+
+use portfield::{ids::HostId, schedule, wire};
+use prost::Message;
+
+use super::{Event, Simulation};
+
+/// Bytes that a frame on an open stream costs beside its own: HTTP/2 and gRPC framing.
+const FRAME_OVERHEAD: usize = 14;
+/// Bytes that a call costs beside its messages: both heads, compressed, and framing.
+const CALL_OVERHEAD: usize = 120;
+/// Time after which a call without an answer is given up.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a connection without pings is given up.
+const PING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which a probe without an answer is given up.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+
+impl Simulation<'_> {
+    /// Returns the one-way delay between two data centres.
+    pub(super) fn link_delay(&self, a: usize, b: usize) -> Duration {
+        let deployment = &self.case.deployment;
+        Duration::from_micros(if a == b { deployment.near_us } else { deployment.far_us })
+    }
+
+    /// Returns whether messages from one data centre to another are lost.
+    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
+        self.cut_links.contains(&(from, to))
+    }
+
+    /// Returns the number of a host.
+    pub(super) fn host_index(&self, ip: HostId) -> usize {
+        self.host_indices.get(&ip).copied().unwrap_or(0)
+    }
+
+    fn host_at(&self, address: SocketAddr) -> usize {
+        self.host_index(address.ip())
+    }
+
+    /// Counts a message at both ends.
+    fn count_message(&mut self, from: usize, to: usize, bytes: usize) {
+        self.metrics.control_bytes += 2 * bytes as u64;
+        self.metrics.control_messages += 1;
+        self.hosts[from].bytes += bytes as u64;
+        self.hosts[to].bytes += bytes as u64;
+    }
+
+    /// Returns whether a call reaches a scheduler that answers, and the delay one way.
+    fn reach_scheduler(&self, from: usize, to: usize) -> (Option<u64>, Duration) {
+        let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
+        let host = &self.hosts[to];
+        let answers = host.scheduler.is_some() && host.paused_events.is_none();
+        let open = !self.is_cut(a, b) && !self.is_cut(b, a);
+        ((answers && open).then_some(host.scheduler_generation), self.link_delay(a, b))
+    }
+
+    /// Returns whether a host answers, but no scheduler runs there.
+    fn refuses_connection(&self, from: usize, to: usize) -> bool {
+        let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
+        let host = &self.hosts[to];
+        host.scheduler.is_none() && !host.is_powered_off && !self.is_cut(a, b) && !self.is_cut(b, a)
+    }
+
+    pub(super) fn dial(&mut self, router: usize, host: HostId) {
+        let scheduler = self.host_index(host);
+        let (generation, delay) = self.reach_scheduler(router, scheduler);
+        let Some(generation) = generation else {
+            self.schedule_after(delay * 2, Event::SessionDown(router, host));
+            return;
+        };
+        self.count_message(router, scheduler, CALL_OVERHEAD);
+        self.sessions.insert((router, scheduler));
+        let ip = self.hosts[router].ip;
+        let up = schedule::Event::RouterUp(ip);
+        self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, up));
+        self.schedule_after(delay * 2, Event::SessionUp(router, host));
+    }
+
+    pub(super) fn send_router_frame(
+        &mut self,
+        router: usize,
+        to: HostId,
+        frame: wire::RouterFrame,
+    ) {
+        let scheduler = self.host_index(to);
+        if !self.sessions.contains(&(router, scheduler)) {
+            return;
+        }
+        self.count_message(router, scheduler, frame.encoded_len() + FRAME_OVERHEAD);
+        let (ip, generation) = (self.hosts[router].ip, self.hosts[scheduler].scheduler_generation);
+        let event = schedule::Event::Router(ip, frame);
+        let delay =
+            self.link_delay(self.hosts[router].data_centre, self.hosts[scheduler].data_centre);
+        self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, event));
+    }
+
+    pub(super) fn apply_scheduler_action(&mut self, from: usize, action: schedule::Action) {
+        match action {
+            schedule::Action::Router(host, frame) => self.send_owner_frame(from, host, frame),
+            schedule::Action::Peer(address, frame) => self.send_peer_frame(from, address, frame),
+            schedule::Action::Probe(address, target, request) => {
+                self.send_probe(from, address, target, request);
+            }
+            schedule::Action::Fetch(address) => {
+                let to = self.host_at(address);
+                let (generation, delay) = self.reach_scheduler(from, to);
+                if generation.is_none() {
+                    return;
+                }
+                let Some(fleet) = self.hosts[to].scheduler.as_ref().map(|it| it.fleet().clone())
+                else {
+                    return;
+                };
+                let own_generation = self.hosts[from].scheduler_generation;
+                let event = schedule::Event::Offered((*fleet).clone());
+                self.schedule_after(delay * 2, Event::SchedulerInput(from, own_generation, event));
+            }
+        }
+    }
+
+    fn send_owner_frame(&mut self, from: usize, to: HostId, frame: wire::OwnerFrame) {
+        let router = self.host_index(to);
+        if !self.sessions.contains(&(router, from)) {
+            return;
+        }
+        self.count_message(from, router, frame.encoded_len() + FRAME_OVERHEAD);
+        let ip = self.hosts[from].ip;
+        let delay = self.link_delay(self.hosts[from].data_centre, self.hosts[router].data_centre);
+        self.schedule_after(delay, Event::OwnerFrame(router, ip, frame));
+    }
+
+    fn send_peer_frame(&mut self, from: usize, address: SocketAddr, frame: wire::PeerFrame) {
+        let to = self.host_at(address);
+        self.count_message(from, to, frame.encoded_len() + CALL_OVERHEAD);
+        let own_generation = self.hosts[from].scheduler_generation;
+        let (generation, delay) = self.reach_scheduler(from, to);
+        let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
+        // Where only the way back is cut, the frame arrives and the sender can't know.
+        let current = self.hosts[to].scheduler_generation;
+        if generation.is_some() || !self.is_cut(a, b) {
+            let event = schedule::Event::Peer(frame.clone());
+            self.schedule_after(delay, Event::SchedulerInput(to, current, event));
+        }
+        let scheduler = self.hosts[to].scheduler.as_ref().filter(|_| generation.is_some());
+        let reply = scheduler.map(|it| it.peer_reply(&frame));
+        let time = if reply.is_some() { delay * 2 } else { CALL_TIMEOUT };
+        self.count_message(from, to, reply.as_ref().map_or(0, wire::PeerReply::encoded_len));
+        let event = schedule::Event::PeerSent(frame, reply);
+        self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
+    }
+
+    fn send_probe(
+        &mut self,
+        from: usize,
+        address: SocketAddr,
+        target: HostId,
+        request: wire::ProbeRequest,
+    ) {
+        let to = self.host_at(address);
+        self.count_message(from, to, request.encoded_len() + CALL_OVERHEAD);
+        let (generation, delay) = self.reach_scheduler(from, to);
+        let own_generation = self.hosts[from].scheduler_generation;
+        let Some(generation) = generation else {
+            if request.target.is_empty() && self.refuses_connection(from, to) {
+                let event = schedule::Event::Refused(target);
+                self.schedule_after(delay * 2, Event::SchedulerInput(from, own_generation, event));
+            }
+            return;
+        };
+        let mut time = delay * 2;
+        let mut alive = true;
+        if !request.target.is_empty() {
+            let (target_generation, target_delay) =
+                self.reach_scheduler(to, self.host_index(target));
+            alive = target_generation.is_some();
+            time += if alive { target_delay * 2 } else { PROBE_TIMEOUT };
+        }
+        let probed = schedule::Event::Probed(request.clone());
+        self.schedule_after(delay, Event::SchedulerInput(to, generation, probed));
+        let Some(scheduler) = self.hosts[to].scheduler.as_mut() else { return };
+        let reply = wire::ProbeReply { alive, ..scheduler.probe_reply(&request) };
+        self.count_message(from, to, reply.encoded_len());
+        let event = schedule::Event::Answered(target, reply);
+        self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
+    }
+
+    /// Ends the sessions of a router or of a scheduler that died.
+    pub(super) fn break_sessions(&mut self, is_broken: impl Fn(&(usize, usize)) -> bool) {
+        let broken: Vec<_> = self.sessions.iter().filter(|it| is_broken(it)).copied().collect();
+        for (router, scheduler) in broken {
+            self.sessions.remove(&(router, scheduler));
+            let mut delay =
+                self.link_delay(self.hosts[router].data_centre, self.hosts[scheduler].data_centre);
+            if self.hosts[router].is_powered_off || self.hosts[scheduler].is_powered_off {
+                // Only the pings of the connection find it out.
+                delay += PING_TIMEOUT;
+            }
+            let (ip, generation) =
+                (self.hosts[router].ip, self.hosts[scheduler].scheduler_generation);
+            let down = schedule::Event::RouterDown(ip);
+            self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, down));
+            let host = self.hosts[scheduler].ip;
+            self.schedule_after(delay, Event::SessionDown(router, host));
+        }
+    }
+}
--- a/crates/portfield-replay/src/slopes.rs
+++ b/crates/portfield-replay/src/slopes.rs
@@ -117,7 +117,7 @@
     let case = size_case(time);
     let arrivals = case.record();
     let start = Instant::now();
-    let res = sim::replay_part(&case, &arrivals, time);
+    let res = sim::replay_for(&case, &arrivals, time);
     let cpu = start.elapsed().as_secs_f64();
     let (mean, most, idle) = res.control;
     let metrics = &res.metrics;
