--- a/crates/portfield-replay/src/sim/attempts.rs
+++ b/crates/portfield-replay/src/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to engines and on them.
+//! Attempts to run a request on an engine: dispatch, token generation and end.
 
 use std::time::Duration;
 
@@ -11,6 +11,7 @@
 };
 
 impl Simulation<'_> {
+    /// Sends a granted request from its router to an engine.
     pub(super) fn dispatch(&mut self, host: usize, ticket: TicketId, upstream: UpstreamId) {
         let Some(request) = self.hosts[host].tickets.get(&ticket).copied() else { return };
         self.metrics.set_state(self.now, request, RequestState::Runs);
@@ -21,6 +22,7 @@
         self.schedule_after(delay, Event::StartAttempt(attempt));
     }
 
+    /// Starts an attempt on its engine, or fails it if the engine can't be reached.
     pub(super) fn start_attempt(&mut self, attempt: Attempt) {
         let data_centre = self.engine_data_centre(attempt.upstream);
         let here = self.hosts[attempt.host].data_centre;
@@ -52,7 +54,8 @@
         self.schedule_after(time, Event::GenerateTokens(attempt.upstream, id));
     }
 
-    /// Notes the first work for the first data centre's upstreams after their owner died.
+    /// Records the time from the death of the first data centre's shard owner to the first request
+    /// at its upstreams that the dead owner can't have granted.
     pub(super) fn record_regrant(&mut self, data_centre: usize) {
         let Some(since) =
             self.ownerless_since.filter(|it| data_centre == 0 && *it + MAX_TRANSIT < self.now)
@@ -63,11 +66,12 @@
         self.metrics.regrant = self.metrics.regrant.max(self.now - since);
     }
 
+    /// Completes one step of an attempt and schedules the next one, or ends the request.
     pub(super) fn generate_tokens(&mut self, upstream: UpstreamId, id: u64) {
         let Some(attempt) = self.attempts.get(&id).copied() else { return };
         let now = self.now;
         if !self.is_router_live(&attempt) {
-            // The caller's connection is gone: the engine cancels.
+            // The router's connection is gone, so the engine cancels the request.
             self.end_attempt(upstream, id);
             return;
         }
@@ -84,7 +88,7 @@
             self.with_router(attempt.host, |it| it.progress(attempt.ticket, made));
             self.schedule_after(time, Event::GenerateTokens(upstream, id));
         } else if cut {
-            // The rest is resumed once the link is back.
+            // The router gets the end of the response once the link is restored.
             self.schedule_after(Duration::from_millis(100), Event::GenerateTokens(upstream, id));
         } else {
             self.end_attempt(upstream, id);
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Frees the slot of an attempt.
     pub(super) fn end_attempt(&mut self, upstream: UpstreamId, id: u64) {
         let now = self.now;
         self.attempts.remove(&id);
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Ends an attempt that broke; the request waits again.
+    /// Reports a failed attempt to its router and submits the request again.
     pub(super) fn fail_attempt(&mut self, attempt: Attempt) {
         self.hosts[attempt.host].tickets.remove(&attempt.ticket);
         self.with_router(attempt.host, |it| it.fail(attempt.ticket, 0));
@@ -111,7 +116,7 @@
         self.submit(attempt.host, attempt.request);
     }
 
-    /// Returns whether the router that started a request still lives.
+    /// Returns whether the router that dispatched an attempt still runs.
     pub(super) fn is_router_live(&self, attempt: &Attempt) -> bool {
         let host = &self.hosts[attempt.host];
         host.router_generation == attempt.router_generation && host.router.is_some()
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of a replay.
+//! Faults of a case: how they start and end.
 
 use portfield::{ids::UpstreamId, member::rank, schedule::ShardKey};
 
 use super::{Simulation, fleet::data_centre_name};
 use crate::{case::FaultKind, metrics::RequestState};
 
-/// Whether a fault begins or ends.
+/// Whether a fault starts or ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FaultPhase {
     Start,
@@ -13,7 +13,7 @@
 }
 
 impl Simulation<'_> {
-    /// Begins or ends a fault.
+    /// Starts or ends a fault of the case, given by index.
     pub(super) fn apply_fault(&mut self, idx: usize, phase: FaultPhase) {
         let fault = &self.case.fault[idx];
         let (kind, at) = (fault.kind, fault.at);
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Returns the id of an engine, given by its number in the configuration.
     fn engine_id(&self, at: usize) -> UpstreamId {
         self.fleet.upstreams[at].id
     }
@@ -89,6 +90,8 @@
         self.break_sessions(|it| it.1 == at);
     }
 
+    /// Cuts the power of the host that owns the first shard: its processes end and connections to
+    /// it hang.
     fn kill_owner_host(&mut self) {
         let at = self.first_owner();
         self.ownerless_since = Some(self.now);
@@ -98,6 +101,7 @@
         self.break_sessions(|it| it.1 == at);
     }
 
+    /// Ends a host's router, and with it the requests that it holds.
     fn kill_router(&mut self, at: usize) {
         self.hosts[at].router = None;
         let mut tickets: Vec<_> = self.hosts[at].tickets.drain().collect();
@@ -108,6 +112,7 @@
         self.break_sessions(|it| it.0 == at);
     }
 
+    /// Ends an engine and fails its attempts.
     fn kill_engine(&mut self, at: usize) {
         let id = self.engine_id(at);
         let Some(engine) = self.engines.get_mut(&id) else { return };
@@ -122,16 +127,19 @@
         }
     }
 
+    /// Marks an engine as leaving in a new revision of the configuration.
     pub(super) fn mark_leaving(&mut self, at: usize) {
         let id = self.engine_id(at);
         self.fleet.revision += 1;
         self.fleet.upstreams[at].leaving = true;
         self.leaving = Some((id, self.now));
-        // One scheduler sees it first; the others learn the revision from its probes.
+        // One scheduler reads it first; the others learn of the revision from its probes.
         let (generation, fleet) = (self.hosts[0].scheduler_generation, self.fleet.clone());
         self.deliver_to_scheduler(0, generation, portfield::schedule::Event::Offered(fleet));
     }
 
+    /// Cuts the links from a data centre to the others, those to it, or both: one flag for each
+    /// direction.
     fn cut_off(&mut self, at: usize, directions: &[bool; 2]) {
         for other in (0..self.case.deployment.hosts.len()).filter(|it| *it != at) {
             if directions[0] {
--- a/crates/portfield-replay/src/sim/fleet.rs
+++ b/crates/portfield-replay/src/sim/fleet.rs
@@ -1,19 +1,19 @@
-//! The configuration of a case.
+//! Fleet configuration of a case.
 
 use portfield::fleet::hash_token;
 use portfield::fleet::{Fleet, Intent, Kind, ServiceIntent, UpstreamIntent, WorkspaceIntent};
 
 use crate::case::Case;
 
-/// Longest wait of a request, in milliseconds.
+/// Wait limit of every service, in milliseconds.
 const WAIT_LIMIT_MS: u64 = 100_000;
 
-/// Returns the name of a data centre.
+/// Returns the name of a data centre, given by index.
 pub(super) fn data_centre_name(idx: usize) -> String {
     format!("centre-{idx}")
 }
 
-/// Builds the configuration of a case: every service has its own engines.
+/// Builds the fleet of a case; every service has engines of its own.
 pub(super) fn build_fleet(case: &Case) -> Fleet {
     let deployment = &case.deployment;
     let mut intent = Intent {
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -1,5 +1,7 @@
-//! The replay: real decision code of routers and schedulers, virtual time, small fakes of
-//! engines, of the platform and of message delay. The same case gives the same figures.
+//! Discrete-event simulation of a case: the real decision code of routers and schedulers runs in
+//! virtual time, with simulated engines, platform and message delays.
+//!
+//! The simulation is deterministic: the same case and trace give the same metrics.
 
 mod attempts;
 mod faults;
@@ -31,45 +33,59 @@
     trace::Arrival,
 };
 
-/// Time between two looks at the slots.
+/// Time between two samples of the slots in use.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
-/// Time between two looks of a scheduler at the host list.
+/// Time between two reads of the host list by a scheduler.
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks of a scheduler at the configuration.
+/// Time between two reads of the configuration by a scheduler.
 const CONFIG_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two load reports.
+/// Time between two load reports to a scheduler.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Load reports are this old.
+/// Age of the load in a report.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// Time that the fleet gets before the first request.
+/// Time before the first request, in which the hosts join.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Longest replay after the last arrival.
+/// Time after the last arrival by which every request must have ended.
 const DRAIN_LIMIT: Duration = Duration::from_secs(120);
-/// Grants that were under way when their owner died arrive within this time.
+/// Longest time until the grants that an owner sent before its death take effect.
 const MAX_TRANSIT: Duration = Duration::from_millis(20);
-/// Time after which a leaving upstream must get nothing.
+/// Time after which an upstream marked as leaving must get no requests.
 const LEAVE_GRACE: Duration = Duration::from_secs(3);
 
-/// What happens, and when.
+/// Event of the simulation. Hosts and requests are given by index.
 #[derive(Debug, Clone)]
 enum Event {
+    /// A request of the trace arrives.
     Arrive(usize),
+    /// An event reaches the scheduler of a host, unless its generation is no longer the given one.
     SchedulerInput(usize, u64, schedule::Event),
+    /// A timer of a host's scheduler expires.
     TickScheduler(usize),
+    /// A timer of a host's router expires.
     TickRouter(usize),
+    /// A frame from the scheduler of another host reaches a host's router.
     OwnerFrame(usize, HostId, wire::OwnerFrame),
+    /// A host's router learns that its session with a scheduler is open.
     SessionUp(usize, HostId),
+    /// A host's router learns that its session with a scheduler failed or ended.
     SessionDown(usize, HostId),
+    /// A dispatched request reaches its engine.
     StartAttempt(Attempt),
+    /// An engine completes the next step of an attempt, given by its id.
     GenerateTokens(UpstreamId, u64),
+    /// A host's scheduler reads the configuration.
     FetchConfig(usize),
+    /// A host's scheduler reads the host list.
     ListHosts(usize),
+    /// The engines that a host's scheduler watches report their health.
     ReportHealth(usize),
+    /// A fault of the case, given by index, starts or ends.
     Fault(usize, faults::FaultPhase),
+    /// The slots in use are sampled.
     SampleSlots,
 }
 
-/// A request on its way to an engine.
+/// An attempt of a router to run a request on an engine.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     host: usize,
@@ -79,7 +95,7 @@
     upstream: UpstreamId,
 }
 
-/// One entry host.
+/// A host with its scheduler and router; either is `None` while it is down.
 #[derive(Debug)]
 struct Host {
     ip: HostId,
@@ -88,41 +104,52 @@
     scheduler: Option<Scheduler>,
     router: Option<Router>,
     /// Lives of the scheduler and of the router.
+    /// Number of starts of the scheduler.
     scheduler_generation: u64,
+    /// Number of starts of the router.
     router_generation: u64,
+    /// Events held back while the scheduler is paused.
     paused_events: Option<Vec<Event>>,
-    /// It has no power: nothing there even refuses.
+    /// The host has no power: connections to it hang instead of being refused.
     is_powered_off: bool,
+    /// Request of each open ticket.
     tickets: HashMap<TicketId, usize>,
+    /// Time of the scheduler's next scheduled tick.
     scheduler_tick: Duration,
+    /// Time of the router's next scheduled tick.
     router_tick: Duration,
-    /// Control bytes, sent and received.
+    /// Bytes of control messages, sent and received.
     bytes: u64,
 }
 
-/// A replay under way.
+/// State of a running simulation.
 #[derive(Debug)]
 pub struct Simulation<'a> {
     case: &'a Case,
     arrivals: &'a [Arrival],
     fleet: Fleet,
     now: Duration,
+    /// Scheduled events by time, then in the order in which they were scheduled.
     events: BTreeMap<(Duration, u64), Event>,
     n_events: u64,
     hosts: Vec<Host>,
     host_indices: HashMap<HostId, usize>,
     engines: BTreeMap<UpstreamId, Engine>,
+    /// Attempts on engines, by id.
     attempts: HashMap<u64, Attempt>,
     n_attempts: u64,
+    /// Open sessions, as indices of the router's and of the scheduler's host.
     sessions: BTreeSet<(usize, usize)>,
+    /// Pairs of data centres; messages from the first to the second are lost.
     cut_links: Vec<(usize, usize)>,
+    /// Upstream that was marked as leaving last, and when.
     leaving: Option<(UpstreamId, Duration)>,
-    /// When the first shard lost its owner, until its upstreams get work again.
+    /// When the first shard lost its owner; `None` once its upstreams get requests again.
     ownerless_since: Option<Duration>,
     metrics: MetricsCollector,
 }
 
-/// Replays a case's trace and returns the figures.
+/// Replays the trace of a case and returns its metrics.
 pub fn replay(case: &Case, arrivals: &[Arrival]) -> Metrics {
     let mut simulation = Simulation::new(case, arrivals);
     simulation.run();
@@ -200,11 +227,11 @@
         let host = &mut self.hosts[idx];
         host.scheduler_generation += 1;
         host.scheduler_tick = Duration::MAX;
-        // As a wall clock would give it: hosts started one after the other.
+        // Stands in for the wall clock in milliseconds, as if hosts had started 10 ms apart.
         let incarnation = 1_000_000 + 10 * idx as u64 + self.now.as_millis() as u64;
         let settings = schedule::Settings { me, incarnation, limits: Limits::default() };
         host.scheduler = Some(Scheduler::new(settings));
-        // Hosts look at different moments.
+        // Hosts poll at different offsets.
         let offset = Duration::from_millis(37 * idx as u64 % 1000);
         self.schedule_after(offset, Event::ListHosts(idx));
         self.schedule_after(offset, Event::FetchConfig(idx));
@@ -228,7 +255,7 @@
         self.schedule_after(Duration::ZERO, Event::TickRouter(idx));
     }
 
-    /// Returns another host of the same data centre.
+    /// Returns another host of the same data centre, or the host itself if it is alone.
     fn neighbour(&self, idx: usize) -> usize {
         let data_centre = self.hosts[idx].data_centre;
         let mut others =
@@ -309,7 +336,7 @@
         self.metrics.set_state(self.now, request, RequestState::Waits);
         let n_hosts = self.hosts.len();
         let mut host = self.arrivals[request].entry % n_hosts;
-        // The balancer does not send to a host that is down.
+        // The load balancer in front of the hosts skips those that are down.
         while self.hosts[host].router.is_none() {
             host = (host + 1) % n_hosts;
         }
@@ -335,13 +362,13 @@
         match self.with_router(host, |it| it.submit(now, wanted)) {
             Some(Ok(ticket)) => {
                 self.hosts[host].tickets.insert(ticket, request);
-                // A grant can't come before the ticket is known: frames take time.
+                // No grant can arrive before this line: frames take time.
             }
             _ => self.metrics.set_state(now, request, RequestState::Refused),
         }
     }
 
-    /// Changes a router and carries out what it asks for.
+    /// Calls `f` on a host's router and carries out the resulting actions; `None` if it is down.
     fn with_router<T>(&mut self, idx: usize, f: impl FnOnce(&mut Router) -> T) -> Option<T> {
         let router = self.hosts[idx].router.as_mut()?;
         let res = f(router);
@@ -357,7 +384,9 @@
         Some(res)
     }
 
-    /// Hands an event to a scheduler and carries out what it asks for.
+    /// Delivers an event to a host's scheduler and carries out the resulting actions.
+    ///
+    /// The event is dropped if the scheduler has restarted, and held back while it is paused.
     fn deliver_to_scheduler(&mut self, idx: usize, generation: u64, event: schedule::Event) {
         let host = &mut self.hosts[idx];
         if host.scheduler_generation != generation {
@@ -432,7 +461,7 @@
         if self.hosts[idx].scheduler.is_none() {
             return;
         }
-        // The list lags so much that it also names the dead.
+        // The host list is stale: it still has the dead hosts.
         let entries = (0..self.hosts.len()).map(|it| self.list_entry(it)).collect();
         let generation = self.hosts[idx].scheduler_generation;
         self.deliver_to_scheduler(idx, generation, schedule::Event::Listed(entries));
@@ -454,8 +483,8 @@
         self.schedule_after(REPORT_INTERVAL, Event::ReportHealth(idx));
     }
 
-    /// Holds the most requests that ever ran on each engine against its slots; with faults
-    /// one more is let pass, see docs/promises.md.
+    /// Adds a violation for each engine that ever ran more requests than it has slots; in a case
+    /// with faults one more is allowed, see docs/promises.md.
     fn check_slots(&mut self) {
         let slack = usize::from(!self.case.fault.is_empty());
         for (id, it) in &self.engines {
@@ -466,6 +495,7 @@
         }
     }
 
+    /// Returns the index of an engine's data centre.
     fn engine_data_centre(&self, id: UpstreamId) -> usize {
         let data_centre = self.fleet.upstream(id).map_or(0, |it| it.data_centre);
         self.fleet.data_centres.iter().position(|it| it.id == data_centre).unwrap_or(0)
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -1,4 +1,5 @@
-//! Messages between hosts: delay, loss by cuts and deaths, bytes.
+//! Messages between hosts: their delay, their size, and their loss when links are cut or processes
+//! die.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,15 +8,15 @@
 
 use super::{Event, Simulation};
 
-/// Bytes that a frame on an open stream costs beside its own: HTTP/2 and gRPC framing.
+/// Bytes of HTTP/2 and gRPC framing for each message on an open stream.
 const FRAME_OVERHEAD: usize = 14;
-/// Bytes that a call costs beside its messages: both heads, compressed, and framing.
+/// Bytes of a call besides its messages: compressed headers of request and response, and framing.
 const CALL_OVERHEAD: usize = 120;
-/// Time after which a call without an answer is given up.
+/// Time after which a call without a response is abandoned.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a connection without pings is given up.
+/// Time after which a connection without answers to its pings is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after which a probe without an answer is given up.
+/// Time after which a probe without a response is abandoned.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Simulation<'_> {
@@ -30,16 +31,17 @@
         self.cut_links.contains(&(from, to))
     }
 
-    /// Returns the number of a host.
+    /// Returns the index of a host.
     pub(super) fn host_index(&self, ip: HostId) -> usize {
         self.host_indices.get(&ip).copied().unwrap_or(0)
     }
 
+    /// Returns the index of the host whose scheduler listens at an address.
     fn host_at(&self, address: SocketAddr) -> usize {
         self.host_index(address.ip())
     }
 
-    /// Counts a message at both ends.
+    /// Counts the bytes of a control message at its sender and its receiver.
     fn count_message(&mut self, from: usize, to: usize, bytes: usize) {
         self.metrics.control_bytes += 2 * bytes as u64;
         self.metrics.control_messages += 1;
@@ -47,7 +49,8 @@
         self.hosts[to].bytes += bytes as u64;
     }
 
-    /// Returns whether a call reaches a scheduler that answers, and the delay one way.
+    /// Returns the generation of a host's scheduler if a call reaches it and gets a response, and
+    /// the one-way delay.
     fn reach_scheduler(&self, from: usize, to: usize) -> (Option<u64>, Duration) {
         let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
         let host = &self.hosts[to];
@@ -56,13 +59,14 @@
         ((answers && open).then_some(host.scheduler_generation), self.link_delay(a, b))
     }
 
-    /// Returns whether a host answers, but no scheduler runs there.
+    /// Returns whether a connection is refused: the host is reachable, but runs no scheduler.
     fn refuses_connection(&self, from: usize, to: usize) -> bool {
         let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
         let host = &self.hosts[to];
         host.scheduler.is_none() && !host.is_powered_off && !self.is_cut(a, b) && !self.is_cut(b, a)
     }
 
+    /// Opens a session from a router to a host's scheduler.
     pub(super) fn dial(&mut self, router: usize, host: HostId) {
         let scheduler = self.host_index(host);
         let (generation, delay) = self.reach_scheduler(router, scheduler);
@@ -137,7 +141,7 @@
         let own_generation = self.hosts[from].scheduler_generation;
         let (generation, delay) = self.reach_scheduler(from, to);
         let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
-        // Where only the way back is cut, the frame arrives and the sender can't know.
+        // If only the way back is cut, the frame arrives, but the sender gets no reply.
         let current = self.hosts[to].scheduler_generation;
         if generation.is_some() || !self.is_cut(a, b) {
             let event = schedule::Event::Peer(frame.clone());
@@ -186,7 +190,7 @@
         self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
     }
 
-    /// Ends the sessions of a router or of a scheduler that died.
+    /// Closes the sessions that `is_broken` selects: those of a router or scheduler that died.
     pub(super) fn break_sessions(&mut self, is_broken: impl Fn(&(usize, usize)) -> bool) {
         let broken: Vec<_> = self.sessions.iter().filter(|it| is_broken(it)).copied().collect();
         for (router, scheduler) in broken {
@@ -194,7 +198,7 @@
             let mut delay =
                 self.link_delay(self.hosts[router].data_centre, self.hosts[scheduler].data_centre);
             if self.hosts[router].is_powered_off || self.hosts[scheduler].is_powered_off {
-                // Only the pings of the connection find it out.
+                // A host without power closes no connection: only unanswered pings reveal it.
                 delay += PING_TIMEOUT;
             }
             let (ip, generation) =
--- a/crates/portfield-replay/src/sim/scale.rs
+++ b/crates/portfield-replay/src/sim/scale.rs
@@ -1,33 +1,37 @@
-//! Replays at the size to design for: a part of a trace, and what it costs each host.
+//! Replay at the fleet's target scale: a part of a trace, with the control traffic of each host.
 
 use std::time::Duration;
 
 use super::{Event, Host, Simulation, WARM_UP};
 use crate::{case::Case, metrics::Metrics, trace::Arrival};
 
-/// What a replay at size measured beside its metrics.
+/// Results of a replay at target scale.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleReport {
-    /// The metrics.
+    /// Metrics of the replay.
     pub metrics: Metrics,
-    /// Control bytes a second: mean over hosts, the most, and mean over hosts without a shard.
+    /// Control bytes per second of a host: mean, maximum, and mean of the hosts that own no shard.
     pub control: (f64, f64, f64),
-    /// Hosts that own a shard.
+    /// Number of hosts that own a shard.
     pub n_owners: usize,
-    /// From a change of configuration until it was in force at every scheduler.
+    /// Time from a change of the configuration until every scheduler applied it; `None` if the
+    /// replay ended before.
     pub in_force: Option<Duration>,
-    /// Control messages sent.
+    /// Number of control messages sent.
     pub messages: u64,
-    /// Virtual time that was replayed.
+    /// Virtual time at the end, with the warm-up.
     pub time: Duration,
 }
 
-/// Replays a part of a trace and stops, for figures at a size where the whole would be long.
+/// Replays a trace for the given virtual time only, and changes the configuration half-way.
+///
+/// Meant for a scale at which the whole trace would take too long.
 pub fn replay_for(case: &Case, arrivals: &[Arrival], time: Duration) -> ScaleReport {
     let mut simulation = Simulation::new(case, arrivals);
     let change_at = WARM_UP + time / 2;
     let mut in_force = None;
-    // What joining costs is not counted.
+    // Time and bytes of each host when the last quarter starts. Control traffic is counted from
+    // then on, without that of joining hosts.
     let mut measured_from = None;
     while let Some(((at, _), event)) = simulation.events.pop_first() {
         simulation.now = at;
@@ -57,11 +61,14 @@
 }
 
 impl Simulation<'_> {
+    /// Returns whether every scheduler applies the latest revision of the configuration.
     pub(super) fn is_config_in_force(&self) -> bool {
         let mut all = self.hosts.iter().filter_map(|it| it.scheduler.as_ref());
         all.all(|it| it.fleet().revision == self.fleet.revision)
     }
 
+    /// Builds the report, with control traffic counted since the time at which the hosts had sent
+    /// and received the bytes in `before`.
     pub(super) fn scale_report(
         &self,
         in_force: Option<Duration>,
