--- a/crates/portfield-replay/src/lib.rs
+++ b/crates/portfield-replay/src/lib.rs
@@ -5,6 +5,6 @@
 pub mod engine;
 pub mod gap;
 pub mod metrics;
+pub mod scaling;
 pub mod sim;
-pub mod slopes;
 pub mod trace;
--- a/crates/portfield-replay/src/main.rs
+++ b/crates/portfield-replay/src/main.rs
@@ -13,7 +13,7 @@
     baseline::{self, Baseline},
     case::Case,
     metrics::{Metrics, Verdict},
-    sim, slopes, trace,
+    scaling, sim, trace,
 };
 
 /// Records and replays traces in virtual time.
@@ -57,10 +57,10 @@
         Command::Run { cases } => run(&cases),
         Command::Compare { cases } => compare(&cases),
         Command::Size { seconds } => {
-            let text = slopes::at_size(Duration::from_secs(seconds));
+            let text = scaling::replay_at_scale(Duration::from_secs(seconds));
             Ok(std::io::stdout().write_all(text.as_bytes())?)
         }
-        Command::Slopes => Ok(std::io::stdout().write_all(slopes::table().as_bytes())?),
+        Command::Slopes => Ok(std::io::stdout().write_all(scaling::cost_table().as_bytes())?),
     }
 }
 
--- a/crates/portfield-replay/src/slopes.rs
+++ b/crates/portfield-replay/src/scaling.rs
@@ -27,21 +27,21 @@
 /// Upstreams of the shard.
 const N_UPSTREAMS: u32 = 16;
 /// Slots of each.
-const SLOTS: u32 = 32;
+const SLOTS_PER_UPSTREAM: u32 = 32;
 
 /// What a number of decisions cost.
 #[derive(Debug, Clone, Copy)]
-pub struct Cost {
+pub struct TicketCost {
     /// Processor time of one ticket: queued, granted, ended.
-    pub ticket: Duration,
+    pub elapsed: Duration,
     /// Workspaces looked at for one grant.
-    pub steps: f64,
+    pub scanned: f64,
     /// Bytes that the owner's state grew by for one ticket that waits.
-    pub bytes: u64,
+    pub memory: u64,
 }
 
 /// Builds a configuration with one service.
-pub fn fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
+pub fn build_fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
     let mut intent = Intent { data_centres: vec!["north".to_owned()], ..Intent::default() };
     intent.services.push(ServiceIntent {
         name: "scribe".to_owned(),
@@ -66,7 +66,7 @@
             address: SocketAddr::from(([127, 1, (it / 250) as u8, (it % 250) as u8], 8000)),
             service: "scribe".to_owned(),
             data_centre: "north".to_owned(),
-            slots: SLOTS,
+            slots: SLOTS_PER_UPSTREAM,
             leaving: false,
             fenced: false,
             models: vec!["base".to_owned()],
@@ -76,22 +76,22 @@
 }
 
 /// Queues, grants and ends tickets of a number of workspaces and returns the cost of one.
-pub fn decide(n_workspaces: u32) -> Cost {
-    let fleet = fleet(n_workspaces, N_UPSTREAMS);
+pub fn measure_tickets(n_workspaces: u32) -> TicketCost {
+    let fleet = build_fleet(n_workspaces, N_UPSTREAMS);
     let shard =
         ShardKey { service: fleet.services[0].id, data_centre: fleet.data_centres[0].id, part: 0 };
     let limits = Limits { recovery: Duration::ZERO, queue: u32::MAX, ..Limits::default() };
     let mut owner = Owner::new(Duration::ZERO, shard, 1, limits);
     owner.configure(Duration::ZERO, &fleet);
     let host = HostId::from([127, 0, 0, 1]);
-    let before = resident();
+    let before = resident_bytes();
     let start = Instant::now();
     for id in 0..N_TICKETS {
         let workspace = fleet.workspaces[(id % u64::from(n_workspaces)) as usize].id;
         let ticket = wire::Ticket { id, workspace, hint: 100, ..Default::default() };
         owner.register(Duration::ZERO, host, &ticket);
     }
-    let bytes = resident().saturating_sub(before) / N_TICKETS;
+    let memory = resident_bytes().saturating_sub(before) / N_TICKETS;
     for it in &fleet.upstreams {
         owner.report(Duration::ZERO, it.id, Health::Up { running: 0, leaving: false });
     }
@@ -105,28 +105,28 @@
             n_ended += 1;
         }
     }
-    let ticket = start.elapsed() / N_TICKETS as u32;
-    Cost { ticket, steps: owner.steps() as f64 / N_TICKETS as f64, bytes }
+    let elapsed = start.elapsed() / N_TICKETS as u32;
+    TicketCost { elapsed, scanned: owner.steps() as f64 / N_TICKETS as f64, memory }
 }
 
 /// Replays the size to design for in virtual time and returns what it measured.
 ///
 /// 390 hosts, 784 engines with 36 slots, 7 data centres, 14 services, 1,200 workspaces of
 /// which a tenth sends more than its share; one change of configuration half-way.
-pub fn at_size(time: Duration) -> String {
-    let case = size_case(time);
+pub fn replay_at_scale(time: Duration) -> String {
+    let case = target_scale_case(time);
     let arrivals = case.record();
     let start = Instant::now();
     let res = sim::replay_for(&case, &arrivals, time);
-    let cpu = start.elapsed().as_secs_f64();
-    let (mean, most, idle) = res.control;
+    let elapsed = start.elapsed().as_secs_f64();
+    let (mean, max, without_shard) = res.control;
     let metrics = &res.metrics;
     format!(
         "requests a second               {:.0}\n\
          hosts that own a shard          {} of 390\n\
          control, mean of all hosts      {mean:.0} bytes a second\n\
-         control, hosts without a shard  {idle:.0} bytes a second\n\
-         control, busiest host           {most:.0} bytes a second\n\
+         control, hosts without a shard  {without_shard:.0} bytes a second\n\
+         control, busiest host           {max:.0} bytes a second\n\
          messages                        {:.1} a second for each host\n\
          change in force everywhere      {}\n\
          utilisation                     {:.1} %\n\
@@ -135,16 +135,16 @@
         arrivals.len() as f64 / time.as_secs_f64(),
         res.n_owners,
         res.messages as f64 / res.time.as_secs_f64() / 390.0,
-        res.in_force
+        res.config_delay
             .map_or("not in this time".to_owned(), |it| format!("{:.2} s", it.as_secs_f64())),
         metrics.utilisation * 100.0,
         metrics.gap,
         metrics.bound,
-        cpu / res.time.as_secs_f64() / 390.0 * 100.0,
+        elapsed / res.time.as_secs_f64() / 390.0 * 100.0,
     )
 }
 
-fn size_case(time: Duration) -> Case {
+fn target_scale_case(time: Duration) -> Case {
     let load = |idx: u32| {
         let busy = idx.is_multiple_of(10);
         Load {
@@ -179,43 +179,53 @@
 }
 
 /// Measures everything and returns a table.
-pub fn table() -> String {
+pub fn cost_table() -> String {
     let mut res = String::from("| slope | at 16 | at 100 | at 400 | at 1,200 workspaces |\n");
     res += "| --- | ---: | ---: | ---: | ---: |\n";
     let sizes = [16, 100, 400, 1200];
-    let costs = sizes.map(decide);
-    row(
+    let costs = sizes.map(measure_tickets);
+    push_row(
         &mut res,
         "one ticket queued, granted, ended (us)",
-        costs.map(|it| format!("{:.2}", it.ticket.as_secs_f64() * 1e6)),
+        costs.map(|it| format!("{:.2}", it.elapsed.as_secs_f64() * 1e6)),
     );
-    row(&mut res, "workspaces looked at for one grant", costs.map(|it| format!("{:.2}", it.steps)));
-    row(
+    push_row(
+        &mut res,
+        "workspaces looked at for one grant",
+        costs.map(|it| format!("{:.2}", it.scanned)),
+    );
+    push_row(
         &mut res,
         "owner's memory for one waiting ticket (bytes)",
-        costs.map(|it| it.bytes.to_string()),
+        costs.map(|it| it.memory.to_string()),
+    );
+    let exchanges = sizes.map(measure_exchange);
+    push_row(
+        &mut res,
+        "one full exchange of usage (us)",
+        exchanges.map(|it| format!("{:.0}", it.0)),
     );
-    let exchanges = sizes.map(exchange);
-    row(&mut res, "one full exchange of usage (us)", exchanges.map(|it| format!("{:.0}", it.0)));
-    row(&mut res, "one full exchange of usage (bytes)", exchanges.map(|it| it.1.to_string()));
-    row(
+    push_row(&mut res, "one full exchange of usage (bytes)", exchanges.map(|it| it.1.to_string()));
+    push_row(
         &mut res,
         "fleet configuration, JSON (bytes)",
-        sizes.map(|it| serde_json::to_string(&fleet(it, 790)).map_or(0, |it| it.len()).to_string()),
+        sizes.map(|it| {
+            serde_json::to_string(&build_fleet(it, 790)).map_or(0, |it| it.len()).to_string()
+        }),
     );
     res += "\n| message | bytes |\n| --- | ---: |\n";
-    for (name, bytes) in messages() {
+    for (name, bytes) in message_sizes() {
         let _ = writeln!(res, "| {name} | {bytes} |");
     }
     res
 }
 
-fn row(res: &mut String, name: &str, values: [String; 4]) {
+fn push_row(res: &mut String, name: &str, values: [String; 4]) {
     let _ = writeln!(res, "| {name} | {} |", values.join(" | "));
 }
 
 /// Returns microseconds and bytes of a full frame of usage, built, encoded, decoded, merged.
-fn exchange(n_workspaces: u32) -> (f64, usize) {
+fn measure_exchange(n_workspaces: u32) -> (f64, usize) {
     let shard = |data_centre| ShardKey { service: 1, data_centre, part: 0 };
     let usage = (1..=n_workspaces).map(|workspace| wire::Usage {
         workspace,
@@ -247,20 +257,20 @@
 }
 
 /// Returns the size of each message that goes over the wire often.
-fn messages() -> Vec<(&'static str, usize)> {
+fn message_sizes() -> Vec<(&'static str, usize)> {
     let id = 123 << 24 | 4567;
     let ticket = wire::Ticket { id, workspace: 900, hint: 300, class: 1, prefix: 7, waited: 0 };
     let grant = wire::Grant { ticket: id, upstream: 500, estimate: 300, loan: 0 };
-    let lent = wire::Grant { loan: 1_800_000_000_000 << 20, ..grant };
+    let loan_grant = wire::Grant { loan: 1_800_000_000_000 << 20, ..grant };
     let progress = wire::Progress { id, cost: 300 };
     let done = wire::Done { id, cost: 300, pace: 400, ..Default::default() };
     let usage = wire::Usage { workspace: 900, served: 1 << 45, reserved: 300 << 16, waiting: 3 };
     let loan = wire::Loan { id: 1_800_000_000_000 << 20, upstream: 500 };
-    let probe = probe();
+    let probe = build_probe();
     vec![
         ("ticket", ticket.encoded_len() + 2),
         ("grant", grant.encoded_len() + 2),
-        ("grant of a borrowed slot", lent.encoded_len() + 2),
+        ("grant of a borrowed slot", loan_grant.encoded_len() + 2),
         ("progress", progress.encoded_len() + 2),
         ("done", done.encoded_len() + 2),
         ("usage of one workspace", usage.encoded_len() + 2),
@@ -269,7 +279,7 @@
     ]
 }
 
-fn probe() -> wire::ProbeRequest {
+fn build_probe() -> wire::ProbeRequest {
     let entry = |idx: u8| {
         let host = HostId::from([10, 20, 30, 100 + idx]);
         let address = SocketAddr::new(host, 9090);
@@ -286,7 +296,7 @@
 }
 
 /// Returns the process's resident memory in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|it| it.parse::<u64>().ok());
     pages.unwrap_or(0) * 4096
--- a/crates/portfield-replay/src/sim/scale.rs
+++ b/crates/portfield-replay/src/sim/scale.rs
@@ -16,7 +16,7 @@
     pub n_owners: usize,
     /// Time from a change of the configuration until every scheduler applied it; `None` if the
     /// replay ended before.
-    pub in_force: Option<Duration>,
+    pub config_delay: Option<Duration>,
     /// Number of control messages sent.
     pub messages: u64,
     /// Virtual time at the end, with the warm-up.
@@ -29,7 +29,7 @@
 pub fn replay_for(case: &Case, arrivals: &[Arrival], time: Duration) -> ScaleReport {
     let mut simulation = Simulation::new(case, arrivals);
     let change_at = WARM_UP + time / 2;
-    let mut in_force = None;
+    let mut config_delay = None;
     // Time and bytes of each host when the last quarter starts. Control traffic is counted from
     // then on, without that of joining hosts.
     let mut measured_from = None;
@@ -48,16 +48,16 @@
         let is_sample = matches!(event, Event::SampleSlots);
         simulation.handle(event);
         if is_sample
-            && in_force.is_none()
+            && config_delay.is_none()
             && 1 < simulation.fleet.revision
             && simulation.is_config_in_force()
         {
-            in_force = Some(simulation.now - change_at);
+            config_delay = Some(simulation.now - change_at);
         }
     }
     let (since, before) =
         measured_from.unwrap_or((Duration::ZERO, vec![0; simulation.hosts.len()]));
-    simulation.scale_report(in_force, since, &before)
+    simulation.scale_report(config_delay, since, &before)
 }
 
 impl Simulation<'_> {
@@ -71,7 +71,7 @@
     /// and received the bytes in `before`.
     pub(super) fn scale_report(
         &self,
-        in_force: Option<Duration>,
+        config_delay: Option<Duration>,
         since: Duration,
         before: &[u64],
     ) -> ScaleReport {
@@ -86,7 +86,7 @@
             metrics: self.metrics.summarize(self.now, self.hosts.len()),
             control: (mean(&rates), rates.iter().copied().fold(0.0, f64::max), mean(&idle)),
             n_owners: self.hosts.len() - idle.len(),
-            in_force,
+            config_delay,
             messages: self.metrics.control_messages,
             time: self.now,
         }
