--- a/crates/portfield-replay/src/scaling.rs
+++ b/crates/portfield-replay/src/scaling.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/design/capacity-first-design.md: what one ticket, one exchange, one probe costs, and how it
-//! grows with workspaces.
+//! Costs of a ticket, an exchange of usage and a probe, and how they grow with the number of
+//! workspaces: the input of docs/design/capacity-first-design.md.
 
 use std::{
     fmt::Write,
@@ -22,25 +22,25 @@
     sim,
 };
 
-/// Tickets that wait while one decision is timed.
+/// Tickets that wait when the measured grants start.
 const N_TICKETS: u64 = 10_000;
-/// Upstreams of the shard.
+/// Upstreams of the measured shard.
 const N_UPSTREAMS: u32 = 16;
-/// Slots of each.
+/// Slots of each upstream.
 const SLOTS_PER_UPSTREAM: u32 = 32;
 
-/// What a number of decisions cost.
+/// Mean cost of one ticket at the owner of a shard.
 #[derive(Debug, Clone, Copy)]
 pub struct TicketCost {
-    /// Processor time of one ticket: queued, granted, ended.
+    /// Time to queue, grant and end it, on a single thread.
     pub elapsed: Duration,
-    /// Workspaces looked at for one grant.
+    /// Number of workspaces that the owner examined for the grant.
     pub scanned: f64,
-    /// Bytes that the owner's state grew by for one ticket that waits.
+    /// Growth of the process's resident memory per waiting ticket, in bytes.
     pub memory: u64,
 }
 
-/// Builds a configuration with one service.
+/// Builds a fleet with one service in one data centre.
 pub fn build_fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
     let mut intent = Intent { data_centres: vec!["north".to_owned()], ..Intent::default() };
     intent.services.push(ServiceIntent {
@@ -75,7 +75,7 @@
     intent.number(&Fleet::default())
 }
 
-/// Queues, grants and ends tickets of a number of workspaces and returns the cost of one.
+/// Queues, grants and ends tickets of a number of workspaces and returns the mean cost of one.
 pub fn measure_tickets(n_workspaces: u32) -> TicketCost {
     let fleet = build_fleet(n_workspaces, N_UPSTREAMS);
     let shard =
@@ -109,10 +109,10 @@
     TicketCost { elapsed, scanned: owner.steps() as f64 / N_TICKETS as f64, memory }
 }
 
-/// Replays the size to design for in virtual time and returns what it measured.
+/// Replays the fleet's target scale for the given virtual time and returns a report as text.
 ///
-/// 390 hosts, 784 engines with 36 slots, 7 data centres, 14 services, 1,200 workspaces of
-/// which a tenth sends more than its share; one change of configuration half-way.
+/// The case has 390 hosts, 784 engines with 36 slots, 7 data centres, 14 services, and 1,200
+/// workspaces of which a tenth sends more than its share. The configuration changes once, half-way.
 pub fn replay_at_scale(time: Duration) -> String {
     let case = target_scale_case(time);
     let arrivals = case.record();
@@ -144,6 +144,7 @@
     )
 }
 
+/// Builds the case of [`replay_at_scale`].
 fn target_scale_case(time: Duration) -> Case {
     let load = |idx: u32| {
         let busy = idx.is_multiple_of(10);
@@ -178,7 +179,7 @@
     }
 }
 
-/// Measures everything and returns a table.
+/// Measures all costs at several numbers of workspaces and returns them as Markdown tables.
 pub fn cost_table() -> String {
     let mut res = String::from("| slope | at 16 | at 100 | at 400 | at 1,200 workspaces |\n");
     res += "| --- | ---: | ---: | ---: | ---: |\n";
@@ -220,11 +221,12 @@
     res
 }
 
+/// Appends a row to a Markdown table.
 fn push_row(res: &mut String, name: &str, values: [String; 4]) {
     let _ = writeln!(res, "| {name} | {} |", values.join(" | "));
 }
 
-/// Returns microseconds and bytes of a full frame of usage, built, encoded, decoded, merged.
+/// Returns the microseconds to encode, decode and merge a full frame of usage, and its bytes.
 fn measure_exchange(n_workspaces: u32) -> (f64, usize) {
     let shard = |data_centre| ShardKey { service: 1, data_centre, part: 0 };
     let usage = (1..=n_workspaces).map(|workspace| wire::Usage {
@@ -256,7 +258,9 @@
     (start.elapsed().as_secs_f64() * 1e6, bytes.len())
 }
 
-/// Returns the size of each message that goes over the wire often.
+/// Returns the encoded size in bytes of each frequent message.
+///
+/// Two bytes are added to messages that are fields of a frame: their tag and length.
 fn message_sizes() -> Vec<(&'static str, usize)> {
     let id = 123 << 24 | 4567;
     let ticket = wire::Ticket { id, workspace: 900, hint: 300, class: 1, prefix: 7, waited: 0 };
@@ -279,6 +283,7 @@
     ]
 }
 
+/// Builds a probe of a host whose view has two members.
 fn build_probe() -> wire::ProbeRequest {
     let entry = |idx: u8| {
         let host = HostId::from([10, 20, 30, 100 + idx]);
@@ -295,7 +300,7 @@
     }
 }
 
-/// Returns the process's resident memory in bytes.
+/// Returns the process's resident memory in bytes, with pages of 4 KiB.
 fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|it| it.parse::<u64>().ok());
--- a/crates/portfield-replay/tests/grant_cost.rs
+++ b/crates/portfield-replay/tests/grant_cost.rs
@@ -1,5 +1,5 @@
-//! Regression bounds on repeatable counts: what one decision costs must not grow with the
-//! number of workspaces.
+//! Regression bound on a repeatable count: the cost of a grant must not grow with the number of
+//! workspaces.
 
 use portfield_replay::scaling::measure_tickets;
 
@@ -7,6 +7,9 @@
 fn grant_cost_does_not_grow_with_the_number_of_workspaces() {
     for n_workspaces in [16, 1200] {
         let scanned = measure_tickets(n_workspaces).scanned;
-        assert!(scanned <= 1.1, "{scanned} at {n_workspaces} workspaces");
+        assert!(
+            scanned <= 1.1,
+            "{scanned} workspaces examined per grant at {n_workspaces} workspaces"
+        );
     }
 }
