--- a/crates/portfield-replay/src/baseline.rs
+++ b/crates/portfield-replay/src/baseline.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     case::Case,
-    engine::STEP,
+    engine::TOKENS_PER_STEP,
     metrics::{Metrics, MetricsCollector, RequestState},
     trace::Arrival,
 };
@@ -23,103 +23,105 @@
 }
 
 /// Time between two exchanges of service among routers.
-const EXCHANGE: Duration = Duration::from_secs(1);
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Arrive(usize),
-    Tokens(usize, u32, usize),
-    Exchange,
-    Sample,
+    GenerateTokens(usize, u32, usize),
+    ExchangeUsage,
+    SampleSlots,
 }
 
 /// One queue with slots: an upstream's for FIFO, a router's part of the fleet for local.
 #[derive(Debug, Clone, Default)]
-struct Place {
+struct SlotQueue {
     slots: u32,
     used: u32,
     waiting: Vec<VecDeque<usize>>,
-    order: VecDeque<usize>,
-    served: Vec<f64>,
+    arrival_order: VecDeque<usize>,
+    recent_service: Vec<f64>,
 }
 
 /// Replays a case's trace under a baseline.
 pub fn replay(baseline: Baseline, case: &Case, arrivals: &[Arrival]) -> Metrics {
-    let mut it = Run::new(baseline, case, arrivals);
+    let mut it = Simulation::new(baseline, case, arrivals);
     it.run();
     let n_hosts = case.deployment.hosts.iter().sum();
     it.metrics.summarize(it.now, n_hosts)
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     baseline: Baseline,
     case: &'a Case,
     arrivals: &'a [Arrival],
-    names: Vec<String>,
+    workspaces: Vec<String>,
     shares: Vec<f64>,
     now: Duration,
-    queue: BTreeMap<(Duration, u64), Event>,
+    events: BTreeMap<(Duration, u64), Event>,
     n_events: u64,
-    places: Vec<Place>,
+    queues: Vec<SlotQueue>,
     /// Service for share as told at the last exchange, and since.
-    told: Vec<f64>,
-    next: usize,
+    exchanged_service: Vec<f64>,
+    next_queue: usize,
     metrics: MetricsCollector,
 }
 
-impl<'a> Run<'a> {
+impl<'a> Simulation<'a> {
     fn new(baseline: Baseline, case: &'a Case, arrivals: &'a [Arrival]) -> Self {
         let deployment = &case.deployment;
         let n_engines: usize = deployment.engines.iter().sum();
         let n_hosts: usize = deployment.hosts.iter().sum();
-        let (names, shares) = case.workspaces();
+        let (workspaces, shares) = case.workspaces();
         let total = n_engines as u32 * deployment.slots;
-        let n_places = if baseline == Baseline::Fifo { n_engines } else { n_hosts };
-        let place = |idx: usize| {
-            let n = n_places as u32;
+        let n_queues = if baseline == Baseline::Fifo { n_engines } else { n_hosts };
+        let queue = |idx: usize| {
+            let n = n_queues as u32;
             let slots = total / n + u32::from((idx as u32) < total % n);
-            let waiting = vec![VecDeque::new(); names.len()];
-            let served = vec![0.0; names.len()];
-            Place { slots, waiting, served, ..Place::default() }
+            let waiting = vec![VecDeque::new(); workspaces.len()];
+            let recent_service = vec![0.0; workspaces.len()];
+            SlotQueue { slots, waiting, recent_service, ..SlotQueue::default() }
         };
         let mut res = Self {
             baseline,
             case,
             arrivals,
-            places: (0..n_places).map(place).collect(),
-            told: vec![0.0; names.len()],
-            names,
+            queues: (0..n_queues).map(queue).collect(),
+            exchanged_service: vec![0.0; workspaces.len()],
+            workspaces,
             shares,
             now: Duration::ZERO,
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             n_events: 0,
-            next: 0,
+            next_queue: 0,
             metrics: MetricsCollector::new(case, arrivals),
         };
         for (idx, it) in arrivals.iter().enumerate() {
-            res.at(Duration::from_millis(it.at), Event::Arrive(idx));
+            res.schedule_at(Duration::from_millis(it.at), Event::Arrive(idx));
         }
-        res.at(Duration::ZERO, Event::Sample);
-        res.at(EXCHANGE, Event::Exchange);
+        res.schedule_at(Duration::ZERO, Event::SampleSlots);
+        res.schedule_at(EXCHANGE_INTERVAL, Event::ExchangeUsage);
         res
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule_at(&mut self, at: Duration, event: Event) {
         self.n_events += 1;
-        self.queue.insert((at, self.n_events), event);
+        self.events.insert((at, self.n_events), event);
     }
 
     fn run(&mut self) {
-        while let Some(((at, _), event)) = self.queue.pop_first() {
+        while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
             if !self.metrics.has_pending() {
                 return;
             }
             match event {
                 Event::Arrive(request) => self.arrive(request),
-                Event::Tokens(request, made, place) => self.make_tokens(request, made, place),
-                Event::Exchange => self.exchange(),
-                Event::Sample => self.sample(),
+                Event::GenerateTokens(request, generated, queue) => {
+                    self.generate_tokens(request, generated, queue)
+                }
+                Event::ExchangeUsage => self.exchange_usage(),
+                Event::SampleSlots => self.sample_slots(),
             }
         }
     }
@@ -127,79 +129,86 @@
     fn arrive(&mut self, request: usize) {
         self.metrics.set_state(self.now, request, RequestState::Waits);
         let it = &self.arrivals[request];
-        let place = match self.baseline {
+        let queue = match self.baseline {
             Baseline::Fifo => {
-                self.next += 1;
-                self.next % self.places.len()
+                self.next_queue += 1;
+                self.next_queue % self.queues.len()
             }
-            Baseline::Local => it.entry % self.places.len(),
+            Baseline::Local => it.entry % self.queues.len(),
         };
-        let owner = self.owner(request);
-        self.places[place].waiting[owner].push_back(request);
-        self.places[place].order.push_back(request);
-        self.dispatch(place);
+        let workspace = self.workspace_index(request);
+        self.queues[queue].waiting[workspace].push_back(request);
+        self.queues[queue].arrival_order.push_back(request);
+        self.dispatch(queue);
     }
 
-    fn dispatch(&mut self, place: usize) {
-        while self.places[place].used < self.places[place].slots {
-            let Some(request) = self.choose(place) else { return };
-            self.places[place].used += 1;
+    fn dispatch(&mut self, queue: usize) {
+        while self.queues[queue].used < self.queues[queue].slots {
+            let Some(request) = self.pick_next(queue) else { return };
+            self.queues[queue].used += 1;
             self.metrics.set_state(self.now, request, RequestState::Runs);
-            let step = self.arrivals[request].cost.min(STEP);
-            self.at(self.now + self.time(step), Event::Tokens(request, 0, place));
+            let step = self.arrivals[request].cost.min(TOKENS_PER_STEP);
+            self.schedule_at(
+                self.now + self.generation_time(step),
+                Event::GenerateTokens(request, 0, queue),
+            );
         }
     }
 
-    fn choose(&mut self, place: usize) -> Option<usize> {
+    fn pick_next(&mut self, queue: usize) -> Option<usize> {
         if self.baseline == Baseline::Fifo {
-            return self.places[place].order.pop_front();
+            return self.queues[queue].arrival_order.pop_front();
         }
-        let it = &self.places[place];
-        let waiting = (0..self.names.len()).filter(|idx| !it.waiting[*idx].is_empty());
-        let service = |idx: &usize| self.told[*idx] + it.served[*idx];
-        let owner = waiting.min_by(|a, b| service(a).total_cmp(&service(b)))?;
-        self.places[place].waiting[owner].pop_front()
+        let it = &self.queues[queue];
+        let waiting = (0..self.workspaces.len()).filter(|idx| !it.waiting[*idx].is_empty());
+        let service = |idx: &usize| self.exchanged_service[*idx] + it.recent_service[*idx];
+        let workspace = waiting.min_by(|a, b| service(a).total_cmp(&service(b)))?;
+        self.queues[queue].waiting[workspace].pop_front()
     }
 
-    fn make_tokens(&mut self, request: usize, made: u32, place: usize) {
+    fn generate_tokens(&mut self, request: usize, generated: u32, queue: usize) {
         let cost = self.arrivals[request].cost;
-        let step = STEP.min(cost - made);
+        let step = TOKENS_PER_STEP.min(cost - generated);
         self.metrics.record_tokens(self.now, request, step);
-        let owner = self.owner(request);
-        self.places[place].served[owner] += f64::from(step) / self.shares[owner];
-        let made = made + step;
-        if made < cost {
-            let next = STEP.min(cost - made);
-            self.at(self.now + self.time(next), Event::Tokens(request, made, place));
+        let workspace = self.workspace_index(request);
+        self.queues[queue].recent_service[workspace] += f64::from(step) / self.shares[workspace];
+        let generated = generated + step;
+        if generated < cost {
+            let next = TOKENS_PER_STEP.min(cost - generated);
+            self.schedule_at(
+                self.now + self.generation_time(next),
+                Event::GenerateTokens(request, generated, queue),
+            );
             return;
         }
         self.metrics.set_state(self.now, request, RequestState::Answered);
-        self.places[place].used -= 1;
-        self.dispatch(place);
+        self.queues[queue].used -= 1;
+        self.dispatch(queue);
     }
 
-    fn exchange(&mut self) {
-        for it in &mut self.places {
-            for (told, served) in self.told.iter_mut().zip(&mut it.served) {
-                *told += std::mem::take(served);
+    fn exchange_usage(&mut self) {
+        for it in &mut self.queues {
+            for (exchanged, recent) in self.exchanged_service.iter_mut().zip(&mut it.recent_service)
+            {
+                *exchanged += std::mem::take(recent);
             }
         }
-        self.at(self.now + EXCHANGE, Event::Exchange);
+        self.schedule_at(self.now + EXCHANGE_INTERVAL, Event::ExchangeUsage);
     }
 
-    fn sample(&mut self) {
-        let busy = self.places.iter().map(|it| it.used).sum();
-        let capacity = self.places.iter().map(|it| it.slots).sum();
+    fn sample_slots(&mut self) {
+        let busy = self.queues.iter().map(|it| it.used).sum();
+        let capacity = self.queues.iter().map(|it| it.slots).sum();
         self.metrics.sample_slots(self.now, busy, capacity);
-        self.at(self.now + Duration::from_millis(10), Event::Sample);
+        self.schedule_at(self.now + Duration::from_millis(10), Event::SampleSlots);
     }
 
-    fn owner(&self, request: usize) -> usize {
+    fn workspace_index(&self, request: usize) -> usize {
         let name = &self.arrivals[request].workspace;
-        self.names.iter().position(|it| it == name).unwrap_or(0)
+        self.workspaces.iter().position(|it| it == name).unwrap_or(0)
     }
 
-    fn time(&self, tokens: u32) -> Duration {
+    fn generation_time(&self, tokens: u32) -> Duration {
         Duration::from_micros(self.case.deployment.token_us) * tokens
     }
 }
--- a/crates/portfield-replay/src/sim/attempts.rs
+++ b/crates/portfield-replay/src/sim/attempts.rs
@@ -6,7 +6,7 @@
 
 use super::{Attempt, Event, LEAVE_GRACE, MAX_TRANSIT, Simulation};
 use crate::{
-    engine::{Job, STEP},
+    engine::{Job, TOKENS_PER_STEP},
     metrics::RequestState,
 };
 
@@ -26,7 +26,7 @@
     pub(super) fn start_attempt(&mut self, attempt: Attempt) {
         let data_centre = self.engine_data_centre(attempt.upstream);
         let here = self.hosts[attempt.host].data_centre;
-        let reachable = !self.is_cut(here, data_centre) && self.engines[&attempt.upstream].alive;
+        let reachable = !self.is_cut(here, data_centre) && self.engines[&attempt.upstream].is_alive;
         if !self.is_router_live(&attempt) {
             return;
         }
@@ -46,11 +46,11 @@
         let id = self.n_attempts;
         self.attempts.insert(id, attempt);
         let cost = self.arrivals[attempt.request].cost;
-        let job = Job { request: attempt.request, made: 0, cost };
+        let job = Job { request: attempt.request, generated: 0, cost };
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&attempt.upstream) else { return };
         engine.start(now, id, job);
-        let time = engine.time(cost.min(STEP));
+        let time = engine.generation_time(cost.min(TOKENS_PER_STEP));
         self.schedule_after(time, Event::GenerateTokens(attempt.upstream, id));
     }
 
@@ -79,23 +79,23 @@
             self.is_cut(self.hosts[attempt.host].data_centre, self.engine_data_centre(upstream));
         let Some(engine) = self.engines.get_mut(&upstream) else { return };
         let Some(job) = engine.jobs.get_mut(&id) else { return };
-        let step = STEP.min(job.cost - job.made);
-        job.made += step;
-        let (made, remaining) = (job.made, job.cost - job.made);
-        let time = engine.time(remaining.min(STEP));
+        let step = TOKENS_PER_STEP.min(job.cost - job.generated);
+        job.generated += step;
+        let (generated, remaining) = (job.generated, job.cost - job.generated);
+        let time = engine.generation_time(remaining.min(TOKENS_PER_STEP));
         self.metrics.record_tokens(now, attempt.request, step);
         if 0 < remaining {
-            self.with_router(attempt.host, |it| it.progress(attempt.ticket, made));
+            self.with_router(attempt.host, |it| it.progress(attempt.ticket, generated));
             self.schedule_after(time, Event::GenerateTokens(upstream, id));
         } else if cut {
             // The router gets the end of the response once the link is restored.
             self.schedule_after(Duration::from_millis(100), Event::GenerateTokens(upstream, id));
         } else {
             self.end_attempt(upstream, id);
-            let pace = self.engines[&upstream].time(1);
+            let pace = self.engines[&upstream].generation_time(1);
             self.hosts[attempt.host].tickets.remove(&attempt.ticket);
             self.metrics.set_state(now, attempt.request, RequestState::Answered);
-            self.with_router(attempt.host, |it| it.finish(attempt.ticket, made, pace));
+            self.with_router(attempt.host, |it| it.finish(attempt.ticket, generated, pace));
         }
     }
 
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -56,7 +56,7 @@
             (FaultKind::Engine, FaultPhase::End) => {
                 let id = self.engine_id(at);
                 if let Some(it) = self.engines.get_mut(&id) {
-                    it.alive = true;
+                    it.is_alive = true;
                 }
             }
             (FaultKind::Leave, FaultPhase::Start) => self.mark_leaving(at),
@@ -116,7 +116,7 @@
     fn kill_engine(&mut self, at: usize) {
         let id = self.engine_id(at);
         let Some(engine) = self.engines.get_mut(&id) else { return };
-        engine.alive = false;
+        engine.is_alive = false;
         let attempt_ids: Vec<_> = engine.jobs.keys().copied().collect();
         for attempt_id in attempt_ids {
             let attempt = self.attempts.get(&attempt_id).copied();
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -438,7 +438,7 @@
             }
             for it in self.fleet.upstreams.iter().filter(|it| it.service == service.id) {
                 let engine = &self.engines[&it.id];
-                if engine.alive && !it.leaving {
+                if engine.is_alive && !it.leaving {
                     busy += (engine.jobs.len() as u32).min(engine.slots);
                     capacity += engine.slots;
                 }
@@ -473,8 +473,8 @@
         let generation = self.hosts[idx].scheduler_generation;
         for (id, _) in scheduler.watched() {
             let engine = &self.engines[&id];
-            let running = engine.report(self.now.saturating_sub(REPORT_LAG));
-            let health = match engine.alive {
+            let running = engine.running_at(self.now.saturating_sub(REPORT_LAG));
+            let health = match engine.is_alive {
                 true => Health::Up { running, leaving: false },
                 false => Health::Down,
             };
@@ -488,9 +488,11 @@
     fn check_slots(&mut self) {
         let slack = usize::from(!self.case.fault.is_empty());
         for (id, it) in &self.engines {
-            if it.slots as usize + slack < it.most {
-                self.metrics
-                    .add_violation(format!("engine {id} ran {} on {} slots", it.most, it.slots));
+            if it.slots as usize + slack < it.max_running {
+                self.metrics.add_violation(format!(
+                    "engine {id} ran {} on {} slots",
+                    it.max_running, it.slots
+                ));
             }
         }
     }
