--- a/crates/portfield-replay/src/baseline.rs
+++ b/crates/portfield-replay/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines in the same replay: what the fleet is measured against.
+//! Simpler scheduling policies that replay the same traces, for comparison with the fleet.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,38 +12,48 @@
     trace::Arrival,
 };
 
-/// A way to decide without schedulers.
+/// A scheduling policy without schedulers.
+///
+/// Its replay has no message delays, ignores faults, and lets all services share one set of
+/// engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Baseline {
-    /// Each router sends at once to the next upstream in turn, which queues in order of arrival.
+    /// Routers forward requests round-robin, and upstreams queue them in order of arrival.
     Fifo,
-    /// Each router has a part of every upstream's slots and shares it fairly among its own
-    /// workspaces, by the service that all routers told each other a second ago.
+    /// Each router has a fixed part of all slots and grants them to its own backlogged workspace
+    /// with the least normalised service, as exchanged among routers once a second.
     Local,
 }
 
-/// Time between two exchanges of service among routers.
+/// Time between two exchanges of usage among routers.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
+    /// A request arrives, given by index.
     Arrive(usize),
+    /// A request completes a step: its index, the tokens generated before, and its queue.
     GenerateTokens(usize, u32, usize),
+    /// Routers exchange their usage.
     ExchangeUsage,
+    /// The slots in use are sampled.
     SampleSlots,
 }
 
-/// One queue with slots: an upstream's for FIFO, a router's part of the fleet for local.
+/// A queue with slots of its own: one for each upstream (FIFO) or router (local).
 #[derive(Debug, Clone, Default)]
 struct SlotQueue {
     slots: u32,
     used: u32,
+    /// Waiting requests of each workspace, for [`Baseline::Local`].
     waiting: Vec<VecDeque<usize>>,
+    /// Waiting requests of all workspaces, for [`Baseline::Fifo`].
     arrival_order: VecDeque<usize>,
+    /// Normalised service of each workspace since the last exchange.
     recent_service: Vec<f64>,
 }
 
-/// Replays a case's trace under a baseline.
+/// Replays the trace of a case under a baseline and returns its metrics.
 pub fn replay(baseline: Baseline, case: &Case, arrivals: &[Arrival]) -> Metrics {
     let mut it = Simulation::new(baseline, case, arrivals);
     it.run();
@@ -61,7 +71,7 @@
     events: BTreeMap<(Duration, u64), Event>,
     n_events: u64,
     queues: Vec<SlotQueue>,
-    /// Service for share as told at the last exchange, and since.
+    /// Normalised service of each workspace until the last exchange.
     exchanged_service: Vec<f64>,
     next_queue: usize,
     metrics: MetricsCollector,
@@ -155,6 +165,7 @@
         }
     }
 
+    /// Removes the request that gets the next slot from a queue.
     fn pick_next(&mut self, queue: usize) -> Option<usize> {
         if self.baseline == Baseline::Fifo {
             return self.queues[queue].arrival_order.pop_front();
@@ -203,11 +214,13 @@
         self.schedule_at(self.now + Duration::from_millis(10), Event::SampleSlots);
     }
 
+    /// Returns the index of a request's workspace.
     fn workspace_index(&self, request: usize) -> usize {
         let name = &self.arrivals[request].workspace;
         self.workspaces.iter().position(|it| it == name).unwrap_or(0)
     }
 
+    /// Returns the time to generate a number of tokens of one request.
     fn generation_time(&self, tokens: u32) -> Duration {
         Duration::from_micros(self.case.deployment.token_us) * tokens
     }
--- a/crates/portfield-replay/src/engine.rs
+++ b/crates/portfield-replay/src/engine.rs
@@ -1,40 +1,41 @@
-//! Small fakes of engines: each makes a token a time for every request that it runs.
+//! Simulated engine: generates the tokens of its running requests concurrently, at a fixed rate.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Tokens between two looks at a running request.
+/// Tokens that a request generates between two events of the simulation.
 pub const TOKENS_PER_STEP: u32 = 5;
 
-/// One request on an engine.
+/// A request that runs on an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Number of the request in the trace.
+    /// Index of the request in the trace.
     pub request: usize,
-    /// Tokens made so far.
+    /// Number of tokens generated so far.
     pub generated: u32,
-    /// Tokens in all.
+    /// Number of tokens to generate in total.
     pub cost: u32,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Slots it is configured with.
+    /// Number of requests that it may run at once; it doesn't enforce this itself.
     pub slots: u32,
-    /// It answers.
+    /// Whether it answers requests and health checks.
     pub is_alive: bool,
-    /// Everything takes so many times as long.
+    /// Factor on the time for a token.
     pub slowdown: u32,
-    /// Requests that run, by a number of their run.
+    /// Running requests by the id of their attempt.
     pub jobs: BTreeMap<u64, Job>,
-    /// Most requests that ever ran at once.
+    /// Largest number of requests that ever ran at once.
     pub max_running: usize,
     token_time: Duration,
+    /// Latest changes of the number of running requests, with their times.
     load_history: Vec<(Duration, u32)>,
 }
 
 impl Engine {
-    /// Builds an idle engine.
+    /// Creates an idle engine that needs `token_time` for a token.
     pub fn new(slots: u32, token_time: Duration) -> Self {
         Self {
             slots,
@@ -47,25 +48,26 @@
         }
     }
 
-    /// Starts a request.
+    /// Starts a request under the given attempt id.
     pub fn start(&mut self, now: Duration, id: u64, job: Job) {
         self.jobs.insert(id, job);
         self.max_running = self.max_running.max(self.jobs.len());
         self.record_load(now);
     }
 
-    /// Ends a request.
+    /// Ends the request of an attempt.
     pub fn end(&mut self, now: Duration, id: u64) {
         self.jobs.remove(&id);
         self.record_load(now);
     }
 
-    /// Returns the time that a number of tokens takes.
+    /// Returns the time to generate a number of tokens of one request.
     pub fn generation_time(&self, tokens: u32) -> Duration {
         self.token_time * self.slowdown * tokens
     }
 
-    /// Returns how many requests ran some time ago: reports lag.
+    /// Returns how many requests ran at a past time, as in a delayed load report; zero if that isn't
+    /// recorded.
     pub fn running_at(&self, at: Duration) -> u32 {
         let entry = self.load_history.iter().rev().find(|(since, _)| *since <= at);
         entry.map_or(0, |it| it.1)
