--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -8,7 +8,7 @@
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
 use portfield::balance::Completion;
-use portfield_net::{clock, events::Events};
+use portfield_net::{clock, sse::EventBuffer};
 
 use crate::{
     attempt::{UpstreamResponse, error_chain},
@@ -37,7 +37,7 @@
     let mut relay = Relay {
         exchange,
         response: Some(response),
-        events: Events::default(),
+        events: EventBuffer::default(),
         first_event: None,
         timeout: None,
     };
@@ -66,10 +66,10 @@
 struct Relay {
     exchange: Exchange,
     response: Option<Box<UpstreamResponse>>,
-    events: Events,
+    events: EventBuffer,
     first_event: Option<Duration>,
     /// Time-out of the current read.
-    timeout: Option<clock::Alarm>,
+    timeout: Option<clock::Deadline>,
 }
 
 impl Relay {
@@ -80,13 +80,13 @@
             // A resumable stream has a time-out per read; any other has a single one for the whole
             // response.
             if self.timeout.is_none() || read_timeout < self.exchange.call.remaining() {
-                self.timeout = Some(clock::alarm(read_timeout));
+                self.timeout = Some(clock::deadline(read_timeout));
             }
             let (Some(response), Some(timeout)) = (&mut self.response, &mut self.timeout) else {
                 return Ok(None);
             };
-            let cause = match clock::before(timeout, response.body.frame()).await {
-                Some(None) if !self.events.is_partial() => {
+            let cause = match clock::timeout_at(timeout, response.body.frame()).await {
+                Some(None) if !self.events.has_partial() => {
                     self.finish();
                     return Ok(None);
                 }
@@ -167,7 +167,7 @@
         if self.first_event.is_none() || !self.exchange.may_retry() {
             return Err(io::Error::other(cause));
         }
-        let last = self.events.last_id().map(str::to_owned);
+        let last = self.events.last_event_id().map(str::to_owned);
         let response = self.exchange.next_response(last.as_deref()).await;
         let response = response.map_err(|it| io::Error::other(it.reason))?;
         if !response.parts.status.is_success() {
--- a/crates/portfield-replay/src/scaling.rs
+++ b/crates/portfield-replay/src/scaling.rs
@@ -9,10 +9,10 @@
 };
 
 use portfield::{
-    fleet::{Fleet, Intent, Kind, ServiceIntent, UpstreamIntent, WorkspaceIntent, hash_token},
+    fleet::{Fleet, FleetSpec, Kind, ServiceSpec, UpstreamSpec, WorkspaceSpec, hash_token},
     ids::HostId,
-    member::{ListEntry, View},
-    schedule::{Health, Limits, Owner, ShardKey},
+    member::{HostListEntry, Membership},
+    schedule::{Health, OwnerConfig, ShardKey, ShardOwner},
     wire,
 };
 use prost::Message;
@@ -42,8 +42,8 @@
 
 /// Builds a fleet with one service in one data centre.
 pub fn build_fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
-    let mut intent = Intent { data_centres: vec!["north".to_owned()], ..Intent::default() };
-    intent.services.push(ServiceIntent {
+    let mut intent = FleetSpec { data_centres: vec!["north".to_owned()], ..FleetSpec::default() };
+    intent.services.push(ServiceSpec {
         name: "scribe".to_owned(),
         kind: Kind::Engine,
         repeatable: true,
@@ -53,7 +53,7 @@
         shard_size: 16,
     });
     intent.workspaces = (0..n_workspaces)
-        .map(|it| WorkspaceIntent {
+        .map(|it| WorkspaceSpec {
             name: format!("workspace-{it}"),
             share: 1 + it % 8,
             token_sha256: hash_token(&it.to_string()),
@@ -62,7 +62,7 @@
         })
         .collect();
     intent.upstreams = (0..n_upstreams)
-        .map(|it| UpstreamIntent {
+        .map(|it| UpstreamSpec {
             address: SocketAddr::from(([127, 1, (it / 250) as u8, (it % 250) as u8], 8000)),
             service: "scribe".to_owned(),
             data_centre: "north".to_owned(),
@@ -72,7 +72,7 @@
             models: vec!["base".to_owned()],
         })
         .collect();
-    intent.number(&Fleet::default())
+    intent.assign_ids(&Fleet::default())
 }
 
 /// Queues, grants and ends tickets of a number of workspaces and returns the mean cost of one.
@@ -80,8 +80,12 @@
     let fleet = build_fleet(n_workspaces, N_UPSTREAMS);
     let shard =
         ShardKey { service: fleet.services[0].id, data_centre: fleet.data_centres[0].id, part: 0 };
-    let limits = Limits { recovery: Duration::ZERO, queue: u32::MAX, ..Limits::default() };
-    let mut owner = Owner::new(Duration::ZERO, shard, 1, limits);
+    let config = OwnerConfig {
+        recovery_time: Duration::ZERO,
+        max_queued: u32::MAX,
+        ..OwnerConfig::default()
+    };
+    let mut owner = ShardOwner::new(Duration::ZERO, shard, 1, config);
     owner.configure(Duration::ZERO, &fleet);
     let host = HostId::from([127, 0, 0, 1]);
     let before = resident_bytes();
@@ -93,7 +97,7 @@
     }
     let memory = resident_bytes().saturating_sub(before) / N_TICKETS;
     for it in &fleet.upstreams {
-        owner.report(Duration::ZERO, it.id, Health::Up { running: 0, leaving: false });
+        owner.record_health(Duration::ZERO, it.id, Health::Up { running: 0, leaving: false });
     }
     let mut n_ended = 0;
     while n_ended < N_TICKETS {
@@ -106,7 +110,7 @@
         }
     }
     let elapsed = start.elapsed() / N_TICKETS as u32;
-    TicketCost { elapsed, scanned: owner.steps() as f64 / N_TICKETS as f64, memory }
+    TicketCost { elapsed, scanned: owner.n_examined() as f64 / N_TICKETS as f64, memory }
 }
 
 /// Replays the fleet's target scale for the given virtual time and returns a report as text.
@@ -248,12 +252,12 @@
         sets: vec![set],
         ..Default::default()
     };
-    let mut owner = Owner::new(Duration::ZERO, shard(2), 1, Limits::default());
+    let mut owner = ShardOwner::new(Duration::ZERO, shard(2), 1, OwnerConfig::default());
     owner.set_peers([shard(1), shard(2)].into_iter());
     let start = Instant::now();
     let bytes = frame.encode_to_vec();
     if let Ok(it) = wire::PeerShard::decode(bytes.as_slice()) {
-        owner.hear(Duration::ZERO, &it);
+        owner.handle_frame(Duration::ZERO, &it);
     }
     (start.elapsed().as_secs_f64() * 1e6, bytes.len())
 }
@@ -288,13 +292,13 @@
     let entry = |idx: u8| {
         let host = HostId::from([10, 20, 30, 100 + idx]);
         let address = SocketAddr::new(host, 9090);
-        ListEntry { host, address, data_centre: "kengarags-hall".to_owned(), leaving: false }
+        HostListEntry { host, address, data_centre: "kengarags-hall".to_owned(), leaving: false }
     };
-    let mut view = View::new(entry(1), 1_800_000_000_000);
-    view.list(Duration::ZERO, &[entry(1), entry(2)]);
+    let mut view = Membership::new(entry(1), 1_800_000_000_000);
+    view.update_hosts(Duration::ZERO, &[entry(1), entry(2)]);
     wire::ProbeRequest {
-        from: view.me().to_string(),
-        gossip: view.gossip(Some(entry(2).host)),
+        from: view.local_host().to_string(),
+        gossip: view.take_gossip(Some(entry(2).host)),
         revision: 500,
         ..Default::default()
     }
--- a/crates/portfield-replay/src/sim/attempts.rs
+++ b/crates/portfield-replay/src/sim/attempts.rs
@@ -85,7 +85,7 @@
         let time = engine.generation_time(remaining.min(TOKENS_PER_STEP));
         self.metrics.record_tokens(now, attempt.request, step);
         if 0 < remaining {
-            self.with_router(attempt.host, |it| it.progress(attempt.ticket, generated));
+            self.with_router(attempt.host, |it| it.record_progress(attempt.ticket, generated));
             self.schedule_after(time, Event::GenerateTokens(upstream, id));
         } else if cut {
             // The router gets the end of the response once the link is restored.
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a case: how they start and end.
 
-use portfield::{ids::UpstreamId, member::rank, schedule::ShardKey};
+use portfield::{ids::UpstreamId, member::rank_hosts, schedule::ShardKey};
 
 use super::{Simulation, fleet::data_centre_name};
 use crate::{case::FaultKind, metrics::RequestState};
@@ -78,10 +78,10 @@
 
     /// Returns the host that owns the first shard of the first data centre.
     fn first_owner(&self) -> usize {
-        let data_centre = self.fleet.data_centre(&data_centre_name(0)).unwrap_or(0);
+        let data_centre = self.fleet.data_centre_id(&data_centre_name(0)).unwrap_or(0);
         let shard = ShardKey { service: self.fleet.services[0].id, data_centre, part: 0 };
         let alive = self.hosts.iter().filter(|it| it.data_centre == 0 && it.scheduler.is_some());
-        let owner = rank(shard, alive.map(|it| it.ip));
+        let owner = rank_hosts(shard, alive.map(|it| it.ip));
         owner.first().map_or(0, |it| self.host_index(*it))
     }
 
@@ -135,7 +135,7 @@
         self.leaving = Some((id, self.now));
         // One scheduler reads it first; the others learn of the revision from its probes.
         let (generation, fleet) = (self.hosts[0].scheduler_generation, self.fleet.clone());
-        self.deliver_to_scheduler(0, generation, portfield::schedule::Event::Offered(fleet));
+        self.deliver_to_scheduler(0, generation, portfield::schedule::Event::Config(fleet));
     }
 
     /// Cuts the links from a data centre to the others, those to it, or both: one flag for each
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -20,9 +20,9 @@
 use portfield::{
     fleet::Fleet,
     ids::{HostId, TicketId, UpstreamId},
-    member::ListEntry,
+    member::HostListEntry,
     route::{self, Router},
-    schedule::{self, Health, Limits, Scheduler},
+    schedule::{self, Health, OwnerConfig, Scheduler},
     wire,
 };
 
@@ -229,7 +229,8 @@
         host.scheduler_tick = Duration::MAX;
         // Stands in for the wall clock in milliseconds, as if hosts had started 10 ms apart.
         let incarnation = 1_000_000 + 10 * idx as u64 + self.now.as_millis() as u64;
-        let settings = schedule::Settings { me, incarnation, limits: Limits::default() };
+        let settings =
+            schedule::SchedulerConfig { entry: me, incarnation, owner: OwnerConfig::default() };
         host.scheduler = Some(Scheduler::new(settings));
         // Hosts poll at different offsets.
         let offset = Duration::from_millis(37 * idx as u64 % 1000);
@@ -248,7 +249,7 @@
         let mut router =
             Router::new(host.ip, fleet::data_centre_name(host.data_centre), host.router_generation);
         for (ip, address) in seeds {
-            router.seed(ip, address);
+            router.add_scheduler(ip, address);
         }
         router.connect(self.now);
         host.router = Some(router);
@@ -263,10 +264,10 @@
         others.find(|it| *it != idx).unwrap_or(idx)
     }
 
-    fn list_entry(&self, idx: usize) -> ListEntry {
+    fn list_entry(&self, idx: usize) -> HostListEntry {
         let it = &self.hosts[idx];
         let data_centre = fleet::data_centre_name(it.data_centre);
-        ListEntry { host: it.ip, address: it.address, data_centre, leaving: false }
+        HostListEntry { host: it.ip, address: it.address, data_centre, leaving: false }
     }
 
     fn schedule_at(&mut self, at: Duration, event: Event) {
@@ -312,15 +313,15 @@
             }
             Event::OwnerFrame(host, from, frame) => {
                 let now = self.now;
-                self.with_router(host, |it| it.hear(now, from, &frame));
+                self.with_router(host, |it| it.handle_frame(now, from, &frame));
             }
             Event::SessionUp(host, from) => {
                 let now = self.now;
-                self.with_router(host, |it| it.session_up(now, from));
+                self.with_router(host, |it| it.session_opened(now, from));
             }
             Event::SessionDown(host, from) => {
                 let now = self.now;
-                self.with_router(host, |it| it.session_down(now, from));
+                self.with_router(host, |it| it.session_closed(now, from));
             }
             Event::StartAttempt(attempt) => self.start_attempt(attempt),
             Event::GenerateTokens(upstream, id) => self.generate_tokens(upstream, id),
@@ -346,16 +347,16 @@
     fn submit(&mut self, host: usize, request: usize) {
         let it = &self.arrivals[request];
         let workspace = self.fleet.workspaces.iter().find(|old| old.name == it.workspace);
-        let service = self.fleet.service_named(&it.service);
+        let service = self.fleet.service_by_name(&it.service);
         let (Some(workspace), Some(service)) = (workspace.cloned(), service) else { return };
         let deadline = self.now + service.wait_limit();
         let wanted = route::Request {
             workspace,
             service: service.id,
-            hint: it.hint,
-            batch: it.batch,
-            prefix: it.prefix,
-            bytes: 100,
+            cost_hint: it.hint,
+            is_batch: it.batch,
+            prefix_hash: it.prefix,
+            body_bytes: 100,
             deadline,
         };
         let now = self.now;
@@ -411,17 +412,17 @@
 
     fn apply_router_action(&mut self, idx: usize, action: route::Action) {
         match action {
-            route::Action::Dial(host, _) => self.dial(idx, host),
+            route::Action::Connect(host, _) => self.dial(idx, host),
             route::Action::Send(host, frame) => self.send_router_frame(idx, host, frame),
-            route::Action::Start(ticket, upstream) => self.dispatch(idx, ticket, upstream),
-            route::Action::Refuse(ticket, _, _) => {
+            route::Action::Forward(ticket, upstream) => self.dispatch(idx, ticket, upstream),
+            route::Action::Reject(ticket, _, _) => {
                 if let Some(request) = self.hosts[idx].tickets.remove(&ticket) {
                     self.metrics.set_state(self.now, request, RequestState::Refused);
                 }
             }
-            route::Action::Fetch(_) => {
+            route::Action::FetchConfig(_) => {
                 let fleet = self.fleet.clone();
-                self.with_router(idx, |it| it.offer(fleet));
+                self.with_router(idx, |it| it.update_fleet(fleet));
             }
         }
     }
@@ -453,7 +454,7 @@
             return;
         }
         let (generation, fleet) = (self.hosts[idx].scheduler_generation, self.fleet.clone());
-        self.deliver_to_scheduler(idx, generation, schedule::Event::Offered(fleet));
+        self.deliver_to_scheduler(idx, generation, schedule::Event::Config(fleet));
         self.schedule_after(CONFIG_INTERVAL, Event::FetchConfig(idx));
     }
 
@@ -464,21 +465,21 @@
         // The host list is stale: it still has the dead hosts.
         let entries = (0..self.hosts.len()).map(|it| self.list_entry(it)).collect();
         let generation = self.hosts[idx].scheduler_generation;
-        self.deliver_to_scheduler(idx, generation, schedule::Event::Listed(entries));
+        self.deliver_to_scheduler(idx, generation, schedule::Event::HostList(entries));
         self.schedule_after(LIST_INTERVAL, Event::ListHosts(idx));
     }
 
     fn report_health(&mut self, idx: usize) {
         let Some(scheduler) = &self.hosts[idx].scheduler else { return };
         let generation = self.hosts[idx].scheduler_generation;
-        for (id, _) in scheduler.watched() {
+        for (id, _) in scheduler.watched_upstreams() {
             let engine = &self.engines[&id];
             let running = engine.running_at(self.now.saturating_sub(REPORT_LAG));
             let health = match engine.is_alive {
                 true => Health::Up { running, leaving: false },
                 false => Health::Down,
             };
-            self.deliver_to_scheduler(idx, generation, schedule::Event::Report(id, health));
+            self.deliver_to_scheduler(idx, generation, schedule::Event::UpstreamHealth(id, health));
         }
         self.schedule_after(REPORT_INTERVAL, Event::ReportHealth(idx));
     }
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -77,7 +77,7 @@
         self.count_message(router, scheduler, CALL_OVERHEAD);
         self.sessions.insert((router, scheduler));
         let ip = self.hosts[router].ip;
-        let up = schedule::Event::RouterUp(ip);
+        let up = schedule::Event::RouterConnected(ip);
         self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, up));
         self.schedule_after(delay * 2, Event::SessionUp(router, host));
     }
@@ -94,7 +94,7 @@
         }
         self.count_message(router, scheduler, frame.encoded_len() + FRAME_OVERHEAD);
         let (ip, generation) = (self.hosts[router].ip, self.hosts[scheduler].scheduler_generation);
-        let event = schedule::Event::Router(ip, frame);
+        let event = schedule::Event::RouterFrame(ip, frame);
         let delay =
             self.link_delay(self.hosts[router].data_centre, self.hosts[scheduler].data_centre);
         self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, event));
@@ -102,12 +102,14 @@
 
     pub(super) fn apply_scheduler_action(&mut self, from: usize, action: schedule::Action) {
         match action {
-            schedule::Action::Router(host, frame) => self.send_owner_frame(from, host, frame),
-            schedule::Action::Peer(address, frame) => self.send_peer_frame(from, address, frame),
-            schedule::Action::Probe(address, target, request) => {
+            schedule::Action::SendToRouter(host, frame) => self.send_owner_frame(from, host, frame),
+            schedule::Action::SendToPeer(address, frame) => {
+                self.send_peer_frame(from, address, frame)
+            }
+            schedule::Action::SendProbe(address, target, request) => {
                 self.send_probe(from, address, target, request);
             }
-            schedule::Action::Fetch(address) => {
+            schedule::Action::FetchConfig(address) => {
                 let to = self.host_at(address);
                 let (generation, delay) = self.reach_scheduler(from, to);
                 if generation.is_none() {
@@ -118,7 +120,7 @@
                     return;
                 };
                 let own_generation = self.hosts[from].scheduler_generation;
-                let event = schedule::Event::Offered((*fleet).clone());
+                let event = schedule::Event::Config((*fleet).clone());
                 self.schedule_after(delay * 2, Event::SchedulerInput(from, own_generation, event));
             }
         }
@@ -144,14 +146,14 @@
         // If only the way back is cut, the frame arrives, but the sender gets no reply.
         let current = self.hosts[to].scheduler_generation;
         if generation.is_some() || !self.is_cut(a, b) {
-            let event = schedule::Event::Peer(frame.clone());
+            let event = schedule::Event::PeerFrame(frame.clone());
             self.schedule_after(delay, Event::SchedulerInput(to, current, event));
         }
         let scheduler = self.hosts[to].scheduler.as_ref().filter(|_| generation.is_some());
         let reply = scheduler.map(|it| it.peer_reply(&frame));
         let time = if reply.is_some() { delay * 2 } else { CALL_TIMEOUT };
         self.count_message(from, to, reply.as_ref().map_or(0, wire::PeerReply::encoded_len));
-        let event = schedule::Event::PeerSent(frame, reply);
+        let event = schedule::Event::PeerReply(frame, reply);
         self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
     }
 
@@ -168,7 +170,7 @@
         let own_generation = self.hosts[from].scheduler_generation;
         let Some(generation) = generation else {
             if request.target.is_empty() && self.refuses_connection(from, to) {
-                let event = schedule::Event::Refused(target);
+                let event = schedule::Event::ProbeRefused(target);
                 self.schedule_after(delay * 2, Event::SchedulerInput(from, own_generation, event));
             }
             return;
@@ -181,12 +183,12 @@
             alive = target_generation.is_some();
             time += if alive { target_delay * 2 } else { PROBE_TIMEOUT };
         }
-        let probed = schedule::Event::Probed(request.clone());
+        let probed = schedule::Event::ProbeRequest(request.clone());
         self.schedule_after(delay, Event::SchedulerInput(to, generation, probed));
         let Some(scheduler) = self.hosts[to].scheduler.as_mut() else { return };
         let reply = wire::ProbeReply { alive, ..scheduler.probe_reply(&request) };
         self.count_message(from, to, reply.encoded_len());
-        let event = schedule::Event::Answered(target, reply);
+        let event = schedule::Event::ProbeReply(target, reply);
         self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
     }
 
@@ -203,7 +205,7 @@
             }
             let (ip, generation) =
                 (self.hosts[router].ip, self.hosts[scheduler].scheduler_generation);
-            let down = schedule::Event::RouterDown(ip);
+            let down = schedule::Event::RouterDisconnected(ip);
             self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, down));
             let host = self.hosts[scheduler].ip;
             self.schedule_after(delay, Event::SessionDown(router, host));
--- a/crates/portfield/src/fleet/intent.rs
+++ b/crates/portfield/src/fleet/spec.rs
@@ -1,98 +1,98 @@
-//! What an operator states, by names, in TOML.
+//! Specification of the fleet by operators, in TOML and by names.
 
 use std::{collections::HashSet, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    error::{Error, ErrorKind, Mistake},
+    error::{Diagnostic, Error, ErrorKind},
     model::{DataCentre, Fleet, Kind, Service, Upstream, Workspace},
 };
 
-/// Most requests one upstream may be said to run at once.
+/// Largest number of requests that an upstream may be specified to run at once.
 const MAX_SLOTS: u32 = 4096;
-/// Largest share; keeps virtual time within 64 bits for years of service.
+/// Largest share; it keeps virtual time within 64 bits for years.
 const MAX_SHARE: u32 = 10_000;
 
-/// The whole configuration as an operator states it.
+/// Specification of the fleet.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Intent {
+pub struct FleetSpec {
     /// Names of the data centres.
     pub data_centres: Vec<String>,
     /// Services.
     #[serde(default, rename = "service")]
-    pub services: Vec<ServiceIntent>,
+    pub services: Vec<ServiceSpec>,
     /// Workspaces.
     #[serde(default, rename = "workspace")]
-    pub workspaces: Vec<WorkspaceIntent>,
+    pub workspaces: Vec<WorkspaceSpec>,
     /// Upstreams.
     #[serde(default, rename = "upstream")]
-    pub upstreams: Vec<UpstreamIntent>,
+    pub upstreams: Vec<UpstreamSpec>,
 }
 
-/// A service as stated.
+/// Specification of a service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceIntent {
-    /// Its name.
+pub struct ServiceSpec {
+    /// Name, unique among services.
     pub name: String,
-    /// `engine` or `plain`.
+    /// Kind of its upstreams: `engine` or `plain`.
     pub kind: Kind,
-    /// A call may be sent again after it may have run.
+    /// Whether a request that may have run may be sent again.
     #[serde(default)]
     pub repeatable: bool,
-    /// Objective for the first token, in milliseconds.
+    /// Objective for the time to the first token, or to the response's head, in milliseconds.
     #[serde(default = "first_token")]
     pub first_token_ms: u64,
-    /// Objective for the time between tokens, in milliseconds.
+    /// Objective for the mean time between tokens, in milliseconds.
     #[serde(default = "token_gap")]
     pub token_gap_ms: u64,
-    /// Longest wait for a grant, in milliseconds.
+    /// Longest time for which a request waits for a grant, in milliseconds.
     #[serde(default = "wait_limit")]
     pub wait_limit_ms: u64,
-    /// Upstreams of one data centre above which a shard is split.
+    /// Number of upstreams in one data centre above which its shard is split.
     #[serde(default = "shard_size")]
     pub shard_size: usize,
 }
 
-/// A workspace as stated.
+/// Specification of a workspace.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkspaceIntent {
-    /// Its name.
+pub struct WorkspaceSpec {
+    /// Name, unique among workspaces.
     pub name: String,
-    /// Weight of its service against the others'.
+    /// Weight relative to the shares of other workspaces.
     pub share: u32,
-    /// SHA-256 of its token, in hexadecimal.
+    /// SHA-256 hash of its token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Requests that may wait at one router.
+    /// Largest number of requests waiting at one router.
     #[serde(default = "queue")]
     pub queue: usize,
-    /// Bytes of bodies that may wait at one router.
+    /// Largest total length of the bodies waiting at one router, in bytes.
     #[serde(default = "queue_bytes")]
     pub queue_bytes: usize,
 }
 
-/// An upstream as stated; its address names it.
+/// Specification of an upstream, which is identified by its address.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct UpstreamIntent {
-    /// Where it listens.
+pub struct UpstreamSpec {
+    /// Address for requests.
     pub address: SocketAddr,
     /// Name of its service.
     pub service: String,
     /// Name of its data centre.
     pub data_centre: String,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// It is to get no new work.
+    /// Whether it gets no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// It refuses an order that carries an old fencing number.
+    /// Whether it refuses requests with an outdated fencing token.
     #[serde(default)]
     pub fenced: bool,
-    /// Models it is to have loaded.
+    /// Models that it is expected to have loaded.
     #[serde(default)]
     pub models: Vec<String>,
 }
@@ -116,61 +116,63 @@
     16 << 20
 }
 
-impl Intent {
-    /// Reads an intent from TOML and checks it.
+impl FleetSpec {
+    /// Parses a specification from TOML and validates it.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Syntax`] where the text has another form, [`ErrorKind::Invalid`] with
-    /// every mistake where values are not acceptable.
+    /// [`ErrorKind::Syntax`] if the text is not TOML of the expected structure,
+    /// [`ErrorKind::Invalid`] with a diagnostic for every invalid value.
     ///
     /// # Examples
     ///
     /// ```
-    /// use portfield::fleet::Intent;
+    /// use portfield::fleet::FleetSpec;
     ///
-    /// let intent = Intent::parse("data_centres = ['north']").unwrap();
-    /// assert_eq!(intent.data_centres, ["north"]);
-    /// let err = Intent::parse("data_centre = []").unwrap_err();
+    /// let spec = FleetSpec::parse("data_centres = ['north']").unwrap();
+    /// assert_eq!(spec.data_centres, ["north"]);
+    /// let err = FleetSpec::parse("data_centre = []").unwrap_err();
     /// assert!(err.to_string().contains("data_centre"));
     /// ```
     pub fn parse(text: &str) -> Result<Self, Error> {
         let res: Self = toml::from_str(text)
             .map_err(|err| Error::single(ErrorKind::Syntax, "file", err.to_string()))?;
-        let mistakes = res.mistakes();
-        if mistakes.is_empty() {
+        let diagnostics = res.validate();
+        if diagnostics.is_empty() {
             return Ok(res);
         }
-        Err(Error::new(ErrorKind::Invalid, mistakes))
+        Err(Error::new(ErrorKind::Invalid, diagnostics))
     }
 
-    /// Numbers the parts; what `base` already has keeps its number.
-    pub fn number(&self, base: &Fleet) -> Fleet {
+    /// Builds the next revision of the configuration `base` from this specification.
+    ///
+    /// Items that `base` already has keep their ids; all others get new ones.
+    pub fn assign_ids(&self, base: &Fleet) -> Fleet {
         let mut next_id = base.next_id.max(1);
-        let mut fresh = || {
+        let mut new_id = || {
             next_id += 1;
             next_id - 1
         };
         let mut res = Fleet { revision: base.revision + 1, ..Fleet::default() };
         for name in &self.data_centres {
-            let id = base.data_centre(name).unwrap_or_else(&mut fresh);
+            let id = base.data_centre_id(name).unwrap_or_else(&mut new_id);
             res.data_centres.push(DataCentre { id, name: name.clone() });
         }
         for it in &self.services {
-            let id = base.service_named(&it.name).map_or_else(&mut fresh, |it| it.id);
-            res.services.push(it.number(id));
+            let id = base.service_by_name(&it.name).map_or_else(&mut new_id, |it| it.id);
+            res.services.push(it.with_id(id));
         }
         for it in &self.workspaces {
             let old = base.workspaces.iter().find(|old| old.name == it.name);
-            let id = old.map_or_else(&mut fresh, |it| it.id);
-            res.workspaces.push(it.number(id));
+            let id = old.map_or_else(&mut new_id, |it| it.id);
+            res.workspaces.push(it.with_id(id));
         }
         for it in &self.upstreams {
             let old = base.upstreams.iter().find(|old| old.address == it.address);
-            let id = old.map_or_else(&mut fresh, |it| it.id);
-            let service = res.service_named(&it.service).map_or(0, |it| it.id);
-            let data_centre = res.data_centre(&it.data_centre).unwrap_or(0);
-            res.upstreams.push(it.number(id, service, data_centre));
+            let id = old.map_or_else(&mut new_id, |it| it.id);
+            let service = res.service_by_name(&it.service).map_or(0, |it| it.id);
+            let data_centre = res.data_centre_id(&it.data_centre).unwrap_or(0);
+            res.upstreams.push(it.with_id(id, service, data_centre));
         }
         res.next_id = next_id;
         res.data_centres.sort_by_key(|it| it.id);
@@ -180,7 +182,7 @@
         res
     }
 
-    fn mistakes(&self) -> Vec<Mistake> {
+    fn validate(&self) -> Vec<Diagnostic> {
         let mut res = Vec::new();
         let names = self.data_centres.iter().map(String::as_str);
         check_unique("data_centres", names, &mut res);
@@ -192,15 +194,15 @@
         check_unique("workspace.token_sha256", tokens, &mut res);
         let addresses: Vec<_> = self.upstreams.iter().map(|it| it.address.to_string()).collect();
         check_unique("upstream.address", addresses.iter().map(String::as_str), &mut res);
-        self.services.iter().enumerate().for_each(|(idx, it)| it.check(idx, &mut res));
-        self.workspaces.iter().enumerate().for_each(|(idx, it)| it.check(idx, &mut res));
-        self.upstreams.iter().enumerate().for_each(|(idx, it)| it.check(idx, self, &mut res));
+        self.services.iter().enumerate().for_each(|(idx, it)| it.validate(idx, &mut res));
+        self.workspaces.iter().enumerate().for_each(|(idx, it)| it.validate(idx, &mut res));
+        self.upstreams.iter().enumerate().for_each(|(idx, it)| it.validate(idx, self, &mut res));
         res
     }
 }
 
-impl ServiceIntent {
-    fn number(&self, id: u32) -> Service {
+impl ServiceSpec {
+    fn with_id(&self, id: u32) -> Service {
         Service {
             id,
             name: self.name.clone(),
@@ -213,22 +215,22 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Mistake>) {
+    fn validate(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("service[{idx}].{field}");
         if !self.name.bytes().all(|it| it.is_ascii_alphanumeric() || it == b'-') {
-            push(res, key("name"), "use letters, digits and dashes only");
+            report(res, key("name"), "must contain only ASCII letters, digits and dashes");
         }
         if self.shard_size == 0 {
-            push(res, key("shard_size"), "must be at least 1");
+            report(res, key("shard_size"), "must be at least 1");
         }
         if self.wait_limit_ms == 0 {
-            push(res, key("wait_limit_ms"), "must be at least 1");
+            report(res, key("wait_limit_ms"), "must be at least 1");
         }
     }
 }
 
-impl WorkspaceIntent {
-    fn number(&self, id: u32) -> Workspace {
+impl WorkspaceSpec {
+    fn with_id(&self, id: u32) -> Workspace {
         Workspace {
             id,
             name: self.name.clone(),
@@ -239,24 +241,24 @@
         }
     }
 
-    fn check(&self, idx: usize, res: &mut Vec<Mistake>) {
+    fn validate(&self, idx: usize, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("workspace[{idx}].{field}");
         if !(1..=MAX_SHARE).contains(&self.share) {
-            push(res, key("share"), format!("must be between 1 and {MAX_SHARE}"));
+            report(res, key("share"), format!("must be between 1 and {MAX_SHARE}"));
         }
         let is_hash = self.token_sha256.len() == 64
             && self.token_sha256.bytes().all(|it| matches!(it, b'0'..=b'9' | b'a'..=b'f'));
         if !is_hash {
-            push(res, key("token_sha256"), "must be 64 lower-case hexadecimal digits");
+            report(res, key("token_sha256"), "must be 64 lower-case hexadecimal digits");
         }
         if self.queue == 0 {
-            push(res, key("queue"), "must be at least 1");
+            report(res, key("queue"), "must be at least 1");
         }
     }
 }
 
-impl UpstreamIntent {
-    fn number(&self, id: u32, service: u32, data_centre: u32) -> Upstream {
+impl UpstreamSpec {
+    fn with_id(&self, id: u32, service: u32, data_centre: u32) -> Upstream {
         Upstream {
             id,
             service,
@@ -269,32 +271,33 @@
         }
     }
 
-    fn check(&self, idx: usize, intent: &Intent, res: &mut Vec<Mistake>) {
+    fn validate(&self, idx: usize, spec: &FleetSpec, res: &mut Vec<Diagnostic>) {
         let key = |field: &str| format!("upstream[{idx}].{field}");
-        if !intent.services.iter().any(|it| it.name == self.service) {
-            push(res, key("service"), format!("no service is named `{}`", self.service));
+        if !spec.services.iter().any(|it| it.name == self.service) {
+            report(res, key("service"), format!("no service is named `{}`", self.service));
         }
-        if !intent.data_centres.contains(&self.data_centre) {
+        if !spec.data_centres.contains(&self.data_centre) {
             let text = format!("no data centre is named `{}`", self.data_centre);
-            push(res, key("data_centre"), text);
+            report(res, key("data_centre"), text);
         }
         if !(1..=MAX_SLOTS).contains(&self.slots) {
-            push(res, key("slots"), format!("must be between 1 and {MAX_SLOTS}"));
+            report(res, key("slots"), format!("must be between 1 and {MAX_SLOTS}"));
         }
     }
 }
 
-fn check_unique<'a>(key: &str, names: impl Iterator<Item = &'a str>, res: &mut Vec<Mistake>) {
+fn check_unique<'a>(key: &str, names: impl Iterator<Item = &'a str>, res: &mut Vec<Diagnostic>) {
     let mut seen = HashSet::new();
     for name in names {
         if name.is_empty() {
-            push(res, key.to_owned(), "must not be empty");
+            report(res, key.to_owned(), "must not be empty");
         } else if !seen.insert(name) {
-            push(res, key.to_owned(), format!("`{name}` stands twice"));
+            report(res, key.to_owned(), format!("`{name}` is used more than once"));
         }
     }
 }
 
-fn push(res: &mut Vec<Mistake>, key: String, text: impl Into<String>) {
-    res.push(Mistake { key, text: text.into() });
+/// Adds a diagnostic for a key.
+fn report(res: &mut Vec<Diagnostic>, key: String, message: impl Into<String>) {
+    res.push(Diagnostic { key, message: message.into() });
 }
--- a/crates/portfield/src/schedule/owner.rs
+++ b/crates/portfield/src/schedule/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of one shard: tickets in, grants out.
+//! The owner of one shard: queues tickets and grants slots.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -6,12 +6,12 @@
 };
 
 use super::{
-    counters::{Counters, SCALE, Virtual, to_virtual},
-    estimate::Estimates,
-    key::ShardKey,
+    cost_estimator::CostEstimator,
+    counters::{Counters, UNITS_PER_TOKEN, VirtualCost, virtual_cost},
     peer::Peers,
-    queue::{Queues, Waiting},
-    slots::{Health, Pace, Slots},
+    queue::{QueuedTicket, TicketQueues},
+    shard_key::ShardKey,
+    slots::{Health, InterTokenLatency, Slots},
 };
 use crate::{
     fleet::Fleet,
@@ -19,152 +19,169 @@
     wire,
 };
 
-/// Grants remembered to say when to come back.
+/// Latest grants whose rate determines the retry delay of refused tickets.
 const RATE_WINDOW: usize = 64;
-/// Workspaces elsewhere that one pick looks at while something waits here.
-const MAX_LOOKS: usize = 16;
-/// Shortest and longest time after which a refused caller is told to come back.
+/// Workspaces at other owners that are examined for one slot while local tickets wait.
+const MAX_EXAMINED: usize = 16;
+/// Shortest and longest retry delay of refused tickets.
 const RETRY_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
-/// What an owner keeps to, in tokens and times.
+/// Limits and periods of an owner.
 #[derive(Debug, Clone)]
-pub struct Limits {
-    /// Time in which a new owner only collects registrations.
-    pub recovery: Duration,
-    /// Lead of a local workspace, in tokens at the mean share, that a peer's must be
-    /// behind before a slot is lent to it.
-    pub lend_lead: u32,
-    /// Largest debt, in tokens at the mean share, that is made up for after a cut.
-    pub catch_up: u32,
-    /// Tickets of one workspace that wait at one owner.
-    pub queue: u32,
-    /// Time between two regular frames to a peer.
-    pub exchange: Duration,
-    /// Bytes a second for regular frames to all peers.
-    pub exchange_rate: u32,
+pub struct OwnerConfig {
+    /// Time after its start in which a new owner only collects registrations and grants nothing.
+    pub recovery_time: Duration,
+    /// Amount by which the counter of a workspace at a peer must be below the lowest local one
+    /// before a slot is lent to the peer, in tokens at the mean share.
+    pub lend_threshold: u32,
+    /// Largest lag of a workspace that is made up for after a network partition, in tokens at the
+    /// mean share.
+    pub max_lag: u32,
+    /// Most waiting tickets of one workspace at one owner; further ones are refused.
+    pub max_queued: u32,
+    /// Shortest time between two regular frames to a peer.
+    pub exchange_period: Duration,
+    /// Bandwidth for regular frames to all peers together, in bytes per second.
+    pub exchange_bandwidth: u32,
 }
 
-impl Default for Limits {
+impl Default for OwnerConfig {
     fn default() -> Self {
         Self {
-            recovery: Duration::from_millis(300),
-            lend_lead: 250,
-            catch_up: 50_000,
-            queue: 4096,
-            exchange: Duration::from_millis(250),
-            exchange_rate: 4000,
+            recovery_time: Duration::from_millis(300),
+            lend_threshold: 250,
+            max_lag: 50_000,
+            max_queued: 4096,
+            exchange_period: Duration::from_millis(250),
+            exchange_bandwidth: 4000,
         }
     }
 }
 
-/// Where a request runs: at an own upstream, or at a peer's by a loan.
+/// Slot that a request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Place {
+pub(super) enum SlotSource {
+    /// A slot of an upstream of this shard.
     Own(UpstreamId),
+    /// A slot borrowed from the owner of another shard.
     Borrowed(ShardKey, wire::Loan),
 }
 
+/// A request that holds a grant.
 #[derive(Debug, Clone, Copy)]
-struct Run {
+struct RunningRequest {
     workspace: WorkspaceId,
-    place: Place,
+    slot: SlotSource,
+    /// Cost that the caller expects, in tokens; zero if unknown.
     hint: u32,
+    /// Cost charged so far, in tokens.
     cost: u32,
-    reserved: Virtual,
+    /// Rest of its reservation.
+    reserved: VirtualCost,
 }
 
-/// What an owner shows of one workspace.
+/// Status of a backlogged workspace at one owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkspaceStatus {
     /// The workspace.
     pub id: WorkspaceId,
-    /// Tickets that wait here.
+    /// Number of its waiting tickets.
     pub waiting: u32,
     /// Its counter.
-    pub counter: Virtual,
+    pub counter: VirtualCost,
 }
 
-/// What an owner shows of itself.
+/// Status of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Status {
+pub struct ShardStatus {
     /// The shard.
     pub shard: ShardKey,
-    /// Slots configured.
+    /// Number of configured slots.
     pub slots: u32,
-    /// Slots used, lent or in doubt.
+    /// Number of slots used, lent or in doubt.
     pub used: u32,
-    /// Backlogged workspaces.
+    /// Backlogged workspaces, lowest counter first.
     pub backlog: Vec<WorkspaceStatus>,
 }
 
-/// The owner of one shard.
+/// Owner of one shard: grants the slots of its upstreams to waiting tickets.
 #[derive(Debug, Clone)]
-pub struct Owner {
+pub struct ShardOwner {
     pub(super) shard: ShardKey,
     pub(super) incarnation: Incarnation,
-    pub(super) limits: Limits,
+    pub(super) config: OwnerConfig,
     pub(super) counters: Counters,
     pub(super) slots: Slots,
     pub(super) peers: Peers,
-    queues: Queues,
-    estimates: Estimates,
+    queues: TicketQueues,
+    estimator: CostEstimator,
     shares: HashMap<WorkspaceId, u32>,
     mean_share: u32,
-    objective: Duration,
-    granting: Duration,
-    runs: HashMap<(HostId, TicketId), Run>,
-    grants: VecDeque<Duration>,
-    outbox: BTreeMap<HostId, wire::ShardAnswer>,
-    steps: u64,
+    /// Largest acceptable time between tokens, zero if the service sets none.
+    target_latency: Duration,
+    recovery_end: Duration,
+    running: HashMap<(HostId, TicketId), RunningRequest>,
+    /// Times of the latest grants.
+    grant_times: VecDeque<Duration>,
+    /// Answers to send, by router.
+    answers: BTreeMap<HostId, wire::ShardAnswer>,
+    /// Workspaces examined for grants so far.
+    n_examined: u64,
 }
 
-impl Owner {
-    /// Builds an owner that collects registrations before its first grant.
-    pub fn new(now: Duration, shard: ShardKey, incarnation: Incarnation, limits: Limits) -> Self {
+impl ShardOwner {
+    /// Creates an owner, which collects registrations for the configured time before its first
+    /// grant.
+    pub fn new(
+        now: Duration,
+        shard: ShardKey,
+        incarnation: Incarnation,
+        config: OwnerConfig,
+    ) -> Self {
         Self {
             shard,
             incarnation,
-            granting: now + limits.recovery,
-            limits,
+            recovery_end: now + config.recovery_time,
+            config,
             counters: Counters::default(),
             slots: Slots::default(),
             peers: Peers::default(),
-            queues: Queues::default(),
-            estimates: Estimates::default(),
+            queues: TicketQueues::default(),
+            estimator: CostEstimator::default(),
             shares: HashMap::new(),
             mean_share: 1,
-            objective: Duration::ZERO,
-            runs: HashMap::new(),
-            grants: VecDeque::new(),
-            outbox: BTreeMap::new(),
-            steps: 0,
+            target_latency: Duration::ZERO,
+            running: HashMap::new(),
+            grant_times: VecDeque::new(),
+            answers: BTreeMap::new(),
+            n_examined: 0,
         }
     }
 
-    /// Adopts a configuration.
+    /// Applies a configuration.
     pub fn configure(&mut self, now: Duration, fleet: &Fleet) {
         self.shares = fleet.workspaces.iter().map(|it| (it.id, it.share)).collect();
         let sum: u32 = self.shares.values().sum();
         self.mean_share = (sum / self.shares.len().max(1) as u32).max(1);
-        let gap = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
-        self.objective = Duration::from_millis(gap);
-        self.slots.configure(now, fleet.upstreams_of(self.shard));
+        let target_ms = fleet.service(self.shard.service).map_or(0, |it| it.token_gap);
+        self.target_latency = Duration::from_millis(target_ms);
+        self.slots.configure(now, fleet.upstreams_in_shard(self.shard));
     }
 
-    /// Returns when it grants its first slot.
-    pub fn granting(&self) -> Duration {
-        self.granting
+    /// Returns when the owner may grant its first slot.
+    pub fn recovery_end(&self) -> Duration {
+        self.recovery_end
     }
 
-    /// Returns how many workspaces its decisions looked at so far, for benches.
-    pub fn steps(&self) -> u64 {
-        self.steps
+    /// Returns the number of workspaces examined for grants so far, for benchmarks.
+    pub fn n_examined(&self) -> u64 {
+        self.n_examined
     }
 
-    /// Queues a ticket, or says when to come back.
+    /// Queues a router's ticket, or refuses it with a retry delay.
     pub fn register(&mut self, now: Duration, host: HostId, ticket: &wire::Ticket) {
-        // A ticket that is registered again never used its grant.
-        if self.runs.contains_key(&(host, ticket.id)) {
+        // The router registers a ticket again only if it did not use the grant.
+        if self.running.contains_key(&(host, ticket.id)) {
             self.finish(
                 now,
                 host,
@@ -172,133 +189,141 @@
             );
         }
         let id = ticket.workspace;
-        if !self.shares.contains_key(&id) || self.limits.queue <= self.queues.n_waiting(id) {
+        if !self.shares.contains_key(&id) || self.config.max_queued <= self.queues.n_waiting(id) {
             let retry = self.retry_after(now, id).as_millis() as u32;
             let refusal = wire::Refusal { ticket: ticket.id, retry };
-            self.answer(host).refusals.push(refusal);
+            self.answer_to(host).refusals.push(refusal);
             return;
         }
-        self.queues.push(Waiting {
+        self.queues.push(QueuedTicket {
             host,
             id: ticket.id,
             workspace: id,
             hint: ticket.hint,
-            batch: ticket.class == 1,
+            is_batch: ticket.class == 1,
             prefix: ticket.prefix,
-            since: now.saturating_sub(Duration::from_millis(u64::from(ticket.waited))),
+            waiting_since: now.saturating_sub(Duration::from_millis(u64::from(ticket.waited))),
         });
-        self.count_waiting(id);
+        self.update_waiting(id);
     }
 
-    /// Takes a ticket out of its queue.
+    /// Removes a ticket from its queue.
     pub fn cancel(&mut self, host: HostId, id: TicketId) {
         if let Some(workspace) = self.queues.cancel(host, id) {
-            self.count_waiting(workspace);
+            self.update_waiting(workspace);
         }
     }
 
-    /// Takes over a request that runs already under an earlier owner's grant.
+    /// Takes over a request that runs under a grant of an earlier owner.
     ///
-    /// `lender` is the shard of the upstream it runs on, where that is not this one.
-    pub fn resume(&mut self, host: HostId, run: &wire::Running, lender: Option<ShardKey>) {
-        if self.runs.contains_key(&(host, run.id)) {
+    /// `lender` is the shard of its upstream, if that is not this shard.
+    pub fn resume(&mut self, host: HostId, running: &wire::Running, lender: Option<ShardKey>) {
+        if self.running.contains_key(&(host, running.id)) {
             return;
         }
-        let loan = wire::Loan { id: run.loan, upstream: run.upstream };
-        let place = lender.map_or(Place::Own(run.upstream), |it| Place::Borrowed(it, loan));
-        if let Place::Own(id) = place {
-            self.slots.confirm(id);
+        let loan = wire::Loan { id: running.loan, upstream: running.upstream };
+        let slot =
+            lender.map_or(SlotSource::Own(running.upstream), |it| SlotSource::Borrowed(it, loan));
+        if let SlotSource::Own(id) = slot {
+            self.slots.confirm_used(id);
         }
-        let rest = run.estimate.saturating_sub(run.cost);
-        let reserved = to_virtual(rest, self.share(run.workspace));
-        self.counters.reserve(run.workspace, reserved);
-        let res = Run { workspace: run.workspace, place, hint: 0, cost: run.cost, reserved };
-        self.runs.insert((host, run.id), res);
+        let remaining = running.estimate.saturating_sub(running.cost);
+        let reserved = virtual_cost(remaining, self.share(running.workspace));
+        self.counters.reserve(running.workspace, reserved);
+        let request = RunningRequest {
+            workspace: running.workspace,
+            slot,
+            hint: 0,
+            cost: running.cost,
+            reserved,
+        };
+        self.running.insert((host, running.id), request);
     }
 
-    /// Counts what a running request has cost so far.
-    pub fn progress(&mut self, host: HostId, progress: &wire::Progress) {
-        let Some(mut run) = self.runs.get(&(host, progress.id)).copied() else { return };
-        self.charge(&mut run, progress.cost);
-        self.runs.insert((host, progress.id), run);
+    /// Charges the cost of a running request so far.
+    pub fn record_progress(&mut self, host: HostId, progress: &wire::Progress) {
+        let Some(mut request) = self.running.get(&(host, progress.id)).copied() else { return };
+        self.charge(&mut request, progress.cost);
+        self.running.insert((host, progress.id), request);
     }
 
-    /// Ends a request that had a grant.
+    /// Ends a request that has a grant, and releases its slot.
     pub fn finish(&mut self, now: Duration, host: HostId, done: &wire::Done) {
-        let Some(mut run) = self.runs.remove(&(host, done.id)) else { return };
-        self.charge(&mut run, done.cost);
-        self.counters.release(run.workspace, run.reserved);
+        let Some(mut request) = self.running.remove(&(host, done.id)) else { return };
+        self.charge(&mut request, done.cost);
+        self.counters.release(request.workspace, request.reserved);
         if !done.declined && !done.failed {
-            self.estimates.learn(run.workspace, run.hint, done.cost);
+            self.estimator.observe(request.workspace, request.hint, done.cost);
         }
-        match run.place {
-            Place::Own(id) => {
-                self.slots.free(now, id);
+        match request.slot {
+            SlotSource::Own(id) => {
+                self.slots.release(now, id);
                 let measured = Duration::from_micros(u64::from(done.pace) * 100);
-                let pace = Pace { measured, objective: self.objective };
+                let latency = InterTokenLatency { measured, target: self.target_latency };
                 if !done.declined {
-                    self.slots.learn(now, id, (!done.failed).then_some(pace));
+                    self.slots.record_outcome(now, id, (!done.failed).then_some(latency));
                 }
             }
-            Place::Borrowed(lender, loan) => self.peers.give_back(lender, loan.id),
+            SlotSource::Borrowed(lender, loan) => self.peers.return_loan(lender, loan.id),
         }
     }
 
-    /// Forgets a router that is gone: its tickets end, its slots are in doubt.
-    pub fn router_gone(&mut self, now: Duration, host: HostId) {
+    /// Removes a router that is gone: its tickets are cancelled, its slots become doubtful.
+    pub fn remove_router(&mut self, now: Duration, host: HostId) {
         for id in self.queues.cancel_host(host) {
-            self.count_waiting(id);
+            self.update_waiting(id);
         }
-        let gone: Vec<_> = self.runs.keys().filter(|it| it.0 == host).copied().collect();
+        let gone: Vec<_> = self.running.keys().filter(|it| it.0 == host).copied().collect();
         for key in gone {
-            let Some(run) = self.runs.remove(&key) else { continue };
-            self.counters.release(run.workspace, run.reserved);
-            match run.place {
-                Place::Own(id) => self.slots.doubt(now, id),
-                Place::Borrowed(lender, loan) => self.peers.give_up(lender, loan.id),
+            let Some(request) = self.running.remove(&key) else { continue };
+            self.counters.release(request.workspace, request.reserved);
+            match request.slot {
+                SlotSource::Own(id) => self.slots.mark_doubtful(now, id),
+                SlotSource::Borrowed(lender, loan) => self.peers.return_doubtful(lender, loan.id),
             }
         }
-        self.outbox.remove(&host);
+        self.answers.remove(&host);
     }
 
-    /// Takes in an upstream's load report.
-    pub fn report(&mut self, now: Duration, id: UpstreamId, health: Health) {
-        self.slots.report(now, id, health);
+    /// Records a health check of an upstream.
+    pub fn record_health(&mut self, now: Duration, id: UpstreamId, health: Health) {
+        self.slots.record_health(now, id, health);
     }
 
-    /// Grants what can be granted.
+    /// Grants borrowed and free slots until no slot is free or no ticket waits for one.
     pub fn dispatch(&mut self, now: Duration) {
-        if now < self.granting {
+        if now < self.recovery_end {
             return;
         }
-        if self.knows_peers(now) {
-            self.counters.set_complete();
+        if self.is_synced(now) {
+            self.counters.enable_lifts();
         }
-        self.use_borrowed(now);
-        while self.slots.any_free(now) {
-            let Some(choice) = self.choose() else { break };
-            match choice {
-                Choice::Local(id) => self.grant_own(now, id),
-                Choice::Peer(peer) => self.lend(now, peer),
+        self.grant_borrowed(now);
+        while self.slots.has_free(now) {
+            let Some(recipient) = self.choose_recipient() else { break };
+            match recipient {
+                Recipient::Local(id) => self.grant_local(now, id),
+                Recipient::Peer(peer) => self.lend_slot(now, peer),
             }
         }
     }
 
-    /// Takes the answers to send.
+    /// Removes and returns the answers to send, by router.
     pub fn take_answers(&mut self) -> BTreeMap<HostId, wire::ShardAnswer> {
-        std::mem::take(&mut self.outbox)
+        std::mem::take(&mut self.answers)
     }
 
-    /// Returns every router that has something here.
+    /// Returns the routers that have waiting tickets or running requests.
     pub fn routers(&self) -> Vec<HostId> {
-        let mut res: Vec<_> = self.queues.hosts().chain(self.runs.keys().map(|it| it.0)).collect();
+        let mut res: Vec<_> =
+            self.queues.hosts().chain(self.running.keys().map(|it| it.0)).collect();
         res.sort_unstable();
         res.dedup();
         res
     }
 
-    /// Returns what the owner shows of itself.
-    pub fn status(&self) -> Status {
+    /// Returns the status of the shard.
+    pub fn status(&self) -> ShardStatus {
         let (slots, used) = self.slots.usage();
         let mut backlog: Vec<_> = self
             .queues
@@ -306,128 +331,131 @@
             .map(|(id, waiting)| WorkspaceStatus { id, waiting, counter: self.counters.total(id) })
             .collect();
         backlog.sort_unstable_by_key(|it| it.counter);
-        Status { shard: self.shard, slots, used, backlog }
+        ShardStatus { shard: self.shard, slots, used, backlog }
     }
 
     /// Returns a workspace's counter.
-    pub fn counter(&self, id: WorkspaceId) -> Virtual {
+    pub fn counter(&self, id: WorkspaceId) -> VirtualCost {
         self.counters.total(id)
     }
 
-    /// Returns the loans of `lender` that are in use.
-    pub(super) fn held_from(&self, lender: ShardKey) -> Vec<wire::Loan> {
-        let loans = self.runs.values().filter_map(|it| match it.place {
-            Place::Borrowed(from, loan) if from == lender => Some(loan),
+    /// Returns the loans from `lender` that running requests use.
+    pub(super) fn loans_in_use(&self, lender: ShardKey) -> Vec<wire::Loan> {
+        let loans = self.running.values().filter_map(|it| match it.slot {
+            SlotSource::Borrowed(from, loan) if from == lender => Some(loan),
             _ => None,
         });
         loans.collect()
     }
 
-    /// Returns tickets beyond the slots that are free here.
-    pub(super) fn want(&self, now: Duration) -> u32 {
+    /// Returns the number of waiting tickets in excess of the free slots.
+    pub(super) fn excess_tickets(&self, now: Duration) -> u32 {
         (self.queues.len() as u32).saturating_sub(self.slots.n_free(now))
     }
 
-    /// Returns a cost in tokens at the mean share in virtual units.
-    pub(super) fn at_mean(&self, cost: u32) -> Virtual {
-        u64::from(cost) * SCALE / u64::from(self.mean_share)
+    /// Converts a cost in tokens to virtual units at the mean share of the workspaces.
+    pub(super) fn cost_at_mean_share(&self, cost: u32) -> VirtualCost {
+        u64::from(cost) * UNITS_PER_TOKEN / u64::from(self.mean_share)
     }
 
     fn share(&self, id: WorkspaceId) -> u32 {
         self.shares.get(&id).copied().unwrap_or(1)
     }
 
-    fn count_waiting(&mut self, id: WorkspaceId) {
+    fn update_waiting(&mut self, id: WorkspaceId) {
         self.counters.set_waiting(id, self.queues.n_waiting(id));
     }
 
-    fn charge(&mut self, run: &mut Run, cost: u32) {
-        let delta = cost.saturating_sub(run.cost);
+    /// Records the service of a request since its last charge; `cost` is the total in tokens.
+    fn charge(&mut self, request: &mut RunningRequest, cost: u32) {
+        let delta = cost.saturating_sub(request.cost);
         if delta == 0 {
             return;
         }
-        let amount = to_virtual(delta, self.share(run.workspace));
-        self.counters.serve(run.workspace, amount, run.reserved);
-        run.reserved = run.reserved.saturating_sub(amount);
-        run.cost = cost;
+        let amount = virtual_cost(delta, self.share(request.workspace));
+        self.counters.record_served(request.workspace, amount, request.reserved);
+        request.reserved = request.reserved.saturating_sub(amount);
+        request.cost = cost;
     }
 
-    fn choose(&mut self) -> Option<Choice> {
-        let local = self.counters.least_local();
-        let lead = self.at_mean(self.limits.lend_lead);
-        // Where something waits here, a few looks at workspaces elsewhere must do.
-        let n_looks = if local.is_some() { MAX_LOOKS } else { usize::MAX };
-        for (total, id) in self.counters.active().take(n_looks) {
-            self.steps += 1;
-            if self.counters.is_local(id) {
-                return Some(Choice::Local(id));
+    /// Chooses who gets a free slot: the least served workspace, or the peer at which it waits.
+    fn choose_recipient(&mut self) -> Option<Recipient> {
+        let local = self.counters.least_served_local();
+        let threshold = self.cost_at_mean_share(self.config.lend_threshold);
+        // While local tickets wait, the search for a borrower is limited.
+        let max_examined = if local.is_some() { MAX_EXAMINED } else { usize::MAX };
+        for (total, id) in self.counters.active().take(max_examined) {
+            self.n_examined += 1;
+            if self.counters.has_local_tickets(id) {
+                return Some(Recipient::Local(id));
             }
-            if local.is_some_and(|(least, _)| least < total + lead) {
+            if local.is_some_and(|(least, _)| least < total + threshold) {
                 break;
             }
-            if let Some(peer) = self.peers.wanting(id) {
-                return Some(Choice::Peer(peer));
+            if let Some(peer) = self.peers.find_borrower(id) {
+                return Some(Recipient::Peer(peer));
             }
         }
-        local.map(|(_, id)| Choice::Local(id))
+        local.map(|(_, id)| Recipient::Local(id))
     }
 
-    fn grant_own(&mut self, now: Duration, id: WorkspaceId) {
+    fn grant_local(&mut self, now: Duration, id: WorkspaceId) {
         let Some(ticket) = self.queues.pop(now, id) else {
-            self.count_waiting(id);
+            self.update_waiting(id);
             return;
         };
-        let Some(upstream) = self.slots.choose(now, ticket.prefix) else { return };
-        self.slots.take(now, upstream);
-        self.grant(now, ticket, Place::Own(upstream));
+        let Some(upstream) = self.slots.choose_upstream(now, ticket.prefix) else { return };
+        self.slots.mark_used(now, upstream);
+        self.grant(now, ticket, SlotSource::Own(upstream));
     }
 
-    fn lend(&mut self, now: Duration, peer: ShardKey) {
-        let Some(upstream) = self.slots.choose(now, 0) else { return };
-        let loan = self.peers.lend(now, peer, upstream);
+    fn lend_slot(&mut self, now: Duration, peer: ShardKey) {
+        let Some(upstream) = self.slots.choose_upstream(now, 0) else { return };
+        let loan = self.peers.record_loan(now, peer, upstream);
         self.slots.lend(now, upstream, loan);
     }
 
-    fn use_borrowed(&mut self, now: Duration) {
-        while let Some((lender, loan)) = self.peers.take_borrowed() {
-            let least = self.counters.least_local();
-            let ticket = least.and_then(|(_, id)| self.queues.pop(now, id));
+    fn grant_borrowed(&mut self, now: Duration) {
+        while let Some((lender, loan)) = self.peers.pop_borrowed() {
+            let next = self.counters.least_served_local();
+            let ticket = next.and_then(|(_, id)| self.queues.pop(now, id));
             match ticket {
-                Some(ticket) => self.grant(now, ticket, Place::Borrowed(lender, loan)),
-                None => self.peers.give_back(lender, loan.id),
+                Some(ticket) => self.grant(now, ticket, SlotSource::Borrowed(lender, loan)),
+                None => self.peers.return_loan(lender, loan.id),
             }
         }
     }
 
-    fn grant(&mut self, now: Duration, ticket: Waiting, place: Place) {
-        let Waiting { host, id, workspace, hint, .. } = ticket;
-        let estimate = self.estimates.estimate(workspace, hint);
-        let reserved = to_virtual(estimate, self.share(workspace));
+    fn grant(&mut self, now: Duration, ticket: QueuedTicket, slot: SlotSource) {
+        let QueuedTicket { host, id, workspace, hint, .. } = ticket;
+        let estimate = self.estimator.estimate(workspace, hint);
+        let reserved = virtual_cost(estimate, self.share(workspace));
         self.counters.reserve(workspace, reserved);
-        self.count_waiting(workspace);
-        self.runs.insert((host, id), Run { workspace, place, hint, cost: 0, reserved });
-        let (upstream, loan) = match place {
-            Place::Own(upstream) => (upstream, 0),
-            Place::Borrowed(_, loan) => (loan.upstream, loan.id),
+        self.update_waiting(workspace);
+        self.running
+            .insert((host, id), RunningRequest { workspace, slot, hint, cost: 0, reserved });
+        let (upstream, loan) = match slot {
+            SlotSource::Own(upstream) => (upstream, 0),
+            SlotSource::Borrowed(_, loan) => (loan.upstream, loan.id),
         };
-        self.answer(host).grants.push(wire::Grant { ticket: id, upstream, estimate, loan });
-        self.grants.push_back(now);
-        if RATE_WINDOW < self.grants.len() {
-            self.grants.pop_front();
+        self.answer_to(host).grants.push(wire::Grant { ticket: id, upstream, estimate, loan });
+        self.grant_times.push_back(now);
+        if RATE_WINDOW < self.grant_times.len() {
+            self.grant_times.pop_front();
         }
     }
 
-    /// Says when a slot for one more ticket of a workspace is likely.
+    /// Estimates when a slot for one more ticket of a workspace will be free.
     fn retry_after(&self, now: Duration, id: WorkspaceId) -> Duration {
-        let waiting = self.queues.n_waiting(id);
-        let Some(first) = self.grants.front() else { return RETRY_RANGE.0 };
-        let per_grant = now.saturating_sub(*first) / self.grants.len() as u32;
-        (per_grant * waiting).clamp(RETRY_RANGE.0, RETRY_RANGE.1)
+        let n_waiting = self.queues.n_waiting(id);
+        let Some(first) = self.grant_times.front() else { return RETRY_RANGE.0 };
+        let per_grant = now.saturating_sub(*first) / self.grant_times.len() as u32;
+        (per_grant * n_waiting).clamp(RETRY_RANGE.0, RETRY_RANGE.1)
     }
 
-    fn answer(&mut self, host: HostId) -> &mut wire::ShardAnswer {
+    fn answer_to(&mut self, host: HostId) -> &mut wire::ShardAnswer {
         let (shard, incarnation) = (self.shard, self.incarnation);
-        self.outbox.entry(host).or_insert_with(|| wire::ShardAnswer {
+        self.answers.entry(host).or_insert_with(|| wire::ShardAnswer {
             shard: Some(shard.into()),
             incarnation,
             ..Default::default()
@@ -435,7 +463,8 @@
     }
 }
 
-enum Choice {
+/// Who gets a free slot.
+enum Recipient {
     Local(WorkspaceId),
     Peer(ShardKey),
 }
