--- a/crates/portfield-replay/src/case.rs
+++ b/crates/portfield-replay/src/case.rs
@@ -61,7 +61,7 @@
 /// What a workspace's hints say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Hint {
+pub enum HintAccuracy {
     /// There are none.
     #[default]
     None,
@@ -98,7 +98,7 @@
     pub heavy: bool,
     /// What its hints say.
     #[serde(default)]
-    pub hint: Hint,
+    pub hint: HintAccuracy,
     /// It sends batch requests.
     #[serde(default)]
     pub batch: bool,
@@ -195,16 +195,17 @@
     }
 
     /// Records the trace: the same case and seed give the same trace to the byte.
-    pub fn record(&self) -> Vec<Arrival> {
+    pub fn generate_trace(&self) -> Vec<Arrival> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
-        let mut res: Vec<_> = self.load.iter().flat_map(|it| it.record(&mut rng)).collect();
+        let mut res: Vec<_> =
+            self.load.iter().flat_map(|it| it.generate_arrivals(&mut rng)).collect();
         res.sort_by_key(|it| it.at);
         res
     }
 }
 
 impl Load {
-    fn record(&self, rng: &mut fastrand::Rng) -> Vec<Arrival> {
+    fn generate_arrivals(&self, rng: &mut fastrand::Rng) -> Vec<Arrival> {
         let mut res = Vec::new();
         let mut at = self.during.0;
         loop {
@@ -231,24 +232,24 @@
     }
 
     fn draw_cost(&self, rng: &mut fastrand::Rng) -> u32 {
-        let (least, most) = self.cost;
+        let (min, max) = self.cost;
         if !self.heavy {
-            return rng.u32(least..=most);
+            return rng.u32(min..=max);
         }
         // Pareto with index 1.1, cut off at the largest cost.
-        let cost = f64::from(least) / (1.0 - rng.f64()).powf(1.0 / 1.1);
-        (cost as u32).min(most)
+        let cost = f64::from(min) / (1.0 - rng.f64()).powf(1.0 / 1.1);
+        (cost as u32).min(max)
     }
 
     fn draw_hint(&self, rng: &mut fastrand::Rng, cost: u32) -> u32 {
-        let (least, most) = self.cost;
+        let (min, max) = self.cost;
         match self.hint {
-            Hint::None => 0,
-            Hint::True => cost,
-            Hint::Rough => (f64::from(cost) * 10f64.powf(rng.f64() * 2.0 - 1.0)) as u32 + 1,
-            Hint::Low => cost / 10 + 1,
-            Hint::Lies => {
-                if least + (most - least) / 4 < cost {
+            HintAccuracy::None => 0,
+            HintAccuracy::True => cost,
+            HintAccuracy::Rough => (f64::from(cost) * 10f64.powf(rng.f64() * 2.0 - 1.0)) as u32 + 1,
+            HintAccuracy::Low => cost / 10 + 1,
+            HintAccuracy::Lies => {
+                if min + (max - min) / 4 < cost {
                     1
                 } else {
                     cost
--- a/crates/portfield-replay/src/main.rs
+++ b/crates/portfield-replay/src/main.rs
@@ -57,15 +57,15 @@
         Command::Run { cases } => run(&cases),
         Command::Compare { cases } => compare(&cases),
         Command::Size { seconds } => {
-            let text = scaling::replay_at_scale(Duration::from_secs(seconds));
-            Ok(std::io::stdout().write_all(text.as_bytes())?)
+            let report = scaling::replay_at_scale(Duration::from_secs(seconds));
+            Ok(std::io::stdout().write_all(report.as_bytes())?)
         }
         Command::Slopes => Ok(std::io::stdout().write_all(scaling::cost_table().as_bytes())?),
     }
 }
 
 fn record(path: &Path) -> eyre::Result<()> {
-    let arrivals = Case::read(path)?.record();
+    let arrivals = Case::read(path)?.generate_trace();
     let lines: Result<Vec<_>, _> = arrivals.iter().map(serde_json::to_string).collect();
     fs::write(path.with_extension("jsonl"), lines?.join("\n") + "\n")?;
     Ok(())
@@ -73,23 +73,23 @@
 
 fn run(cases: &[PathBuf]) -> eyre::Result<()> {
     let mut out = std::io::stdout();
-    let mut n_broken = 0;
+    let mut n_failed = 0;
     for path in cases {
         let case = Case::read(path)?;
         let arrivals = trace::read(&path.with_extension("jsonl"))?;
         let metrics = sim::replay(&case, &arrivals);
-        let (text, verdict) = metrics.check(&case.outcome);
-        n_broken += usize::from(verdict == Verdict::Failed);
+        let (report, verdict) = metrics.check(&case.outcome);
+        n_failed += usize::from(verdict == Verdict::Failed);
         let (answered, refused, orphaned) = metrics.ends;
         writeln!(
             out,
             "{}: {answered} answered, {refused} refused, {orphaned} orphaned",
-            name(path)
+            case_name(path)
         )?;
-        writeln!(out, "{text}")?;
+        writeln!(out, "{report}")?;
     }
-    if 0 < n_broken {
-        bail!("{n_broken} cases missed their outcome");
+    if 0 < n_failed {
+        bail!("{n_failed} cases missed their outcome");
     }
     Ok(())
 }
@@ -101,29 +101,29 @@
     for path in cases {
         let case = Case::read(path)?;
         let arrivals = trace::read(&path.with_extension("jsonl"))?;
-        let rows = [
+        let policies = [
             ("fair", sim::replay(&case, &arrivals)),
             ("fifo", baseline::replay(Baseline::Fifo, &case, &arrivals)),
             ("local", baseline::replay(Baseline::Local, &case, &arrivals)),
         ];
-        for (policy, it) in &rows {
-            writeln!(out, "{}", row(&name(path), policy, it))?;
+        for (policy, metrics) in &policies {
+            writeln!(out, "{}", table_row(&case_name(path), policy, metrics))?;
         }
     }
     Ok(())
 }
 
-fn row(case: &str, policy: &str, it: &Metrics) -> String {
+fn table_row(case: &str, policy: &str, metrics: &Metrics) -> String {
     format!(
         "| {case} | {policy} | {:.0} | {:.0} | {:.1} % | {:.0} | {:.1} |",
-        it.gap,
-        it.bound,
-        it.utilisation * 100.0,
-        it.control,
-        it.wait
+        metrics.gap,
+        metrics.bound,
+        metrics.utilisation * 100.0,
+        metrics.control,
+        metrics.wait
     )
 }
 
-fn name(path: &Path) -> String {
+fn case_name(path: &Path) -> String {
     path.file_stem().map(|it| it.to_string_lossy().into_owned()).unwrap_or_default()
 }
--- a/crates/portfield-replay/src/scaling.rs
+++ b/crates/portfield-replay/src/scaling.rs
@@ -18,7 +18,7 @@
 use prost::Message;
 
 use crate::{
-    case::{Case, Deployment, ExpectedOutcome, Hint, Load},
+    case::{Case, Deployment, ExpectedOutcome, HintAccuracy, Load},
     sim,
 };
 
@@ -35,15 +35,15 @@
     /// Time to queue, grant and end it, on a single thread.
     pub elapsed: Duration,
     /// Number of workspaces that the owner examined for the grant.
-    pub scanned: f64,
+    pub examined: f64,
     /// Growth of the process's resident memory per waiting ticket, in bytes.
     pub memory: u64,
 }
 
 /// Builds a fleet with one service in one data centre.
 pub fn build_fleet(n_workspaces: u32, n_upstreams: u32) -> Fleet {
-    let mut intent = FleetSpec { data_centres: vec!["north".to_owned()], ..FleetSpec::default() };
-    intent.services.push(ServiceSpec {
+    let mut spec = FleetSpec { data_centres: vec!["north".to_owned()], ..FleetSpec::default() };
+    spec.services.push(ServiceSpec {
         name: "scribe".to_owned(),
         kind: Kind::Engine,
         repeatable: true,
@@ -52,7 +52,7 @@
         wait_limit_ms: 60_000,
         shard_size: 16,
     });
-    intent.workspaces = (0..n_workspaces)
+    spec.workspaces = (0..n_workspaces)
         .map(|it| WorkspaceSpec {
             name: format!("workspace-{it}"),
             share: 1 + it % 8,
@@ -61,7 +61,7 @@
             queue_bytes: 1 << 24,
         })
         .collect();
-    intent.upstreams = (0..n_upstreams)
+    spec.upstreams = (0..n_upstreams)
         .map(|it| UpstreamSpec {
             address: SocketAddr::from(([127, 1, (it / 250) as u8, (it % 250) as u8], 8000)),
             service: "scribe".to_owned(),
@@ -72,7 +72,7 @@
             models: vec!["base".to_owned()],
         })
         .collect();
-    intent.assign_ids(&Fleet::default())
+    spec.assign_ids(&Fleet::default())
 }
 
 /// Queues, grants and ends tickets of a number of workspaces and returns the mean cost of one.
@@ -110,7 +110,7 @@
         }
     }
     let elapsed = start.elapsed() / N_TICKETS as u32;
-    TicketCost { elapsed, scanned: owner.n_examined() as f64 / N_TICKETS as f64, memory }
+    TicketCost { elapsed, examined: owner.n_examined() as f64 / N_TICKETS as f64, memory }
 }
 
 /// Replays the fleet's target scale for the given virtual time and returns a report as text.
@@ -119,7 +119,7 @@
 /// workspaces of which a tenth sends more than its share. The configuration changes once, half-way.
 pub fn replay_at_scale(time: Duration) -> String {
     let case = target_scale_case(time);
-    let arrivals = case.record();
+    let arrivals = case.generate_trace();
     let start = Instant::now();
     let res = sim::replay_for(&case, &arrivals, time);
     let elapsed = start.elapsed().as_secs_f64();
@@ -160,7 +160,7 @@
             burst: 1,
             cost: (100, 434),
             heavy: false,
-            hint: Hint::Rough,
+            hint: HintAccuracy::Rough,
             batch: false,
             entries: (0..8).map(|it| (idx as usize * 53 + it * 49) % 390).collect(),
             prefixes: 0,
@@ -197,7 +197,7 @@
     push_row(
         &mut res,
         "workspaces looked at for one grant",
-        costs.map(|it| format!("{:.2}", it.scanned)),
+        costs.map(|it| format!("{:.2}", it.examined)),
     );
     push_row(
         &mut res,
@@ -287,18 +287,18 @@
     ]
 }
 
-/// Builds a probe of a host whose view has two members.
+/// Builds a probe of a host whose membership has two hosts.
 fn build_probe() -> wire::ProbeRequest {
     let entry = |idx: u8| {
         let host = HostId::from([10, 20, 30, 100 + idx]);
         let address = SocketAddr::new(host, 9090);
         HostListEntry { host, address, data_centre: "kengarags-hall".to_owned(), leaving: false }
     };
-    let mut view = Membership::new(entry(1), 1_800_000_000_000);
-    view.update_hosts(Duration::ZERO, &[entry(1), entry(2)]);
+    let mut membership = Membership::new(entry(1), 1_800_000_000_000);
+    membership.update_hosts(Duration::ZERO, &[entry(1), entry(2)]);
     wire::ProbeRequest {
-        from: view.local_host().to_string(),
-        gossip: view.take_gossip(Some(entry(2).host)),
+        from: membership.local_host().to_string(),
+        gossip: membership.take_gossip(Some(entry(2).host)),
         revision: 500,
         ..Default::default()
     }
--- a/crates/portfield-replay/src/sim/attempts.rs
+++ b/crates/portfield-replay/src/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to run a request on an engine: dispatch, token generation and end.
+//! Attempts to run a request on an engine: forwarding, token generation and end.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 impl Simulation<'_> {
     /// Sends a granted request from its router to an engine.
-    pub(super) fn dispatch(&mut self, host: usize, ticket: TicketId, upstream: UpstreamId) {
+    pub(super) fn forward(&mut self, host: usize, ticket: TicketId, upstream: UpstreamId) {
         let Some(request) = self.hosts[host].tickets.get(&ticket).copied() else { return };
         self.metrics.set_state(self.now, request, RequestState::Runs);
         let router_generation = self.hosts[host].router_generation;
@@ -116,7 +116,7 @@
         self.submit(attempt.host, attempt.request);
     }
 
-    /// Returns whether the router that dispatched an attempt still runs.
+    /// Returns whether the router that forwarded an attempt still runs.
     pub(super) fn is_router_live(&self, attempt: &Attempt) -> bool {
         let host = &self.hosts[attempt.host];
         host.router_generation == attempt.router_generation && host.router.is_some()
--- a/crates/portfield-replay/src/sim/fleet.rs
+++ b/crates/portfield-replay/src/sim/fleet.rs
@@ -16,16 +16,16 @@
 /// Builds the fleet of a case; every service has engines of its own.
 pub(super) fn build_fleet(case: &Case) -> Fleet {
     let deployment = &case.deployment;
-    let mut intent = FleetSpec {
+    let mut spec = FleetSpec {
         data_centres: (0..deployment.hosts.len()).map(data_centre_name).collect(),
         ..FleetSpec::default()
     };
     for it in &case.load {
-        if !intent.services.iter().any(|old| old.name == it.service) {
-            intent.services.push(service_intent(&it.service, deployment.token_us));
+        if !spec.services.iter().any(|old| old.name == it.service) {
+            spec.services.push(service_spec(&it.service, deployment.token_us));
         }
-        if !intent.workspaces.iter().any(|old| old.name == it.workspace) {
-            intent.workspaces.push(WorkspaceSpec {
+        if !spec.workspaces.iter().any(|old| old.name == it.workspace) {
+            spec.workspaces.push(WorkspaceSpec {
                 name: it.workspace.clone(),
                 share: it.share,
                 token_sha256: hash_token(&it.workspace),
@@ -34,11 +34,11 @@
             });
         }
     }
-    for (number, it) in intent.services.iter().enumerate() {
+    for (number, it) in spec.services.iter().enumerate() {
         for (data_centre, n) in deployment.engines.iter().enumerate() {
             for idx in 0..*n {
                 let ip = [127, number as u8 + 1, data_centre as u8 + 1, idx as u8 + 1];
-                intent.upstreams.push(UpstreamSpec {
+                spec.upstreams.push(UpstreamSpec {
                     address: (ip, 8000).into(),
                     service: it.name.clone(),
                     data_centre: data_centre_name(data_centre),
@@ -50,10 +50,10 @@
             }
         }
     }
-    intent.assign_ids(&Fleet::default())
+    spec.assign_ids(&Fleet::default())
 }
 
-fn service_intent(name: &str, token_us: u64) -> ServiceSpec {
+fn service_spec(name: &str, token_us: u64) -> ServiceSpec {
     ServiceSpec {
         name: name.to_owned(),
         kind: Kind::Engine,
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -69,7 +69,7 @@
     SessionUp(usize, HostId),
     /// A host's router learns that its session with a scheduler failed or ended.
     SessionDown(usize, HostId),
-    /// A dispatched request reaches its engine.
+    /// A forwarded request reaches its engine.
     StartAttempt(Attempt),
     /// An engine completes the next step of an attempt, given by its id.
     GenerateTokens(UpstreamId, u64),
@@ -412,9 +412,9 @@
 
     fn apply_router_action(&mut self, idx: usize, action: route::Action) {
         match action {
-            route::Action::Connect(host, _) => self.dial(idx, host),
+            route::Action::Connect(host, _) => self.connect(idx, host),
             route::Action::Send(host, frame) => self.send_router_frame(idx, host, frame),
-            route::Action::Forward(ticket, upstream) => self.dispatch(idx, ticket, upstream),
+            route::Action::Forward(ticket, upstream) => self.forward(idx, ticket, upstream),
             route::Action::Reject(ticket, _, _) => {
                 if let Some(request) = self.hosts[idx].tickets.remove(&ticket) {
                     self.metrics.set_state(self.now, request, RequestState::Refused);
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -67,7 +67,7 @@
     }
 
     /// Opens a session from a router to a host's scheduler.
-    pub(super) fn dial(&mut self, router: usize, host: HostId) {
+    pub(super) fn connect(&mut self, router: usize, host: HostId) {
         let scheduler = self.host_index(host);
         let (generation, delay) = self.reach_scheduler(router, scheduler);
         let Some(generation) = generation else {
--- a/crates/portfield-replay/src/trace.rs
+++ b/crates/portfield-replay/src/trace.rs
@@ -37,10 +37,10 @@
 /// Where the file can't be read or a line is something else.
 pub fn read(path: &Path) -> eyre::Result<Vec<Arrival>> {
     let text = fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
-    let line = |(idx, it): (usize, &str)| {
+    let parse_line = |(idx, it): (usize, &str)| {
         serde_json::from_str(it).wrap_err_with(|| format!("{}:{}", path.display(), idx + 1))
     };
-    text.lines().enumerate().map(line).collect()
+    text.lines().enumerate().map(parse_line).collect()
 }
 
 fn is_zero(it: &u32) -> bool {
--- a/crates/portfield-replay/tests/grant_cost.rs
+++ b/crates/portfield-replay/tests/grant_cost.rs
@@ -6,10 +6,10 @@
 #[test]
 fn grant_cost_does_not_grow_with_the_number_of_workspaces() {
     for n_workspaces in [16, 1200] {
-        let scanned = measure_tickets(n_workspaces).scanned;
+        let examined = measure_tickets(n_workspaces).examined;
         assert!(
-            scanned <= 1.1,
-            "{scanned} workspaces examined per grant at {n_workspaces} workspaces"
+            examined <= 1.1,
+            "{examined} workspaces examined per grant at {n_workspaces} workspaces"
         );
     }
 }
--- a/crates/portfield-replay/tests/replay.rs
+++ b/crates/portfield-replay/tests/replay.rs
@@ -13,7 +13,7 @@
     trace::Arrival,
 };
 
-fn cases() -> Vec<PathBuf> {
+fn case_files() -> Vec<PathBuf> {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../../traces");
     let files = fs::read_dir(dir).unwrap().map(|it| it.unwrap().path());
     let mut res: Vec<_> =
@@ -23,28 +23,28 @@
     res
 }
 
-fn read(path: &Path) -> (Case, Vec<Arrival>) {
+fn read_case(path: &Path) -> (Case, Vec<Arrival>) {
     (Case::read(path).unwrap(), trace::read(&path.with_extension("jsonl")).unwrap())
 }
 
 #[test]
-fn every_case_reaches_its_outcome() {
-    let mut broken = String::new();
-    for path in cases() {
-        let (case, arrivals) = read(&path);
-        let (text, verdict) = sim::replay(&case, &arrivals).check(&case.outcome);
+fn every_case_reaches_its_expected_outcome() {
+    let mut failures = String::new();
+    for path in case_files() {
+        let (case, arrivals) = read_case(&path);
+        let (report, verdict) = sim::replay(&case, &arrivals).check(&case.outcome);
         if verdict == Verdict::Failed {
-            broken += &format!("{}\n{text}\n", path.display());
+            failures += &format!("{}\n{report}\n", path.display());
         }
     }
-    assert!(broken.is_empty(), "{broken}");
+    assert!(failures.is_empty(), "{failures}");
 }
 
 #[test]
-fn a_replay_gives_the_same_figures_each_time() {
-    for path in cases() {
-        let (case, arrivals) = read(&path);
-        assert_eq!(case.record(), arrivals, "{}", path.display());
+fn recording_and_replay_are_deterministic() {
+    for path in case_files() {
+        let (case, arrivals) = read_case(&path);
+        assert_eq!(case.generate_trace(), arrivals, "{}", path.display());
         let [a, b] = [0, 1].map(|_| sim::replay(&case, &arrivals));
         assert_eq!(a, b, "{}", path.display());
     }
@@ -52,17 +52,20 @@
 
 /// The uneven cases are those that the baselines are worst at.
 #[test]
-fn the_gap_is_a_fraction_of_the_baselines() {
-    for path in cases() {
+fn fairness_gap_is_below_a_fifth_of_the_baselines() {
+    for path in case_files() {
         let name = path.file_stem().unwrap().to_string_lossy().into_owned();
         if !["uneven", "no-callers", "no-engines", "shares", "overnight"].contains(&name.as_str()) {
             continue;
         }
-        let (case, arrivals) = read(&path);
-        let fair = sim::replay(&case, &arrivals).gap;
+        let (case, arrivals) = read_case(&path);
+        let gap = sim::replay(&case, &arrivals).gap;
         for policy in [Baseline::Fifo, Baseline::Local] {
-            let other = baseline::replay(policy, &case, &arrivals).gap;
-            assert!(fair * 5.0 < other, "{name}: {fair} against {other} of {policy:?}");
+            let baseline_gap = baseline::replay(policy, &case, &arrivals).gap;
+            assert!(
+                gap * 5.0 < baseline_gap,
+                "{name}: gap {gap} of the fleet, {baseline_gap} of {policy:?}"
+            );
         }
     }
 }
