--- a/crates/portfield-replay/src/case.rs
+++ b/crates/portfield-replay/src/case.rs
@@ -1,5 +1,5 @@
-//! A case: the deployment, the load that its trace was recorded from, and the outcome that
-//! a replay must reach.
+//! Test cases: a deployment, the load from which the trace is generated, faults, and the expected
+//! outcome of the replay.
 
 use std::{fs, path::Path};
 
@@ -8,40 +8,40 @@
 
 use crate::trace::Arrival;
 
-/// A case as its TOML file states it.
+/// A test case, as read from its TOML file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
-    /// Seed of the recording and of the replay.
+    /// Seed of the generated trace.
     pub seed: u64,
-    /// The hosts and upstreams.
+    /// Hosts and engines.
     #[serde(default)]
     pub deployment: Deployment,
-    /// What each workspace sends.
+    /// Load of the workspaces; a workspace may have several.
     pub load: Vec<Load>,
     /// Faults during the replay.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// What a replay must reach.
+    /// Expected outcome of the replay.
     #[serde(default)]
     pub outcome: ExpectedOutcome,
 }
 
-/// Hosts and upstreams of a replay.
+/// Hosts and engines of a simulated fleet, and its delays.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Deployment {
-    /// Entry hosts of each data centre.
+    /// Number of hosts in each data centre.
     pub hosts: Vec<usize>,
-    /// Engines of each data centre.
+    /// Number of engines in each data centre, for each service.
     pub engines: Vec<usize>,
-    /// Slots of each engine.
+    /// Number of slots of each engine.
     pub slots: u32,
     /// One-way delay within a data centre, in microseconds.
     pub near_us: u64,
     /// One-way delay between data centres, in microseconds.
     pub far_us: u64,
-    /// Time between two tokens, in microseconds.
+    /// Time between two tokens of a request, in microseconds.
     pub token_us: u64,
 }
 
@@ -58,130 +58,133 @@
     }
 }
 
-/// What a workspace's hints say.
+/// How the cost hints of a workspace relate to the true costs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HintAccuracy {
-    /// There are none.
+    /// Requests have no hint.
     #[default]
     None,
-    /// The true cost.
+    /// The hint is the true cost.
     True,
-    /// Up to ten times too much or too little, by chance.
+    /// The hint is too high or too low by a random factor of up to ten.
     Rough,
-    /// A tenth of the true cost, always.
+    /// The hint is a tenth of the true cost.
     Low,
-    /// One token for large requests, the true cost for small ones.
+    /// The hint is one token for costs above the lowest quarter of the range, else the true cost.
     Lies,
 }
 
-/// What one workspace sends.
+/// Requests of one kind that a workspace sends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Its name.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Its share.
+    /// Share of the workspace; its first load decides.
     pub share: u32,
-    /// The service it calls.
+    /// Name of the service that it calls.
     #[serde(default = "default_service")]
     pub service: String,
-    /// Requests a second, on average.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Requests that arrive at once.
+    /// Number of requests that arrive at once.
     #[serde(default = "one")]
     pub burst: u32,
-    /// Least and largest cost, in tokens.
+    /// Smallest and largest cost, in tokens.
     pub cost: (u32, u32),
-    /// Costs have a heavy tail between the two.
+    /// Costs follow a Pareto distribution cut off at the largest cost, else a uniform one.
     #[serde(default)]
     pub heavy: bool,
-    /// What its hints say.
+    /// Accuracy of the cost hints.
     #[serde(default)]
     pub hint: HintAccuracy,
-    /// It sends batch requests.
+    /// Requests are batch requests, which may wait behind interactive ones.
     #[serde(default)]
     pub batch: bool,
-    /// Numbers of the hosts that its callers enter at.
+    /// Indices of the hosts at which requests arrive; each burst chooses one at random.
     pub entries: Vec<usize>,
-    /// Prompt prefixes that it uses.
+    /// Number of different prompt prefixes; requests have none if it is zero.
     #[serde(default)]
     pub prefixes: u32,
-    /// First and last second.
+    /// Start and end, in seconds since the start of the trace.
     pub during: (f64, f64),
 }
 
-/// A fault and when it lasts.
+/// A fault and its duration.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The host, engine or data centre that it happens to, by number.
+    /// Index of the affected host, engine or data centre; ignored for `owner` and `host`.
     #[serde(default)]
     pub at: usize,
-    /// First and last second.
+    /// Start and end, in seconds since the start of the trace.
     pub during: (f64, f64),
 }
 
-/// What may happen.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A host's scheduler dies, and starts again with nothing.
+    /// The scheduler of a host dies, and restarts without its state.
     Scheduler,
-    /// The scheduler that owns the first data centre's shard dies, whichever it is.
+    /// The scheduler that owns the first shard of the first data centre dies, and restarts without
+    /// its state.
     Owner,
-    /// The host of the first shard's owner loses power: nothing refuses, connections hang.
+    /// The host of that owner loses power: connections to it hang instead of being refused.
     Host,
-    /// A host's router dies with its requests, and starts again with nothing.
+    /// The router of a host dies with its requests, and restarts without its state.
     Router,
-    /// A data centre is cut off from the others.
+    /// All messages between a data centre and the others are lost.
     Cut,
-    /// Only what a data centre sends to the others is lost.
+    /// Messages from a data centre to the others are lost, but not those to it.
     CutOneWay,
-    /// An engine is ten times slower.
+    /// An engine takes ten times as long for each token.
     Slow,
-    /// An engine dies.
+    /// An engine dies with its requests, and restarts idle.
     Engine,
-    /// An engine is marked as leaving by the configuration.
+    /// An engine is marked as leaving in the configuration, and stays so.
     Leave,
-    /// A scheduler is paused and wakes up again.
+    /// The scheduler of a host is paused, and then handles the events that arrived meanwhile.
     Pause,
 }
 
-/// What a replay must reach; what is not stated is not held.
+/// Limits for the metrics of a replay; those that aren't set aren't checked.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ExpectedOutcome {
-    /// Largest fairness gap, in tokens for a share of one; by formula where not stated.
+    /// Largest fairness gap, in tokens per unit of share; never above the bound of
+    /// docs/design/fairness.md, which is also the default.
     pub gap: Option<f64>,
-    /// Least utilisation while anything waits, of one.
+    /// Smallest fraction of the slots in use while a request waits.
     pub utilisation: Option<f64>,
-    /// Most control bytes a second for each host.
+    /// Largest number of control bytes per second and host.
     pub control: Option<f64>,
     /// Longest wait of any request, in seconds.
     pub wait: Option<f64>,
-    /// Longest time after a fault's start without any grant while something waits, in seconds.
+    /// Longest time without a grant while a request waits, in seconds.
     pub pause: Option<f64>,
-    /// Longest time from an owner's death to the next work for its upstreams, in seconds.
+    /// Longest time from the death of a shard's owner to the next request at its upstreams, in
+    /// seconds.
     pub regrant: Option<f64>,
-    /// Largest gap in the last seconds of the run, with the number of seconds.
+    /// Largest fairness gap in the final seconds of the trace, and the number of seconds.
     pub gap_at_end: Option<(f64, f64)>,
 }
 
 impl Case {
-    /// Reads a case.
+    /// Reads a case from a TOML file.
     ///
     /// # Errors
     ///
-    /// Where the file can't be read or states something else.
+    /// Returns an error if the file can't be read or isn't a valid case.
     pub fn read(path: &Path) -> eyre::Result<Self> {
         let text = fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
         toml::from_str(&text).wrap_err_with(|| path.display().to_string())
     }
 
-    /// Returns the names and shares of the workspaces, in the order in which they are stated.
+    /// Returns the names and shares of the workspaces, in the order of their first loads.
     pub fn workspaces(&self) -> (Vec<String>, Vec<f64>) {
         let mut names: Vec<String> = Vec::new();
         let mut shares = Vec::new();
@@ -194,7 +197,7 @@
         (names, shares)
     }
 
-    /// Records the trace: the same case and seed give the same trace to the byte.
+    /// Generates the trace, sorted by arrival time; the same case always gives the same trace.
     pub fn generate_trace(&self) -> Vec<Arrival> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         let mut res: Vec<_> =
@@ -209,7 +212,7 @@
         let mut res = Vec::new();
         let mut at = self.during.0;
         loop {
-            // Poisson arrivals of bursts.
+            // Bursts arrive as a Poisson process.
             at += -(1.0 - rng.f64()).ln() * f64::from(self.burst) / self.rate;
             if self.during.1 <= at {
                 return res;
@@ -231,16 +234,18 @@
         }
     }
 
+    /// Draws the cost of a request, in tokens.
     fn draw_cost(&self, rng: &mut fastrand::Rng) -> u32 {
         let (min, max) = self.cost;
         if !self.heavy {
             return rng.u32(min..=max);
         }
-        // Pareto with index 1.1, cut off at the largest cost.
+        // Pareto distribution with index 1.1, cut off at the largest cost.
         let cost = f64::from(min) / (1.0 - rng.f64()).powf(1.0 / 1.1);
         (cost as u32).min(max)
     }
 
+    /// Draws the hint for a request of the given cost, in tokens; zero for none.
     fn draw_hint(&self, rng: &mut fastrand::Rng, cost: u32) -> u32 {
         let (min, max) = self.cost;
         match self.hint {
--- a/crates/portfield-replay/src/engine.rs
+++ b/crates/portfield-replay/src/engine.rs
@@ -66,8 +66,8 @@
         self.token_time * self.slowdown * tokens
     }
 
-    /// Returns how many requests ran at a past time, as in a delayed load report; zero if that isn't
-    /// recorded.
+    /// Returns how many requests ran at a past time, as in a delayed load report; zero if that
+    /// isn't recorded.
     pub fn running_at(&self, at: Duration) -> u32 {
         let entry = self.load_history.iter().rev().find(|(since, _)| *since <= at);
         entry.map_or(0, |it| it.1)
--- a/crates/portfield-replay/src/lib.rs
+++ b/crates/portfield-replay/src/lib.rs
@@ -1,4 +1,5 @@
-//! Traces, measures, and the replay of traces against the decision code in virtual time.
+//! Generates traces of requests, replays them against the routing and scheduling code in virtual
+//! time, and checks the metrics.
 
 pub mod baseline;
 pub mod case;
--- a/crates/portfield-replay/src/main.rs
+++ b/crates/portfield-replay/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfield-replay`: records and replays traces in virtual time.
+//! `portfield-replay`: generates traces and replays them in virtual time.
 
 use std::{
     fs,
@@ -64,6 +64,7 @@
     }
 }
 
+/// Generates the trace of a case and writes it beside the case file.
 fn record(path: &Path) -> eyre::Result<()> {
     let arrivals = Case::read(path)?.generate_trace();
     let lines: Result<Vec<_>, _> = arrivals.iter().map(serde_json::to_string).collect();
@@ -71,6 +72,7 @@
     Ok(())
 }
 
+/// Replays cases and prints their metrics; an error if a metric isn't as expected.
 fn run(cases: &[PathBuf]) -> eyre::Result<()> {
     let mut out = std::io::stdout();
     let mut n_failed = 0;
@@ -94,6 +96,7 @@
     Ok(())
 }
 
+/// Replays cases under the fleet's policy and the baselines, and prints a table.
 fn compare(cases: &[PathBuf]) -> eyre::Result<()> {
     let mut out = std::io::stdout();
     writeln!(out, "| case | policy | gap | bound | utilisation | control B/s | longest wait s |")?;
@@ -124,6 +127,7 @@
     )
 }
 
+/// Returns the file name of a case without its extension.
 fn case_name(path: &Path) -> String {
     path.file_stem().map(|it| it.to_string_lossy().into_owned()).unwrap_or_default()
 }
--- a/crates/portfield-replay/src/trace.rs
+++ b/crates/portfield-replay/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded traces: one request a line, in JSON.
+//! Traces of requests, in JSON Lines.
 
 use std::{fs, path::Path};
 
@@ -9,32 +9,32 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arrival {
-    /// When it arrives, in milliseconds since the trace's start.
+    /// Time of arrival, in milliseconds since the start of the trace.
     pub at: u64,
-    /// Name of its workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Name of the service it calls.
+    /// Name of the called service.
     pub service: String,
-    /// Number of the host it enters at.
+    /// Index of the host at which it arrives.
     pub entry: usize,
-    /// Cost in tokens, known when it ends.
+    /// True cost in tokens, known to the fleet only when the request ends.
     pub cost: u32,
     /// Cost hint in tokens, zero for none.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub hint: u32,
-    /// It may wait behind interactive requests.
+    /// Whether it is a batch request, which may wait behind interactive ones.
     #[serde(default, skip_serializing_if = "is_false")]
     pub batch: bool,
-    /// Number of its prompt's prefix, zero for none.
+    /// Number that identifies the prefix of its prompt, zero for none.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub prefix: u32,
 }
 
-/// Reads a trace.
+/// Reads the requests of a trace from a file.
 ///
 /// # Errors
 ///
-/// Where the file can't be read or a line is something else.
+/// Returns an error if the file can't be read or a line isn't a valid request.
 pub fn read(path: &Path) -> eyre::Result<Vec<Arrival>> {
     let text = fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
     let parse_line = |(idx, it): (usize, &str)| {
--- a/crates/portfield-replay/tests/replay.rs
+++ b/crates/portfield-replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Replays of recorded traces against their stated outcomes.
+//! Replays every case in `traces/` and checks its metrics and its determinism.
 
 use std::{
     fs,
@@ -13,6 +13,7 @@
     trace::Arrival,
 };
 
+/// Returns the case files in `traces/`, sorted by name.
 fn case_files() -> Vec<PathBuf> {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../../traces");
     let files = fs::read_dir(dir).unwrap().map(|it| it.unwrap().path());
@@ -50,7 +51,8 @@
     }
 }
 
-/// The uneven cases are those that the baselines are worst at.
+/// Guards against a loss of fairness across hosts: baselines that decide without schedulers are
+/// least fair in these cases, whose load is uneven.
 #[test]
 fn fairness_gap_is_below_a_fifth_of_the_baselines() {
     for path in case_files() {
