--- a/crates/portfield-replay/src/scaling.rs
+++ b/crates/portfield-replay/src/scaling.rs
@@ -123,7 +123,7 @@
     let start = Instant::now();
     let res = sim::replay_for(&case, &arrivals, time);
     let elapsed = start.elapsed().as_secs_f64();
-    let (mean, max, without_shard) = res.control;
+    let (mean, max, without_shard) = res.control_rates;
     let metrics = &res.metrics;
     format!(
         "requests a second               {:.0}\n\
@@ -138,7 +138,7 @@
          processor time of all decisions, of the fakes and of the measures: {:.2} % of a core a host\n",
         arrivals.len() as f64 / time.as_secs_f64(),
         res.n_owners,
-        res.messages as f64 / res.time.as_secs_f64() / 390.0,
+        res.control_messages as f64 / res.time.as_secs_f64() / 390.0,
         res.config_delay
             .map_or("not in this time".to_owned(), |it| format!("{:.2} s", it.as_secs_f64())),
         metrics.utilisation * 100.0,
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -66,9 +66,9 @@
     /// A frame from the scheduler of another host reaches a host's router.
     OwnerFrame(usize, HostId, wire::OwnerFrame),
     /// A host's router learns that its session with a scheduler is open.
-    SessionUp(usize, HostId),
+    SessionOpened(usize, HostId),
     /// A host's router learns that its session with a scheduler failed or ended.
-    SessionDown(usize, HostId),
+    SessionClosed(usize, HostId),
     /// A forwarded request reaches its engine.
     StartAttempt(Attempt),
     /// An engine completes the next step of an attempt, given by its id.
@@ -119,7 +119,7 @@
     /// Time of the router's next scheduled tick.
     router_tick: Duration,
     /// Bytes of control messages, sent and received.
-    bytes: u64,
+    control_bytes: u64,
 }
 
 /// State of a running simulation.
@@ -161,8 +161,8 @@
 impl<'a> Simulation<'a> {
     fn new(case: &'a Case, arrivals: &'a [Arrival]) -> Self {
         let fleet = fleet::build_fleet(case);
-        let token = Duration::from_micros(case.deployment.token_us);
-        let engines = fleet.upstreams.iter().map(|it| (it.id, Engine::new(it.slots, token)));
+        let token_time = Duration::from_micros(case.deployment.token_us);
+        let engines = fleet.upstreams.iter().map(|it| (it.id, Engine::new(it.slots, token_time)));
         let mut res = Self {
             case,
             arrivals,
@@ -186,9 +186,9 @@
             res.schedule_at(WARM_UP + Duration::from_millis(it.at), Event::Arrive(idx));
         }
         for (idx, it) in case.fault.iter().enumerate() {
-            let [on, off] = [it.during.0, it.during.1].map(Duration::from_secs_f64);
-            res.schedule_at(WARM_UP + on, Event::Fault(idx, faults::FaultPhase::Start));
-            res.schedule_at(WARM_UP + off, Event::Fault(idx, faults::FaultPhase::End));
+            let [start, end] = [it.during.0, it.during.1].map(Duration::from_secs_f64);
+            res.schedule_at(WARM_UP + start, Event::Fault(idx, faults::FaultPhase::Start));
+            res.schedule_at(WARM_UP + end, Event::Fault(idx, faults::FaultPhase::End));
         }
         res.schedule_at(WARM_UP, Event::SampleSlots);
         res
@@ -212,7 +212,7 @@
                     tickets: HashMap::new(),
                     scheduler_tick: Duration::MAX,
                     router_tick: Duration::MAX,
-                    bytes: 0,
+                    control_bytes: 0,
                 });
             }
         }
@@ -223,15 +223,15 @@
     }
 
     fn start_scheduler(&mut self, idx: usize) {
-        let me = self.list_entry(idx);
+        let entry = self.list_entry(idx);
         let host = &mut self.hosts[idx];
         host.scheduler_generation += 1;
         host.scheduler_tick = Duration::MAX;
         // Stands in for the wall clock in milliseconds, as if hosts had started 10 ms apart.
         let incarnation = 1_000_000 + 10 * idx as u64 + self.now.as_millis() as u64;
-        let settings =
-            schedule::SchedulerConfig { entry: me, incarnation, owner: OwnerConfig::default() };
-        host.scheduler = Some(Scheduler::new(settings));
+        let config =
+            schedule::SchedulerConfig { entry, incarnation, owner: OwnerConfig::default() };
+        host.scheduler = Some(Scheduler::new(config));
         // Hosts poll at different offsets.
         let offset = Duration::from_millis(37 * idx as u64 % 1000);
         self.schedule_after(offset, Event::ListHosts(idx));
@@ -315,11 +315,11 @@
                 let now = self.now;
                 self.with_router(host, |it| it.handle_frame(now, from, &frame));
             }
-            Event::SessionUp(host, from) => {
+            Event::SessionOpened(host, from) => {
                 let now = self.now;
                 self.with_router(host, |it| it.session_opened(now, from));
             }
-            Event::SessionDown(host, from) => {
+            Event::SessionClosed(host, from) => {
                 let now = self.now;
                 self.with_router(host, |it| it.session_closed(now, from));
             }
@@ -350,7 +350,7 @@
         let service = self.fleet.service_by_name(&it.service);
         let (Some(workspace), Some(service)) = (workspace.cloned(), service) else { return };
         let deadline = self.now + service.wait_limit();
-        let wanted = route::Request {
+        let submission = route::Request {
             workspace,
             service: service.id,
             cost_hint: it.hint,
@@ -360,7 +360,7 @@
             deadline,
         };
         let now = self.now;
-        match self.with_router(host, |it| it.submit(now, wanted)) {
+        match self.with_router(host, |it| it.submit(now, submission)) {
             Some(Ok(ticket)) => {
                 self.hosts[host].tickets.insert(ticket, request);
                 // No grant can arrive before this line: frames take time.
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -45,8 +45,8 @@
     fn count_message(&mut self, from: usize, to: usize, bytes: usize) {
         self.metrics.control_bytes += 2 * bytes as u64;
         self.metrics.control_messages += 1;
-        self.hosts[from].bytes += bytes as u64;
-        self.hosts[to].bytes += bytes as u64;
+        self.hosts[from].control_bytes += bytes as u64;
+        self.hosts[to].control_bytes += bytes as u64;
     }
 
     /// Returns the generation of a host's scheduler if a call reaches it and gets a response, and
@@ -71,7 +71,7 @@
         let scheduler = self.host_index(host);
         let (generation, delay) = self.reach_scheduler(router, scheduler);
         let Some(generation) = generation else {
-            self.schedule_after(delay * 2, Event::SessionDown(router, host));
+            self.schedule_after(delay * 2, Event::SessionClosed(router, host));
             return;
         };
         self.count_message(router, scheduler, CALL_OVERHEAD);
@@ -79,7 +79,7 @@
         let ip = self.hosts[router].ip;
         let up = schedule::Event::RouterConnected(ip);
         self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, up));
-        self.schedule_after(delay * 2, Event::SessionUp(router, host));
+        self.schedule_after(delay * 2, Event::SessionOpened(router, host));
     }
 
     pub(super) fn send_router_frame(
@@ -208,7 +208,7 @@
             let down = schedule::Event::RouterDisconnected(ip);
             self.schedule_after(delay, Event::SchedulerInput(scheduler, generation, down));
             let host = self.hosts[scheduler].ip;
-            self.schedule_after(delay, Event::SessionDown(router, host));
+            self.schedule_after(delay, Event::SessionClosed(router, host));
         }
     }
 }
--- a/crates/portfield-replay/src/sim/scale.rs
+++ b/crates/portfield-replay/src/sim/scale.rs
@@ -11,14 +11,14 @@
     /// Metrics of the replay.
     pub metrics: Metrics,
     /// Control bytes per second of a host: mean, maximum, and mean of the hosts that own no shard.
-    pub control: (f64, f64, f64),
+    pub control_rates: (f64, f64, f64),
     /// Number of hosts that own a shard.
     pub n_owners: usize,
     /// Time from a change of the configuration until every scheduler applied it; `None` if the
     /// replay ended before.
     pub config_delay: Option<Duration>,
     /// Number of control messages sent.
-    pub messages: u64,
+    pub control_messages: u64,
     /// Virtual time at the end, with the warm-up.
     pub time: Duration,
 }
@@ -40,7 +40,7 @@
         }
         if measured_from.is_none() && WARM_UP + time * 3 / 4 <= at {
             measured_from =
-                Some((at, simulation.hosts.iter().map(|it| it.bytes).collect::<Vec<_>>()));
+                Some((at, simulation.hosts.iter().map(|it| it.control_bytes).collect::<Vec<_>>()));
         }
         if simulation.fleet.revision == 1 && change_at <= at {
             simulation.mark_leaving(0);
@@ -77,17 +77,22 @@
     ) -> ScaleReport {
         let secs = (self.now - since).as_secs_f64();
         let all = self.hosts.iter().zip(before);
-        let rates: Vec<_> = all.map(|(it, old)| (it.bytes - old) as f64 / secs).collect();
-        let owns = |it: &Host| it.scheduler.as_ref().is_some_and(|it| !it.status().is_empty());
-        let idle = self.hosts.iter().zip(&rates).filter(|(it, _)| !owns(it));
-        let idle: Vec<_> = idle.map(|(_, rate)| *rate).collect();
+        let rates: Vec<_> = all.map(|(it, old)| (it.control_bytes - old) as f64 / secs).collect();
+        let owns_shard =
+            |it: &Host| it.scheduler.as_ref().is_some_and(|it| !it.status().is_empty());
+        let without_shard = self.hosts.iter().zip(&rates).filter(|(it, _)| !owns_shard(it));
+        let without_shard: Vec<_> = without_shard.map(|(_, rate)| *rate).collect();
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
         ScaleReport {
             metrics: self.metrics.summarize(self.now, self.hosts.len()),
-            control: (mean(&rates), rates.iter().copied().fold(0.0, f64::max), mean(&idle)),
-            n_owners: self.hosts.len() - idle.len(),
+            control_rates: (
+                mean(&rates),
+                rates.iter().copied().fold(0.0, f64::max),
+                mean(&without_shard),
+            ),
+            n_owners: self.hosts.len() - without_shard.len(),
             config_delay,
-            messages: self.metrics.control_messages,
+            control_messages: self.metrics.control_messages,
             time: self.now,
         }
     }
