--- a/crates/portfield-replay/src/case.rs
+++ b/crates/portfield-replay/src/case.rs
@@ -17,7 +17,7 @@
     /// Hosts and engines.
     #[serde(default)]
     pub deployment: Deployment,
-    /// Load of the workspaces; a workspace may have several.
+    /// Loads of the workspaces; a workspace may have several.
     pub load: Vec<Load>,
     /// Faults during the replay.
     #[serde(default)]
@@ -69,7 +69,7 @@
     True,
     /// The hint is too high or too low by a random factor of up to ten.
     Rough,
-    /// The hint is a tenth of the true cost.
+    /// The hint is about a tenth of the true cost.
     Low,
     /// The hint is one token for costs above the lowest quarter of the range, else the true cost.
     Lies,
@@ -133,17 +133,18 @@
     /// The scheduler that owns the first shard of the first data centre dies, and restarts without
     /// its state.
     Owner,
-    /// The host of that owner loses power: connections to it hang instead of being refused.
+    /// The host of that owner loses power, so that connections to it hang instead of being refused,
+    /// and restarts without its state.
     Host,
     /// The router of a host dies with its requests, and restarts without its state.
     Router,
-    /// All messages between a data centre and the others are lost.
+    /// The links between a data centre and the others are cut in both directions.
     Cut,
-    /// Messages from a data centre to the others are lost, but not those to it.
+    /// The links from a data centre to the others are cut, but not those to it.
     CutOneWay,
     /// An engine takes ten times as long for each token.
     Slow,
-    /// An engine dies with its requests, and restarts idle.
+    /// An engine dies, which fails its running requests, and restarts idle.
     Engine,
     /// An engine is marked as leaving in the configuration, and stays so.
     Leave,
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Returns the id of an engine, given by its number in the configuration.
+    /// Returns the id of an engine, given by its index in the configuration.
     fn engine_id(&self, idx: usize) -> UpstreamId {
         self.fleet.upstreams[idx].id
     }
 
-    /// Returns the host that owns the first shard of the first data centre.
+    /// Returns the index of the host that owns the first shard of the first data centre.
     fn first_owner(&self) -> usize {
         let data_centre = self.fleet.data_centre_id(&data_centre_name(0)).unwrap_or(0);
         let shard = ShardKey { service: self.fleet.services[0].id, data_centre, part: 0 };
@@ -85,6 +85,7 @@
         owner.first().map_or(0, |it| self.host_index(*it))
     }
 
+    /// Ends a host's scheduler and its sessions.
     fn kill_scheduler(&mut self, host: usize) {
         self.hosts[host].scheduler = None;
         self.break_sessions(|it| it.1 == host);
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Discrete-event simulation of a case: the real decision code of routers and schedulers runs in
+//! Discrete-event simulation of a case: the production code of routers and schedulers runs in
 //! virtual time, with simulated engines, platform and message delays.
 //!
 //! The simulation is deterministic: the same case and trace give the same metrics.
@@ -103,12 +103,11 @@
     data_centre: usize,
     scheduler: Option<Scheduler>,
     router: Option<Router>,
-    /// Lives of the scheduler and of the router.
     /// Number of starts of the scheduler.
     scheduler_generation: u64,
     /// Number of starts of the router.
     router_generation: u64,
-    /// Events held back while the scheduler is paused.
+    /// Events held back while the scheduler is paused; `None` if it isn't.
     paused_events: Option<Vec<Event>>,
     /// The host has no power: connections to it hang instead of being refused.
     is_powered_off: bool,
@@ -140,7 +139,7 @@
     n_attempts: u64,
     /// Open sessions, as indices of the router's and of the scheduler's host.
     sessions: BTreeSet<(usize, usize)>,
-    /// Pairs of data centres; messages from the first to the second are lost.
+    /// Pairs of data centres; the link from the first to the second is cut.
     cut_links: Vec<(usize, usize)>,
     /// Upstream that was marked as leaving last, and when.
     leaving: Option<(UpstreamId, Duration)>,
@@ -222,6 +221,7 @@
         }
     }
 
+    /// Starts the scheduler of a host, without state and with its periodic reads.
     fn start_scheduler(&mut self, idx: usize) {
         let entry = self.list_entry(idx);
         let host = &mut self.hosts[idx];
@@ -240,6 +240,7 @@
         self.schedule_after(Duration::ZERO, Event::TickScheduler(idx));
     }
 
+    /// Starts the router of a host, without state; it first knows the schedulers of two hosts.
     fn start_router(&mut self, idx: usize) {
         let peer = self.neighbour(idx);
         let seeds = [idx, peer].map(|it| (self.hosts[it].ip, self.hosts[it].address));
@@ -344,6 +345,7 @@
         self.submit(host, request);
     }
 
+    /// Submits a request to a host's router; it ends as refused if the router doesn't queue it.
     fn submit(&mut self, host: usize, request: usize) {
         let it = &self.arrivals[request];
         let workspace = self.fleet.workspaces.iter().find(|old| old.name == it.workspace);
@@ -369,7 +371,8 @@
         }
     }
 
-    /// Calls `f` on a host's router and carries out the resulting actions; `None` if it is down.
+    /// Calls `f` on a host's router and carries out the resulting actions; returns `None` if the
+    /// router is down.
     fn with_router<T>(&mut self, idx: usize, f: impl FnOnce(&mut Router) -> T) -> Option<T> {
         let router = self.hosts[idx].router.as_mut()?;
         let res = f(router);
@@ -427,6 +430,8 @@
         }
     }
 
+    /// Samples the slots of the services that have waiting requests, without those of engines that
+    /// are down or leaving.
     fn sample_slots(&mut self) {
         let (mut busy, mut capacity) = (0, 0);
         for service in &self.fleet.services {
@@ -469,6 +474,8 @@
         self.schedule_after(LIST_INTERVAL, Event::ListHosts(idx));
     }
 
+    /// Reports the watched engines to a host's scheduler: their health now, and their load as of
+    /// `REPORT_LAG` ago.
     fn report_health(&mut self, idx: usize) {
         let Some(scheduler) = &self.hosts[idx].scheduler else { return };
         let generation = self.hosts[idx].scheduler_generation;
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -26,7 +26,7 @@
         Duration::from_micros(if a == b { deployment.near_us } else { deployment.far_us })
     }
 
-    /// Returns whether messages from one data centre to another are lost.
+    /// Returns whether the link from one data centre to another is cut.
     pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cut_links.contains(&(from, to))
     }
@@ -82,6 +82,8 @@
         self.schedule_after(delay * 2, Event::SessionOpened(router, host));
     }
 
+    /// Sends a frame from a router to a scheduler, unless their session is closed. It arrives even
+    /// if the link is cut.
     pub(super) fn send_router_frame(
         &mut self,
         router: usize,
@@ -126,6 +128,8 @@
         }
     }
 
+    /// Sends a frame from a scheduler to a router, unless their session is closed. It arrives even
+    /// if the link is cut.
     fn send_owner_frame(&mut self, from: usize, to: HostId, frame: wire::OwnerFrame) {
         let router = self.host_index(to);
         if !self.sessions.contains(&(router, from)) {
@@ -137,14 +141,15 @@
         self.schedule_after(delay, Event::OwnerFrame(router, ip, frame));
     }
 
+    /// Calls the scheduler at an address with a peer frame; the sender gets the reply or none.
     fn send_peer_frame(&mut self, from: usize, address: SocketAddr, frame: wire::PeerFrame) {
         let to = self.host_at(address);
         self.count_message(from, to, frame.encoded_len() + CALL_OVERHEAD);
         let own_generation = self.hosts[from].scheduler_generation;
         let (generation, delay) = self.reach_scheduler(from, to);
         let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
-        // If only the way back is cut, the frame arrives, but the sender gets no reply.
         let current = self.hosts[to].scheduler_generation;
+        // If only the way back is cut, the frame arrives, but the sender gets no reply.
         if generation.is_some() || !self.is_cut(a, b) {
             let event = schedule::Event::PeerFrame(frame.clone());
             self.schedule_after(delay, Event::SchedulerInput(to, current, event));
@@ -157,6 +162,7 @@
         self.schedule_after(time, Event::SchedulerInput(from, own_generation, event));
     }
 
+    /// Probes `target`, itself or by way of the scheduler at `address`.
     fn send_probe(
         &mut self,
         from: usize,
