--- a/crates/portfield-replay/src/baseline.rs
+++ b/crates/portfield-replay/src/baseline.rs
@@ -128,7 +128,7 @@
             match event {
                 Event::Arrive(request) => self.arrive(request),
                 Event::GenerateTokens(request, generated, queue) => {
-                    self.generate_tokens(request, generated, queue)
+                    self.generate_tokens(request, generated, queue);
                 }
                 Event::ExchangeUsage => self.exchange_usage(),
                 Event::SampleSlots => self.sample_slots(),
--- a/crates/portfield-replay/src/main.rs
+++ b/crates/portfield-replay/src/main.rs
@@ -104,12 +104,12 @@
     for path in cases {
         let case = Case::read(path)?;
         let arrivals = trace::read(&path.with_extension("jsonl"))?;
-        let policies = [
+        let results = [
             ("fair", sim::replay(&case, &arrivals)),
             ("fifo", baseline::replay(Baseline::Fifo, &case, &arrivals)),
             ("local", baseline::replay(Baseline::Local, &case, &arrivals)),
         ];
-        for (policy, metrics) in &policies {
+        for (policy, metrics) in &results {
             writeln!(out, "{}", table_row(&case_name(path), policy, metrics))?;
         }
     }
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -300,7 +300,7 @@
         match event {
             Event::Arrive(request) => self.arrive(request),
             Event::SchedulerInput(host, generation, event) => {
-                self.deliver_to_scheduler(host, generation, event)
+                self.deliver_to_scheduler(host, generation, event);
             }
             Event::TickScheduler(host) => {
                 self.hosts[host].scheduler_tick = Duration::MAX;
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -106,7 +106,7 @@
         match action {
             schedule::Action::SendToRouter(host, frame) => self.send_owner_frame(from, host, frame),
             schedule::Action::SendToPeer(address, frame) => {
-                self.send_peer_frame(from, address, frame)
+                self.send_peer_frame(from, address, frame);
             }
             schedule::Action::SendProbe(address, target, request) => {
                 self.send_probe(from, address, target, request);
