--- a/crates/portfield-replay/src/engine.rs
+++ b/crates/portfield-replay/src/engine.rs
@@ -1,79 +1,81 @@
-//! Small fakes of engines: each makes a token a time for every request that it runs.
+//! Simulated engine: generates the tokens of its running requests concurrently, at a fixed rate.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Tokens between two looks at a running request.
-pub const STEP: u32 = 5;
+/// Tokens that a request generates between two events of the simulation.
+pub const TOKENS_PER_STEP: u32 = 5;
 
-/// One request on an engine.
+/// A request that runs on an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Number of the request in the trace.
+    /// Index of the request in the trace.
     pub request: usize,
-    /// Tokens made so far.
-    pub made: u32,
-    /// Tokens in all.
+    /// Number of tokens generated so far.
+    pub generated: u32,
+    /// Number of tokens to generate in total.
     pub cost: u32,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Slots it is configured with.
+    /// Number of requests that it may run at once; it doesn't enforce this itself.
     pub slots: u32,
-    /// It answers.
-    pub alive: bool,
-    /// Everything takes so many times as long.
+    /// Whether it answers requests and health checks.
+    pub is_alive: bool,
+    /// Factor on the time for a token.
     pub slowdown: u32,
-    /// Requests that run, by a number of their run.
+    /// Running requests by the id of their attempt.
     pub jobs: BTreeMap<u64, Job>,
-    /// Most requests that ever ran at once.
-    pub most: usize,
-    token: Duration,
-    reports: Vec<(Duration, u32)>,
+    /// Largest number of requests that ever ran at once.
+    pub max_running: usize,
+    token_time: Duration,
+    /// Latest changes of the number of running requests, with their times.
+    load_history: Vec<(Duration, u32)>,
 }
 
 impl Engine {
-    /// Builds an idle engine.
-    pub fn new(slots: u32, token: Duration) -> Self {
+    /// Creates an idle engine that needs `token_time` for a token.
+    pub fn new(slots: u32, token_time: Duration) -> Self {
         Self {
             slots,
-            alive: true,
+            is_alive: true,
             slowdown: 1,
             jobs: BTreeMap::new(),
-            most: 0,
-            token,
-            reports: Vec::new(),
+            max_running: 0,
+            token_time,
+            load_history: Vec::new(),
         }
     }
 
-    /// Starts a request.
-    pub fn start(&mut self, now: Duration, run: u64, job: Job) {
-        self.jobs.insert(run, job);
-        self.most = self.most.max(self.jobs.len());
-        self.note(now);
+    /// Starts a request under the given attempt id.
+    pub fn start(&mut self, now: Duration, id: u64, job: Job) {
+        self.jobs.insert(id, job);
+        self.max_running = self.max_running.max(self.jobs.len());
+        self.record_load(now);
     }
 
-    /// Ends a request.
-    pub fn end(&mut self, now: Duration, run: u64) {
-        self.jobs.remove(&run);
-        self.note(now);
+    /// Ends the request of an attempt.
+    pub fn end(&mut self, now: Duration, id: u64) {
+        self.jobs.remove(&id);
+        self.record_load(now);
     }
 
-    /// Returns the time that a number of tokens takes.
-    pub fn time(&self, tokens: u32) -> Duration {
-        self.token * self.slowdown * tokens
+    /// Returns the time to generate a number of tokens of one request.
+    pub fn generation_time(&self, tokens: u32) -> Duration {
+        self.token_time * self.slowdown * tokens
     }
 
-    /// Returns how many requests ran some time ago: reports lag.
-    pub fn report(&self, at: Duration) -> u32 {
-        let old = self.reports.iter().rev().find(|(since, _)| *since <= at);
-        old.map_or(0, |it| it.1)
+    /// Returns how many requests ran at a past time, as in a delayed load report; zero if that
+    /// isn't recorded.
+    pub fn running_at(&self, at: Duration) -> u32 {
+        let entry = self.load_history.iter().rev().find(|(since, _)| *since <= at);
+        entry.map_or(0, |it| it.1)
     }
 
-    fn note(&mut self, now: Duration) {
-        let first_kept = self.reports.len().saturating_sub(64);
-        self.reports.drain(..first_kept);
-        self.reports.push((now, self.jobs.len() as u32));
+    fn record_load(&mut self, now: Duration) {
+        let first_kept = self.load_history.len().saturating_sub(64);
+        self.load_history.drain(..first_kept);
+        self.load_history.push((now, self.jobs.len() as u32));
     }
 }
--- a/crates/portfield-replay/src/lib.rs
+++ b/crates/portfield-replay/src/lib.rs
@@ -1,10 +1,11 @@
-//! Traces, measures, and the replay of traces against the decision code in virtual time.
+//! Generates traces of requests, replays them against the routing and scheduling code in virtual
+//! time, and checks the metrics.
 
 pub mod baseline;
 pub mod case;
 pub mod engine;
 pub mod gap;
-pub mod measure;
+pub mod metrics;
+pub mod scaling;
 pub mod sim;
-pub mod slopes;
 pub mod trace;
