--- a/crates/portfield-net/src/logs.rs
+++ b/crates/portfield-net/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines, with an optional rate limit.
 
 use std::{
     collections::BTreeMap,
@@ -20,37 +20,37 @@
 
 use crate::clock;
 
-/// Lines that wait for a slow reader before more are left out; at 300 bytes each, 300 KB.
+/// Lines queued for a slow reader before further lines are omitted; 300 KB at 300 bytes each.
 const MAX_QUEUED_LINES: usize = 1024;
-/// Time for which lines are gathered before they are written together.
+/// Time for which lines are collected before they are written together.
 pub const BATCH_PERIOD: Duration = Duration::from_millis(50);
-/// Time over which a burst above the rate is let through.
+/// Size of a burst that passes the rate limit, as the time in which the rate allows as many lines.
 const BURST_TIME: Duration = Duration::from_secs(2);
-/// Time between two lines that tell what was left out.
+/// Time between two lines that report omitted lines.
 const OMITTED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends the process's logs to standard error, one JSON object a line.
+/// Writes logs to standard error, one JSON object per line.
 pub fn init() {
     install(Stderr::default().with_layout(JsonLayout::default()));
 }
 
-/// Sends the process's logs to standard output, one JSON object a line, at most `rate` a
-/// second; what is above that, or what a slow reader holds up, is left out and counted.
+/// Writes logs to standard output, one JSON object per line, at most `rate` lines per second.
 ///
-/// Nothing that logs ever waits for the reader: a thread of its own writes.
+/// Lines above the rate or behind a slow reader are omitted and counted. Logging never blocks on the
+/// reader, as a separate thread writes the lines.
 ///
 /// # Errors
 ///
-/// Where the thread cannot be started.
+/// Returns an error if the thread cannot be started.
 pub fn init_rate_limited(rate: u32) -> io::Result<()> {
     let (sender, receiver) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
     thread::Builder::new().name("logs".to_owned()).spawn(move || {
         let mut out = io::stdout().lock();
         while let Ok(mut lines) = receiver.recv() {
-            // One write for what came meanwhile: each costs a wake-up and a system call.
+            // One write for all lines of the period: each write costs a wake-up and a system call.
             thread::sleep(BATCH_PERIOD);
             receiver.try_iter().for_each(|it| lines.extend(it));
-            // Nobody is left to tell where standard output is closed.
+            // Standard output is closed, so there is nowhere to report the error.
             if out.write_all(&lines).and_then(|()| out.flush()).is_err() {
                 return;
             }
@@ -66,7 +66,7 @@
         .apply();
 }
 
-/// An appender that leaves out lines rather than wait.
+/// A log appender that omits lines rather than block.
 #[derive(Debug)]
 pub struct RateLimitedAppender {
     layout: JsonLayout,
@@ -74,17 +74,20 @@
     limit: Mutex<RateLimit>,
 }
 
+/// Token bucket with one token per line, and the lines omitted since the last report.
 #[derive(Debug)]
 struct RateLimit {
+    /// Lines per second.
     rate: f64,
     tokens: f64,
     refilled_at: Duration,
+    /// Number of omitted lines by message.
     omitted: BTreeMap<String, u64>,
     reported_at: Duration,
 }
 
 impl RateLimitedAppender {
-    /// Builds an appender that hands at most `rate` lines a second to a channel.
+    /// Creates an appender that sends at most `rate` lines per second to a channel.
     pub fn new(rate: u32, sender: SyncSender<Vec<u8>>) -> Self {
         let rate = f64::from(rate);
         let limit = RateLimit {
--- a/crates/portfield-net/src/metrics.rs
+++ b/crates/portfield-net/src/metrics.rs
@@ -4,14 +4,15 @@
 
 use cadence::{Gauged, NopMetricSink, StatsdClient, Timed, UdpMetricSink};
 
-/// Sends a process's metrics; without an address it sends nothing.
+/// Sends the metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
 }
 
 impl Metrics {
-    /// Builds the sender; `prefix` is the process's name.
+    /// Creates a sender to the given address, or one that drops all metrics without an address or
+    /// if no socket can be opened. `prefix` is the name of the process.
     pub fn new(prefix: &str, address: Option<SocketAddr>) -> Self {
         let client = address
             .and_then(|it| {
@@ -29,7 +30,7 @@
         let _ = self.client.gauge(key, value);
     }
 
-    /// Records a time in milliseconds.
+    /// Records a duration in milliseconds.
     pub fn time(&self, key: &str, millis: u64) {
         let _ = self.client.time(key, millis);
     }
--- a/crates/portfield-net/src/rpc.rs
+++ b/crates/portfield-net/src/rpc.rs
@@ -1,4 +1,4 @@
-//! gRPC between portfield's processes over `async-io`, without a tokio runtime.
+//! gRPC between portfield's processes, on `async-io` instead of a tokio runtime.
 
 use std::{
     convert::Infallible,
@@ -29,19 +29,19 @@
 
 /// Time between two pings of an idle connection.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
-/// Time in which a ping is answered.
+/// Time after which a connection with an unanswered ping is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
 static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
 static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the bytes of control traffic that this process sent and received so far,
-/// framing included.
+/// Returns the bytes of gRPC traffic that this process has sent and received, including HTTP/2
+/// framing.
 pub fn control_traffic() -> (u64, u64) {
     (SENT_BYTES.load(Ordering::Relaxed), RECEIVED_BYTES.load(Ordering::Relaxed))
 }
 
-/// One connection to a scheduler.
+/// HTTP/2 connection to a scheduler or a peer host.
 #[derive(Debug, Clone)]
 pub struct Channel {
     sender: SendRequest<Body>,
@@ -49,11 +49,11 @@
 }
 
 impl Channel {
-    /// Starts HTTP/2 on an open connection.
+    /// Performs the HTTP/2 handshake on an open connection and drives it in a task.
     ///
     /// # Errors
     ///
-    /// Whatever the socket or the handshake says.
+    /// Returns the error of the socket or the handshake.
     pub async fn open(rt: &Runtime, stream: TcpStream) -> io::Result<Self> {
         let authority = stream.peer_addr()?.to_string().parse().map_err(io::Error::other)?;
         let (sender, connection) = client::Builder::new(rt.clone())
@@ -69,23 +69,23 @@
         Ok(Self { sender, authority })
     }
 
-    /// Returns a client of the scheduler at the other end.
+    /// Returns a client for the `Scheduler` service of the remote process.
     pub fn scheduler(&self) -> SchedulerClient<Self> {
         SchedulerClient::new(self.clone()).max_decoding_message_size(MAX_MESSAGE)
     }
 
-    /// Returns a client of the host at the other end.
+    /// Returns a client for the `Peers` service of the remote host.
     pub fn peers(&self) -> PeersClient<Self> {
         PeersClient::new(self.clone()).max_decoding_message_size(MAX_MESSAGE)
     }
 
-    /// Returns whether the connection has ended.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 }
 
-/// Largest message: a whole fleet configuration.
+/// Largest message in bytes, enough for a complete fleet configuration.
 const MAX_MESSAGE: usize = 16 << 20;
 
 impl Service<http::Request<Body>> for Channel {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Gives hyper a tonic service.
+/// Adapts a tonic service to hyper's `Service` trait.
 struct TonicAdapter<T> {
     service: T,
 }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Gives hyper the timers of `async-io`.
+/// Timers of `async-io` for hyper.
 #[derive(Debug, Clone, Copy)]
 pub struct HyperTimer;
 
@@ -180,7 +180,7 @@
 
 impl hyper::rt::Sleep for Sleep {}
 
-/// A stream whose bytes are counted as control traffic.
+/// A TCP stream that adds its bytes to [`control_traffic`].
 struct CountingStream {
     stream: TcpStream,
 }
--- a/crates/portfield-net/src/rt.rs
+++ b/crates/portfield-net/src/rt.rs
@@ -1,21 +1,21 @@
-//! The executor that a process runs on.
+//! The async executor of a process.
 
 use std::{sync::Arc, thread, time::Duration};
 
 use async_executor::{Executor, Task};
 use futures_lite::future;
 
-/// A time that does not pass before it is asked for.
+/// Duration of a timer that does not fire while it is polled.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
 
-/// A handle on the process's executor.
+/// A handle to the executor of a process.
 #[derive(Debug, Clone, Default)]
 pub struct Runtime {
     executor: Arc<Executor<'static>>,
 }
 
 impl Runtime {
-    /// Runs a future to its end, with `n_threads` more threads for what it spawns.
+    /// Runs a future to completion on this thread, with `n_threads` more threads for spawned tasks.
     pub fn block_on<T>(&self, n_threads: usize, f: impl Future<Output = T>) -> T {
         init_reactors();
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -24,19 +24,19 @@
                 let (executor, stopped) = (self.executor.clone(), stopped.clone());
                 scope.spawn(move || future::block_on(executor.run(stopped.recv())));
             }
-            // The main thread waits for I/O itself: no thread switch for each event.
+            // The main thread polls the reactor itself, which saves a thread switch per event.
             let res = async_io::block_on(self.executor.run(f));
             drop(stop);
             res
         })
     }
 
-    /// Starts a task that runs on its own.
+    /// Spawns a detached task.
     pub fn spawn(&self, f: impl Future<Output = ()> + Send + 'static) {
         self.executor.spawn(f).detach();
     }
 
-    /// Starts a task that ends when the handle is dropped.
+    /// Spawns a task that is cancelled when its handle is dropped.
     pub fn spawn_cancellable<T: Send + 'static>(
         &self,
         f: impl Future<Output = T> + Send + 'static,
@@ -45,10 +45,10 @@
     }
 }
 
-/// Opens the reactors: ours, and the older one that `async-h1` brings along.
+/// Initializes the reactors of `async-io` 2 and of `async-io` 1, which `async-h1` uses.
 ///
-/// Each opens with the first timer that is waited for, and ends the process where descriptors have
-/// run out by then: at the start there are some.
+/// A reactor is created when its first timer is polled, and ends the process if no file descriptor
+/// is left. At the start of the process there are enough.
 fn init_reactors() {
     let current = future::poll_once(async_io::Timer::after(FAR_FUTURE));
     let legacy = future::poll_once(async_io_1::Timer::after(FAR_FUTURE));
--- a/crates/portfield-net/tests/fd_exhaustion.rs
+++ b/crates/portfield-net/tests/fd_exhaustion.rs
@@ -5,8 +5,8 @@
 
 use portfield_net::rt::Runtime;
 
-/// Guards against a panic of the second reactor, that of `async-h1`: it was opened by the first wait
-/// on a connection of the readiness port and panicked if no descriptor was left by then.
+/// Guards against the end of a process whose descriptors ran out before the reactor of `async-h1` was
+/// created, which happened with the first wait on a connection of the readiness port.
 #[test]
 fn timers_work_after_descriptors_run_out() {
     Runtime::default().block_on(0, async {
--- a/crates/portfield-net/tests/logs.rs
+++ b/crates/portfield-net/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs never wait for their reader, and tell what they left out.
+//! Rate limit of the logs: logging does not block, and omitted lines are reported.
 
 use std::{
     sync::mpsc::sync_channel,
@@ -30,8 +30,8 @@
     let appender = RateLimitedAppender::new(10, sender);
     append(&appender, 5_000);
     let n_burst = receiver.try_iter().count();
-    assert!((10..=60).contains(&n_burst), "{n_burst} lines of a burst of 5,000 at 10 a second");
-    // The count follows with a later line, at most one a second.
+    assert!((10..=60).contains(&n_burst), "{n_burst} lines of a burst of 5,000 at 10 per second");
+    // The counts are reported with a later line, at most once per second.
     let deadline = Instant::now() + Duration::from_secs(10);
     let line = loop {
         append(&appender, 1);
@@ -40,7 +40,7 @@
         if let Some(it) = lines.into_iter().find(|it| it.contains("lines left out")) {
             break it;
         }
-        assert!(Instant::now() < deadline, "nothing told what was left out");
+        assert!(Instant::now() < deadline, "the omitted lines were not reported");
         std::thread::sleep(Duration::from_millis(20));
     };
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
