--- a/crates/portfield-net/src/socket.rs
+++ b/crates/portfield-net/src/socket.rs
@@ -18,7 +18,7 @@
 thread_local! {
     /// Where bytes are read to before hyper takes them: shared, so that an idle connection
     /// holds no memory.
-    static SCRATCH: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_SIZE].into());
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_SIZE].into());
 }
 
 /// A TCP connection for hyper.
@@ -47,13 +47,13 @@
     stream: Arc<Async<TcpStream>>,
     /// The last read took all there was: nothing more until the reactor says so.
     is_drained: bool,
-    guard: Option<CallerCheck>,
+    caller_check: Option<CallerCheck>,
 }
 
 impl Socket {
     /// Builds the socket of a connection whose requests are each looked at once more when they are written.
-    pub fn with_caller_check(stream: Async<TcpStream>, guard: CallerCheck) -> Self {
-        Self { guard: Some(guard), ..Arc::new(stream).into() }
+    pub fn with_caller_check(stream: Async<TcpStream>, caller_check: CallerCheck) -> Self {
+        Self { caller_check: Some(caller_check), ..Arc::new(stream).into() }
     }
 }
 
@@ -68,8 +68,8 @@
 /// ```
 /// use portfield_net::socket::CallerCheck;
 ///
-/// let guard = CallerCheck::default();
-/// assert!(!guard.has_aborted(), "nothing was to be written");
+/// let caller_check = CallerCheck::default();
+/// assert!(!caller_check.has_aborted(), "nothing was to be written");
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct CallerCheck {
@@ -96,7 +96,7 @@
     }
 
     /// Looks for the caller before the first bytes of its request.
-    fn check(&self) -> io::Result<()> {
+    fn check_caller(&self) -> io::Result<()> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.caller.take().is_some_and(|it| is_closed_by_peer(&it)) {
             state.has_aborted = true;
@@ -108,7 +108,7 @@
 
 impl From<Arc<Async<TcpStream>>> for Socket {
     fn from(stream: Arc<Async<TcpStream>>) -> Self {
-        Self { stream, is_drained: false, guard: None }
+        Self { stream, is_drained: false, caller_check: None }
     }
 }
 
@@ -155,21 +155,21 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let n_wanted = buf.remaining().min(READ_SIZE);
+        let max_len = buf.remaining().min(READ_SIZE);
         loop {
             if self.is_drained {
                 ready!(self.stream.poll_readable(cx))?;
                 self.is_drained = false;
             }
-            let read = SCRATCH.with_borrow_mut(|scratch| {
-                let n = self.stream.get_ref().read(&mut scratch[..n_wanted])?;
-                buf.put_slice(&scratch[..n]);
+            let res = READ_BUFFER.with_borrow_mut(|buffer| {
+                let n = self.stream.get_ref().read(&mut buffer[..max_len])?;
+                buf.put_slice(&buffer[..n]);
                 Ok::<_, io::Error>(n)
             });
-            match read {
+            match res {
                 Ok(n) => {
                     // The end of the stream is told again with each read, without the reactor.
-                    self.is_drained = 0 < n && n < n_wanted;
+                    self.is_drained = 0 < n && n < max_len;
                     return Poll::Ready(Ok(()));
                 }
                 Err(err) if err.kind() == io::ErrorKind::WouldBlock => self.is_drained = true,
@@ -186,8 +186,8 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if let Some(it) = &self.guard {
-            it.check()?;
+        if let Some(it) = &self.caller_check {
+            it.check_caller()?;
         }
         loop {
             match self.stream.get_ref().write(buf) {
