--- a/crates/portfield-net/src/socket.rs
+++ b/crates/portfield-net/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection as hyper wants it, with few system calls.
+//! TCP connections for hyper that need few system calls.
 
 use std::{
     cell::RefCell,
@@ -12,20 +12,21 @@
 use async_io::Async;
 use hyper::rt::ReadBufCursor;
 
-/// Bytes read with one system call, the size that hyper reads with in the end; an event has 100.
+/// Bytes read with one system call, the size up to which hyper grows its reads. An event has about
+/// 100 bytes.
 const READ_SIZE: usize = 16 << 10;
 
 thread_local! {
-    /// Where bytes are read to before hyper takes them: shared, so that an idle connection
-    /// holds no memory.
+    /// Buffer from which bytes are copied to hyper. Shared by all connections of a thread, so that
+    /// an idle connection holds no memory.
     static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_SIZE].into());
 }
 
 /// A TCP connection for hyper.
 ///
-/// hyper polls a connection whenever anything goes on, also to learn of its end. A socket that
-/// is asked each time answers three times in four that it has nothing; this one remembers
-/// that it was drained and waits for the reactor's word.
+/// hyper polls a connection on every event, also to detect that it was closed, and three in four
+/// reads would find no data. So this type remembers that the socket was drained and does not read
+/// again before the reactor reports it readable.
 ///
 /// # Examples
 ///
@@ -45,23 +46,23 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: Arc<Async<TcpStream>>,
-    /// The last read took all there was: nothing more until the reactor says so.
+    /// The last read emptied the receive buffer; wait for the reactor before the next.
     is_drained: bool,
     caller_check: Option<CallerCheck>,
 }
 
 impl Socket {
-    /// Builds the socket of a connection whose requests are each looked at once more when they are written.
+    /// Creates a socket that checks before each request is written whether its caller has left.
     pub fn with_caller_check(stream: Async<TcpStream>, caller_check: CallerCheck) -> Self {
         Self { caller_check: Some(caller_check), ..Arc::new(stream).into() }
     }
 }
 
-/// Stops a request whose caller has left at the moment at which it would be written.
+/// Aborts the write of a request whose caller has left.
 ///
-/// Between handing a request to its connection and the write lies a turn of all tasks: over a second at a host that is
-/// short of processor time. Of the requests of one such host 7 to 51 a day reached their upstreams over half a second
-/// after their callers had left. The look is one system call a request.
+/// Between handing a request to its connection and the write, all other tasks may run: over a second at a host that is
+/// short of processor time. At one such host, 7 to 51 requests per day reached their upstreams over half a second after
+/// their callers had left. The check costs one system call per request.
 ///
 /// # Examples
 ///
@@ -69,7 +70,7 @@
 /// use portfield_net::socket::CallerCheck;
 ///
 /// let caller_check = CallerCheck::default();
-/// assert!(!caller_check.has_aborted(), "nothing was to be written");
+/// assert!(!caller_check.has_aborted(), "no request was written yet");
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct CallerCheck {
@@ -78,24 +79,24 @@
 
 #[derive(Debug, Default)]
 struct CallerCheckState {
-    /// The connection of the caller whose request is to be written.
+    /// Connection of the caller whose request is written next; `None` once it was checked.
     caller: Option<Arc<Async<TcpStream>>>,
     has_aborted: bool,
 }
 
 impl CallerCheck {
-    /// Sets whose request is to be written next.
+    /// Sets the connection of the caller whose request is written next.
     pub fn set_caller(&self, caller: Arc<Async<TcpStream>>) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.caller = Some(caller);
     }
 
-    /// Returns whether a request was stopped; nothing of it was written.
+    /// Returns whether a request was aborted. No part of it was written.
     pub fn has_aborted(&self) -> bool {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).has_aborted
     }
 
-    /// Looks for the caller before the first bytes of its request.
+    /// Checks, before the first bytes of a request are written, that its caller is still connected.
     fn check_caller(&self) -> io::Result<()> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.caller.take().is_some_and(|it| is_closed_by_peer(&it)) {
@@ -124,7 +125,8 @@
     }
 }
 
-/// Returns whether the other end has closed a connection of which all that came was read.
+/// Returns whether the peer has closed the connection. Only reliable once all received data was
+/// read.
 ///
 /// # Examples
 ///
@@ -168,7 +170,8 @@
             });
             match res {
                 Ok(n) => {
-                    // The end of the stream is told again with each read, without the reactor.
+                    // At the end of the stream each read returns 0 at once; the reactor need not
+                    // report it again.
                     self.is_drained = 0 < n && n < max_len;
                     return Poll::Ready(Ok(()));
                 }
@@ -201,13 +204,13 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Nothing is held back here.
+        // Writes are not buffered.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(match self.stream.get_ref().shutdown(Shutdown::Write) {
-            // The other end went first.
+            // The peer has closed the connection already.
             Err(err) if err.kind() == io::ErrorKind::NotConnected => Ok(()),
             res => res,
         })
--- a/crates/portfield-net/tests/socket.rs
+++ b/crates/portfield-net/tests/socket.rs
@@ -1,4 +1,4 @@
-//! What a connection writes, and what it does not.
+//! Requests are written only while their callers wait.
 
 use std::{
     io::{ErrorKind, Read},
@@ -14,14 +14,14 @@
 use hyper::client::conn::http1;
 use portfield_net::socket::{self, CallerCheck, Socket};
 
-/// Returns both ends of a connection.
+/// Returns the client's and the server's end of a connection.
 fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (client, listener.accept().unwrap().0)
 }
 
-/// Hands a request to its connection, whose turn comes only after `meanwhile`; returns what its upstream got.
+/// Sends a request, runs `meanwhile` before the connection is polled and returns the bytes that the upstream received.
 fn bytes_written(meanwhile: impl FnOnce(TcpStream, &Async<TcpStream>)) -> Vec<u8> {
     let (caller, host) = pair();
     let host = Arc::new(Async::new(host).unwrap());
@@ -33,7 +33,7 @@
     caller_check.set_caller(host.clone());
     let request = hyper::Request::new(Full::new(Bytes::from_static(b"body")));
     let mut response = Box::pin(sender.try_send_request(request));
-    assert!(block_on(poll_once(&mut response)).is_none(), "it is on its way");
+    assert!(block_on(poll_once(&mut response)).is_none(), "the request is not written yet");
     meanwhile(caller, &host);
     let _ = block_on(poll_once(&mut driver));
     let has_failed = block_on(poll_once(&mut response)).is_some_and(|it| it.is_err());
@@ -49,8 +49,9 @@
     res
 }
 
-/// A host whose processor was taken away between placing a request and writing it: 7 to 51 requests of one host's day
-/// came to their upstreams over half a second after their callers had left.
+/// Guards against requests that run for nobody: a host that got no processor time between placing and writing a request
+/// wrote it after its caller had left. At one host, 7 to 51 requests per day reached their upstreams over half a second
+/// too late.
 #[test]
 fn request_is_not_written_after_its_caller_left() {
     let bytes = bytes_written(|caller, host| {
