--- a/crates/portfield-net/src/fleet_store.rs
+++ b/crates/portfield-net/src/fleet_store.rs
@@ -13,12 +13,12 @@
 };
 
 /// Row that names the configuration in force.
-const CURRENT: &str = "fleet/current";
+const CURRENT_KEY: &str = "fleet/current";
 /// Attempts to learn what became of a commit whose answer was lost.
 const MAX_READ_BACKS: u32 = 5;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Current {
+struct CurrentRevision {
     revision: u64,
     object: String,
 }
@@ -28,10 +28,13 @@
 /// # Errors
 ///
 /// Where the platform does not answer or holds something else.
-pub async fn read_fleet(platform: &PlatformClient, above: u64) -> Result<Option<Fleet>, Error> {
-    let row = platform.read_row(CURRENT).await?;
-    let Some(current) = parse(&row) else { return Ok(None) };
-    if current.revision <= above {
+pub async fn read_fleet(
+    platform: &PlatformClient,
+    known_revision: u64,
+) -> Result<Option<Fleet>, Error> {
+    let row = platform.read_row(CURRENT_KEY).await?;
+    let Some(current) = parse_row(&row) else { return Ok(None) };
+    if current.revision <= known_revision {
         return Ok(None);
     }
     let text = platform.read_object(&current.object).await?;
@@ -78,14 +81,14 @@
 ///
 /// Where the platform does not answer before anything was committed.
 pub async fn confirm_plan(platform: &PlatformClient, plan: &Plan) -> Result<ConfirmOutcome, Error> {
-    let row = platform.read_row(CURRENT).await?;
-    let in_force = parse(&row).map_or(0, |it| it.revision);
+    let row = platform.read_row(CURRENT_KEY).await?;
+    let active_revision = parse_row(&row).map_or(0, |it| it.revision);
     let object = format!("fleet-{}-{}", plan.fleet.revision, plan.id());
-    let current = Current { revision: plan.fleet.revision, object };
-    if parse(&row).as_ref() == Some(&current) {
+    let current = CurrentRevision { revision: plan.fleet.revision, object };
+    if parse_row(&row).as_ref() == Some(&current) {
         return Ok(ConfirmOutcome::InForce);
     }
-    if in_force != plan.base {
+    if active_revision != plan.base {
         return Ok(ConfirmOutcome::Conflict);
     }
     let body =
@@ -94,8 +97,8 @@
     let value =
         serde_json::to_string(&current).map_err(|err| Error::InvalidBody(err.to_string()))?;
     let transaction = Transaction {
-        checks: vec![Check { key: CURRENT.to_owned(), version: row.version }],
-        puts: vec![Put { key: CURRENT.to_owned(), value }],
+        checks: vec![Check { key: CURRENT_KEY.to_owned(), version: row.version }],
+        puts: vec![Put { key: CURRENT_KEY.to_owned(), value }],
     };
     match platform.commit(&transaction).await {
         Ok(CommitOutcome::Applied) => Ok(ConfirmOutcome::InForce),
@@ -106,20 +109,20 @@
     }
 }
 
-async fn read_back(platform: &PlatformClient, wanted: &Current) -> ConfirmOutcome {
+async fn read_back(platform: &PlatformClient, expected: &CurrentRevision) -> ConfirmOutcome {
     for _ in 0..MAX_READ_BACKS {
-        let Ok(row) = platform.read_row(CURRENT).await else { continue };
-        let found = parse(&row);
-        if found.as_ref() == Some(wanted) {
+        let Ok(row) = platform.read_row(CURRENT_KEY).await else { continue };
+        let found = parse_row(&row);
+        if found.as_ref() == Some(expected) {
             return ConfirmOutcome::InForce;
         }
-        if found.is_some_and(|it| wanted.revision <= it.revision) {
+        if found.is_some_and(|it| expected.revision <= it.revision) {
             return ConfirmOutcome::Conflict;
         }
     }
     ConfirmOutcome::Unknown
 }
 
-fn parse(row: &Row) -> Option<Current> {
+fn parse_row(row: &Row) -> Option<CurrentRevision> {
     serde_json::from_str(&row.value).ok()
 }
