--- a/crates/portfield-net/src/fleet_store.rs
+++ b/crates/portfield-net/src/fleet_store.rs
@@ -1,8 +1,8 @@
-//! The fleet configuration in the platform's stores.
+//! Fleet configurations and plans in the platform's table and object store.
 //!
-//! A row names the revision in force and the object that holds it. Objects are never
-//! changed once written, so a process that reads the row and then the object gets one
-//! configuration, whole. A revision is put in force by compare-and-set on the row.
+//! A row names the revision in force and the object that holds it. Objects are immutable, so reading
+//! the row and then the object yields a consistent configuration. A compare-and-set on the row puts a
+//! revision in force.
 
 use portfield::fleet::{Fleet, Plan};
 use serde::{Deserialize, Serialize};
@@ -12,22 +12,23 @@
     platform::{Check, CommitOutcome, PlatformClient, Put, Row, Transaction},
 };
 
-/// Row that names the configuration in force.
+/// Key of the row that names the configuration in force.
 const CURRENT_KEY: &str = "fleet/current";
-/// Attempts to learn what became of a commit whose answer was lost.
+/// Attempts to read the outcome of a commit whose response was lost.
 const MAX_READ_BACKS: u32 = 5;
 
+/// Value of the row: the revision in force and the name of the object that holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct CurrentRevision {
     revision: u64,
     object: String,
 }
 
-/// Reads the configuration in force if its revision is above the one named.
+/// Reads the configuration in force, or `None` if its revision is not above `known_revision`.
 ///
 /// # Errors
 ///
-/// Where the platform does not answer or holds something else.
+/// Returns an error if the platform does not respond or the object is not a configuration.
 pub async fn read_fleet(
     platform: &PlatformClient,
     known_revision: u64,
@@ -41,45 +42,45 @@
     serde_json::from_str(&text).map(Some).map_err(|err| Error::InvalidBody(err.to_string()))
 }
 
-/// Keeps a plan until it is confirmed.
+/// Stores a plan under its id, for [`read_plan`].
 ///
 /// # Errors
 ///
-/// Where the platform does not answer.
+/// Returns an error if the platform does not respond.
 pub async fn write_plan(platform: &PlatformClient, plan: &Plan) -> Result<(), Error> {
     let body = serde_json::to_vec(plan).map_err(|err| Error::InvalidBody(err.to_string()))?;
     platform.put_object(&format!("plan-{}", plan.id()), body).await
 }
 
-/// Reads a plan.
+/// Reads the plan with the given id.
 ///
 /// # Errors
 ///
-/// Where the platform does not answer or has no such plan.
+/// Returns an error if the platform does not respond or has no such plan.
 pub async fn read_plan(platform: &PlatformClient, id: &str) -> Result<Plan, Error> {
     let text = platform.read_object(&format!("plan-{id}")).await?;
     serde_json::from_str(&text).map_err(|err| Error::InvalidBody(err.to_string()))
 }
 
-/// What became of a confirmation.
+/// Outcome of [`confirm_plan`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfirmOutcome {
     /// The plan is in force.
     InForce,
-    /// Another revision came first.
+    /// A revision other than the plan's base is in force.
     Conflict,
-    /// The platform did not say; ask again later.
+    /// The platform's response was lost, and the plan may be in force; confirm it again.
     Unknown,
 }
 
-/// Puts a plan in force, if its base still is.
+/// Puts a plan in force if the revision that it is based on still is in force.
 ///
-/// Where the answer is lost, the row is read back: it names the plan's own object if the
-/// commit took effect.
+/// If the response to the commit is lost, the row is read again: it names the plan's object if the
+/// commit succeeded.
 ///
 /// # Errors
 ///
-/// Where the platform does not answer before anything was committed.
+/// Returns an error if the platform does not respond before the commit.
 pub async fn confirm_plan(platform: &PlatformClient, plan: &Plan) -> Result<ConfirmOutcome, Error> {
     let row = platform.read_row(CURRENT_KEY).await?;
     let active_revision = parse_row(&row).map_or(0, |it| it.revision);
@@ -109,6 +110,7 @@
     }
 }
 
+/// Reads the outcome of a commit of `expected` from the row.
 async fn read_back(platform: &PlatformClient, expected: &CurrentRevision) -> ConfirmOutcome {
     for _ in 0..MAX_READ_BACKS {
         let Ok(row) = platform.read_row(CURRENT_KEY).await else { continue };
