--- a/crates/portfield-burn/src/html.rs
+++ b/crates/portfield-burn/src/html.rs
@@ -16,7 +16,7 @@
 .hot{color:#b3261e;font-weight:600}.warm{color:#8a5a00;font-weight:600}.note{color:#b3261e}";
 
 /// Writes the page.
-pub(crate) fn page(report: &Report) -> String {
+pub(crate) fn render(report: &Report) -> String {
     let mut res = format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Burn report</title>\
          <style>{STYLE}</style><h1>How fast error budgets burn</h1>\
@@ -24,7 +24,7 @@
          objective. Slow: tokens further apart than the objective. {} routers answered.</p>",
         report.n_routers
     );
-    for it in &report.silent {
+    for it in &report.missing_hosts {
         let text = escape(it);
         let _ = write!(
             res,
@@ -33,22 +33,22 @@
     }
     res += "<table><tr><th class=l>workspace<th class=l>service<th>requests<th>failed<th>late\
             <th>slow<th>5 min<th>30 min<th>1 h<th>6 h<th class=l>alert</tr>";
-    report.rows.iter().for_each(|it| row(&mut res, it));
+    report.rows.iter().for_each(|it| write_row(&mut res, it));
     res += "</table><table><tr><th class=l>first byte, ms<th>p50<th>p95<th>p99</tr>";
-    for it in &report.firsts {
-        let (name, a, b, c) = (escape(&it.service), it.p50_ms, it.p95_ms, it.p99_ms);
-        let _ = write!(res, "<tr><td class=l>{name}<td>{a}<td>{b}<td>{c}</tr>");
+    for it in &report.first_bytes {
+        let (name, p50, p95, p99) = (escape(&it.service), it.p50_ms, it.p95_ms, it.p99_ms);
+        let _ = write!(res, "<tr><td class=l>{name}<td>{p50}<td>{p95}<td>{p99}</tr>");
     }
     res + "</table></html>\n"
 }
 
-fn row(res: &mut String, it: &Row) {
-    let all = it.tallies[it.tallies.len() - 1];
+fn write_row(res: &mut String, it: &Row) {
+    let longest = it.tallies[it.tallies.len() - 1];
     let (workspace, service) = (escape(&it.workspace), escape(&it.service));
     let _ = write!(
         res,
         "<tr><td class=l>{workspace}<td class=l>{service}<td>{}<td>{}<td>{}<td>{}",
-        all.total, all.failed, all.late, all.slow
+        longest.total, longest.failed, longest.late, longest.slow
     );
     for burn in it.burns {
         let class = match burn {
--- a/crates/portfield-burn/src/main.rs
+++ b/crates/portfield-burn/src/main.rs
@@ -8,7 +8,7 @@
 use clap::Parser;
 use portfield_net::{http1::Client, platform::PlatformClient, rt::Runtime};
 
-use crate::report::{Answer, Report};
+use crate::report::{Report, RouterReport};
 
 /// Time in which the platform and a router answer.
 const TIMEOUT: Duration = Duration::from_secs(3);
@@ -31,9 +31,9 @@
 fn main() -> eyre::Result<()> {
     let args = Args::parse();
     let rt = Runtime::default();
-    let report = rt.block_on(0, read(args.platform))?;
+    let report = rt.block_on(0, collect(args.platform))?;
     if let Some(file) = &args.html {
-        fs::write(file, html::page(&report))?;
+        fs::write(file, html::render(&report))?;
     }
     let text =
         if args.json { serde_json::to_string_pretty(&report)? + "\n" } else { report.table() };
@@ -41,14 +41,14 @@
     Ok(())
 }
 
-async fn read(platform: SocketAddr) -> eyre::Result<Report> {
+async fn collect(platform: SocketAddr) -> eyre::Result<Report> {
     let hosts = PlatformClient::new(platform, TIMEOUT).read_hosts().await?;
     let mut report = Report::default();
     for host in hosts {
-        let target = Client { timeout: TIMEOUT, ..Client::direct(host.router_admin) };
-        match target.get::<Answer>("/burn").await {
-            Ok(answer) => report.add(answer),
-            Err(_) => report.silent.push(host.router.ip().to_string()),
+        let client = Client { timeout: TIMEOUT, ..Client::direct(host.router_admin) };
+        match client.get::<RouterReport>("/burn").await {
+            Ok(it) => report.add(it),
+            Err(_) => report.missing_hosts.push(host.router.ip().to_string()),
         }
     }
     Ok(report.finish())
--- a/crates/portfield-burn/src/report.rs
+++ b/crates/portfield-burn/src/report.rs
@@ -8,14 +8,15 @@
 
 /// What one router tells.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Answer {
-    rows: Vec<AnswerRow>,
+pub(crate) struct RouterReport {
+    rows: Vec<RouterRow>,
     /// Times to the first byte by service: milliseconds and how often.
-    firsts: BTreeMap<String, Vec<(u64, u64)>>,
+    #[serde(rename = "firsts")]
+    first_bytes: BTreeMap<String, Vec<(u64, u64)>>,
 }
 
 #[derive(Debug, Deserialize)]
-struct AnswerRow {
+struct RouterRow {
     workspace: String,
     service: String,
     tallies: [Tally; WINDOW_MINUTES.len()],
@@ -33,7 +34,7 @@
 
 /// Times to the first byte of one service.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct First {
+pub(crate) struct FirstByteTimes {
     pub service: String,
     pub p50_ms: u64,
     pub p95_ms: u64,
@@ -44,9 +45,11 @@
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Report {
     pub rows: Vec<Row>,
-    pub firsts: Vec<First>,
+    #[serde(rename = "firsts")]
+    pub first_bytes: Vec<FirstByteTimes>,
     /// Hosts whose router did not answer: their requests are missing.
-    pub silent: Vec<String>,
+    #[serde(rename = "silent")]
+    pub missing_hosts: Vec<String>,
     pub n_routers: usize,
     #[serde(skip)]
     merged: BTreeMap<(String, String), [Tally; WINDOW_MINUTES.len()]>,
@@ -56,13 +59,13 @@
 
 impl Report {
     /// Adds what a router told.
-    pub(crate) fn add(&mut self, answer: Answer) {
+    pub(crate) fn add(&mut self, router_report: RouterReport) {
         self.n_routers += 1;
-        for row in answer.rows {
-            let all = self.merged.entry((row.workspace, row.service)).or_default();
-            all.iter_mut().zip(&row.tallies).for_each(|(all, it)| all.add(it));
+        for row in router_report.rows {
+            let merged = self.merged.entry((row.workspace, row.service)).or_default();
+            merged.iter_mut().zip(&row.tallies).for_each(|(merged, it)| merged.add(it));
         }
-        for (service, counts) in answer.firsts {
+        for (service, counts) in router_report.first_bytes {
             let histogram = self.histograms.entry(service).or_insert_with(new_histogram);
             counts.iter().for_each(|(value, n)| histogram.saturating_record_n(*value, *n));
         }
@@ -75,11 +78,11 @@
             let alert = burn_alert(&tallies);
             self.rows.push(Row { workspace, service, tallies, burns, alert });
         }
-        let worst = |it: &Row| it.burns.iter().copied().fold(0.0, f64::max);
-        self.rows.sort_by(|a, b| worst(b).total_cmp(&worst(a)));
+        let max_burn = |it: &Row| it.burns.iter().copied().fold(0.0, f64::max);
+        self.rows.sort_by(|a, b| max_burn(b).total_cmp(&max_burn(a)));
         for (service, it) in std::mem::take(&mut self.histograms) {
             let [p50_ms, p95_ms, p99_ms] = [0.5, 0.95, 0.99].map(|q| it.value_at_quantile(q));
-            self.firsts.push(First { service, p50_ms, p95_ms, p99_ms });
+            self.first_bytes.push(FirstByteTimes { service, p50_ms, p95_ms, p99_ms });
         }
         self
     }
@@ -87,7 +90,7 @@
     /// Writes the table.
     pub(crate) fn table(&self) -> String {
         let mut res = String::new();
-        for it in &self.silent {
+        for it in &self.missing_hosts {
             let _ = writeln!(res, "! the router at {it} did not answer; its requests are missing");
         }
         let _ = writeln!(
@@ -111,8 +114,8 @@
             "6 h"
         );
         for it in &self.rows {
-            let all = it.tallies[WINDOW_MINUTES.len() - 1];
-            let [a, b, c, d] = it.burns;
+            let longest = it.tallies[WINDOW_MINUTES.len() - 1];
+            let [m5, m30, h1, h6] = it.burns;
             let alert = match it.alert {
                 Alert::None => "",
                 Alert::Slow => "slow",
@@ -120,12 +123,12 @@
             };
             let _ = writeln!(
                 res,
-                "{alert:5} {:22} {:12} {:>9} {:>7} {:>6} {:>6} {a:>8.2} {b:>8.2} {c:>8.2} {d:>8.2}",
-                it.workspace, it.service, all.total, all.failed, all.late, all.slow
+                "{alert:5} {:22} {:12} {:>9} {:>7} {:>6} {:>6} {m5:>8.2} {m30:>8.2} {h1:>8.2} {h6:>8.2}",
+                it.workspace, it.service, longest.total, longest.failed, longest.late, longest.slow
             );
         }
         let _ = writeln!(res, "\nfirst byte, ms       p50      p95      p99");
-        for it in &self.firsts {
+        for it in &self.first_bytes {
             let _ = writeln!(
                 res,
                 "{:14} {:>9} {:>8} {:>8}",
