--- a/crates/portfield-burn/src/html.rs
+++ b/crates/portfield-burn/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as a page that needs nothing else.
+//! The report as a self-contained HTML page.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
 .slow{background:#f4c95d}.tag{border-radius:.3rem;padding:.05rem .5rem;font-size:.85em}\
 .hot{color:#b3261e;font-weight:600}.warm{color:#8a5a00;font-weight:600}.note{color:#b3261e}";
 
-/// Writes the page.
+/// Renders the report as an HTML page.
 pub(crate) fn render(report: &Report) -> String {
     let mut res = format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>Burn report</title>\
@@ -42,6 +42,7 @@
     res + "</table></html>\n"
 }
 
+/// Appends the table row of one workspace and service.
 fn write_row(res: &mut String, it: &Row) {
     let longest = it.tallies[it.tallies.len() - 1];
     let (workspace, service) = (escape(&it.workspace), escape(&it.service));
--- a/crates/portfield-burn/src/main.rs
+++ b/crates/portfield-burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfield-burn`: how fast each workspace and service burns its error budget.
+//! `portfield-burn`: reports how fast each workspace and service uses up its error budget.
 
 mod html;
 mod report;
@@ -10,7 +10,7 @@
 
 use crate::report::{Report, RouterReport};
 
-/// Time in which the platform and a router answer.
+/// Time-out of a request to the platform or a router.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads every router and reports burn rates over several windows.
@@ -20,7 +20,7 @@
     /// Address of the platform's services.
     #[arg(long, env = "PORTFIELD_PLATFORM")]
     platform: SocketAddr,
-    /// Print JSON in place of the table.
+    /// Print JSON instead of the table.
     #[arg(long)]
     json: bool,
     /// Write a self-contained page to this file.
@@ -41,6 +41,7 @@
     Ok(())
 }
 
+/// Reads the reports of all routers in the platform's host list and merges them.
 async fn collect(platform: SocketAddr) -> eyre::Result<Report> {
     let hosts = PlatformClient::new(platform, TIMEOUT).read_hosts().await?;
     let mut report = Report::default();
--- a/crates/portfield-burn/src/report.rs
+++ b/crates/portfield-burn/src/report.rs
@@ -1,4 +1,4 @@
-//! The report: all routers' tallies, merged and judged.
+//! Burn report: request counts of all routers, with burn rates and alerts.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -6,15 +6,16 @@
 use portfield::slo::{Alert, Tally, WINDOW_MINUTES, burn_alert};
 use serde::{Deserialize, Serialize};
 
-/// What one router tells.
+/// Response of one router to `/burn`.
 #[derive(Debug, Deserialize)]
 pub(crate) struct RouterReport {
     rows: Vec<RouterRow>,
-    /// Times to the first byte by service: milliseconds and how often.
+    /// Times to the first byte by service, as pairs of milliseconds and number of requests.
     #[serde(rename = "firsts")]
     first_bytes: BTreeMap<String, Vec<(u64, u64)>>,
 }
 
+/// Request counts of one workspace and service at one router, per window.
 #[derive(Debug, Deserialize)]
 struct RouterRow {
     workspace: String,
@@ -22,7 +23,7 @@
     tallies: [Tally; WINDOW_MINUTES.len()],
 }
 
-/// One workspace's use of one service.
+/// Request counts and burn rates of one workspace and service, per window.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Row {
     pub workspace: String,
@@ -32,7 +33,7 @@
     pub alert: Alert,
 }
 
-/// Times to the first byte of one service.
+/// Quantiles of the time to the first byte of one service, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct FirstByteTimes {
     pub service: String,
@@ -41,13 +42,13 @@
     pub p99_ms: u64,
 }
 
-/// The whole report, the worst first.
+/// The report, with the fastest burn rates first.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Report {
     pub rows: Vec<Row>,
     #[serde(rename = "firsts")]
     pub first_bytes: Vec<FirstByteTimes>,
-    /// Hosts whose router did not answer: their requests are missing.
+    /// Hosts whose router did not answer, so their requests are missing from the report.
     #[serde(rename = "silent")]
     pub missing_hosts: Vec<String>,
     pub n_routers: usize,
@@ -58,7 +59,7 @@
 }
 
 impl Report {
-    /// Adds what a router told.
+    /// Merges the response of a router.
     pub(crate) fn add(&mut self, router_report: RouterReport) {
         self.n_routers += 1;
         for row in router_report.rows {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Judges and orders what was added.
+    /// Computes burn rates, alerts and quantiles, and sorts the rows.
     pub(crate) fn finish(mut self) -> Self {
         for ((workspace, service), tallies) in std::mem::take(&mut self.merged) {
             let burns = tallies.map(|it| it.burn_rate());
@@ -87,7 +88,7 @@
         self
     }
 
-    /// Writes the table.
+    /// Formats the report as a text table.
     pub(crate) fn table(&self) -> String {
         let mut res = String::new();
         for it in &self.missing_hosts {
@@ -139,7 +140,7 @@
     }
 }
 
-/// Milliseconds to two digits, up to an hour; the bounds are constants that are accepted.
+/// Returns a histogram of milliseconds up to an hour with two significant digits. These constant bounds are valid.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000, 2).unwrap_or_else(|_| unreachable!())
 }
