--- a/crates/portfield-load/src/client.rs
+++ b/crates/portfield-load/src/client.rs
@@ -12,11 +12,11 @@
 use portfield_replay::trace::Arrival;
 use serde_json::json;
 
-use crate::measure::{End, Measure};
+use crate::measurements::{Measurements, Outcome};
 
 /// A request on its way.
 #[derive(Debug, Clone)]
-pub(crate) struct Sent {
+pub(crate) struct PendingRequest {
     pub idx: usize,
     pub arrival: Arrival,
     pub router: SocketAddr,
@@ -24,27 +24,30 @@
 }
 
 /// Sends one request and measures what comes back.
-pub(crate) async fn run(sent: Sent, measure: Arc<Mutex<Measure>>) {
-    lock(&measure).start(&sent.arrival);
-    let end = match exchange(&sent, &measure).await {
-        Ok(end) => end,
-        Err(_) => End::Lost,
+pub(crate) async fn send(pending: PendingRequest, measurements: Arc<Mutex<Measurements>>) {
+    lock(&measurements).record_start(&pending.arrival);
+    let outcome = match exchange(&pending, &measurements).await {
+        Ok(it) => it,
+        Err(_) => Outcome::Lost,
     };
-    lock(&measure).end(sent.idx, &sent.arrival, end);
+    lock(&measurements).record_outcome(pending.idx, &pending.arrival, outcome);
 }
 
-async fn exchange(sent: &Sent, measure: &Mutex<Measure>) -> http_types::Result<End> {
-    let it = &sent.arrival;
-    let echo = format!("echo-{}", sent.idx);
+async fn exchange(
+    pending: &PendingRequest,
+    measurements: &Mutex<Measurements>,
+) -> http_types::Result<Outcome> {
+    let it = &pending.arrival;
+    let echo = format!("echo-{}", pending.idx);
     let is_plain = it.cost <= 1;
     let body = if is_plain {
         json!({ "echo": echo, "order": echo })
     } else {
         json!({ "echo": echo, "max_tokens": it.cost, "prompt": format!("prefix {}", it.prefix) })
     };
-    let url = Url::parse(&format!("http://{}/{}/run", sent.router, it.service))?;
+    let url = Url::parse(&format!("http://{}/{}/run", pending.router, it.service))?;
     let mut request = Request::new(Method::Post, url);
-    request.insert_header("authorization", format!("Bearer {}", sent.token));
+    request.insert_header("authorization", format!("Bearer {}", pending.token));
     request.insert_header("connection", "close");
     if 0 < it.hint {
         request.insert_header("x-portfield-hint", it.hint.to_string());
@@ -53,43 +56,43 @@
         request.insert_header("x-portfield-class", "batch");
     }
     request.set_body(body.to_string());
-    let stream = TcpStream::connect(sent.router).await?;
+    let stream = TcpStream::connect(pending.router).await?;
     let response = async_h1::connect(stream, request).await?;
     if response.status() != StatusCode::Ok {
-        return Ok(refusal(response).await);
+        return Ok(error_outcome(response).await);
     }
     if is_plain {
-        return plain(response, &echo).await;
+        return read_plain(response, &echo).await;
     }
-    events(response, sent, &echo, measure).await
+    read_events(response, pending, &echo, measurements).await
 }
 
-async fn refusal(response: Response) -> End {
+async fn error_outcome(response: Response) -> Outcome {
     let outcome = response.header("x-portfield-outcome").map(|it| it.as_str());
     match outcome {
-        Some("not-run") => End::Refused,
-        _ => End::Unknown,
+        Some("not-run") => Outcome::Refused,
+        _ => Outcome::Unknown,
     }
 }
 
-async fn plain(mut response: Response, echo: &str) -> http_types::Result<End> {
+async fn read_plain(mut response: Response, echo: &str) -> http_types::Result<Outcome> {
     let text = response.body_string().await?;
-    let wanted = json!({ "echo": echo }).to_string();
-    Ok(if text == wanted { End::Whole } else { End::Wrong })
+    let expected = json!({ "echo": echo }).to_string();
+    Ok(if text == expected { Outcome::Whole } else { Outcome::Wrong })
 }
 
 /// Reads a stream: every event must be this request's, and the next in order.
-async fn events(
+async fn read_events(
     mut response: Response,
-    sent: &Sent,
+    pending: &PendingRequest,
     echo: &str,
-    measure: &Mutex<Measure>,
-) -> http_types::Result<End> {
+    measurements: &Mutex<Measurements>,
+) -> http_types::Result<Outcome> {
     let mut body = response.take_body();
     let mut text = String::new();
     let mut buf = vec![0; 4096];
-    let mut n = 0;
-    let began = clock::now();
+    let mut n_events = 0;
+    let start = clock::now();
     loop {
         let len = body.read(&mut buf).await?;
         if len == 0 {
@@ -98,21 +101,21 @@
         text.push_str(&String::from_utf8_lossy(&buf[..len]));
         while let Some(end) = text.find("\n\n") {
             let event: String = text.drain(..end + 2).collect();
-            n += 1;
-            if event != format!("id: {n}\ndata: {echo} {n}\n\n") {
-                return Ok(End::Wrong);
+            n_events += 1;
+            if event != format!("id: {n_events}\ndata: {echo} {n_events}\n\n") {
+                return Ok(Outcome::Wrong);
             }
-            if n == 1 {
-                lock(measure).first(&sent.arrival);
+            if n_events == 1 {
+                lock(measurements).record_first_token(&pending.arrival);
             }
-            lock(measure).token(&sent.arrival);
+            lock(measurements).record_token(&pending.arrival);
         }
     }
-    let pace = (clock::now() - began) / n.max(1);
-    lock(measure).pace(pace);
-    Ok(if n == sent.arrival.cost { End::Whole } else { End::Lost })
+    let mean_gap = (clock::now() - start) / n_events.max(1);
+    lock(measurements).record_token_gap(mean_gap);
+    Ok(if n_events == pending.arrival.cost { Outcome::Whole } else { Outcome::Lost })
 }
 
-fn lock(measure: &Mutex<Measure>) -> MutexGuard<'_, Measure> {
-    measure.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(measurements: &Mutex<Measurements>) -> MutexGuard<'_, Measurements> {
+    measurements.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/portfield-load/src/main.rs
+++ b/crates/portfield-load/src/main.rs
@@ -1,9 +1,9 @@
 //! `portfield-load`: replays a trace against running routers and prints the measures.
 
 mod client;
-mod measure;
+mod measurements;
 mod report;
-mod sample;
+mod samples;
 
 use std::{
     io::Write,
@@ -18,12 +18,12 @@
 use portfield_net::{clock, fleet_store, platform::PlatformClient, rt::Runtime};
 use portfield_replay::trace;
 
-use crate::{client::Sent, measure::Measure, sample::Samples};
+use crate::{client::PendingRequest, measurements::Measurements, samples::Samples};
 
 /// Threads beside the main one.
 const N_THREADS: usize = 3;
 /// Time between two progress lines.
-const PROGRESS_PERIOD: Duration = Duration::from_secs(5);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Replays a trace against running routers and prints the measures.
 #[derive(Debug, Parser)]
@@ -61,45 +61,46 @@
     let fleet = Arc::new(fleet.ok_or_eyre("no configuration is in force")?);
     let mut hosts = platform.read_hosts().await?;
     hosts.sort_by_key(|it| it.router);
-    let measure = Arc::new(Mutex::new(Measure::new(&fleet)));
+    let measurements = Arc::new(Mutex::new(Measurements::new(&fleet)));
     let samples = Arc::new(Mutex::new(Samples::default()));
-    let watch = rt.spawn_cancellable(sample::watch(hosts.clone(), fleet.clone(), samples.clone()));
+    let sampler =
+        rt.spawn_cancellable(samples::poll_hosts(hosts.clone(), fleet.clone(), samples.clone()));
     let start = clock::now();
     let n_total = arrivals.len();
-    let (open, all_done) = async_channel::bounded::<()>(1);
-    rt.spawn(show_progress(measure.clone(), n_total, open.downgrade()));
+    let (in_flight, all_done) = async_channel::bounded::<()>(1);
+    rt.spawn(print_progress(measurements.clone(), n_total, in_flight.downgrade()));
     for (idx, arrival) in arrivals.into_iter().enumerate() {
         let at = start + Duration::from_millis(arrival.at);
         clock::sleep(at.saturating_sub(clock::now())).await;
         let router = hosts[arrival.entry % hosts.len()].router;
         let token = format!("{}{}", args.token_prefix, arrival.workspace);
-        let sent = Sent { idx, arrival, router, token };
-        let (measure, open) = (measure.clone(), open.clone());
+        let pending = PendingRequest { idx, arrival, router, token };
+        let (measurements, in_flight) = (measurements.clone(), in_flight.clone());
         rt.spawn(async move {
-            client::run(sent, measure).await;
-            drop(open);
+            client::send(pending, measurements).await;
+            drop(in_flight);
         });
     }
-    drop(open);
+    drop(in_flight);
     let _ = clock::timeout(Duration::from_secs(args.linger), all_done.recv()).await;
-    drop(watch);
-    let measure = measure.lock().unwrap_or_else(PoisonError::into_inner);
+    drop(sampler);
+    let measurements = measurements.lock().unwrap_or_else(PoisonError::into_inner);
     let samples = samples.lock().unwrap_or_else(PoisonError::into_inner);
-    let report = report::Report::new(&measure, &samples, n_total);
+    let report = report::Report::new(&measurements, &samples, n_total);
     if args.json {
         return Ok(serde_json::to_string_pretty(&report)? + "\n");
     }
     Ok(report.table())
 }
 
-async fn show_progress(
-    measure: Arc<Mutex<Measure>>,
+async fn print_progress(
+    measurements: Arc<Mutex<Measurements>>,
     n_total: usize,
-    open: async_channel::WeakSender<()>,
+    in_flight: async_channel::WeakSender<()>,
 ) {
-    while open.upgrade().is_some() {
-        clock::sleep(PROGRESS_PERIOD).await;
-        let n_ended = measure.lock().unwrap_or_else(PoisonError::into_inner).n_ended();
+    while in_flight.upgrade().is_some() {
+        clock::sleep(PROGRESS_INTERVAL).await;
+        let n_ended = measurements.lock().unwrap_or_else(PoisonError::into_inner).n_ended();
         let _ = writeln!(std::io::stderr(), "{n_ended} of {n_total} requests ended");
     }
 }
--- a/crates/portfield-load/src/measure.rs
+++ b/crates/portfield-load/src/measurements.rs
@@ -15,7 +15,7 @@
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     /// The whole answer to its own request.
     Whole,
     /// Refused as not run.
@@ -30,38 +30,38 @@
 
 /// Measures of one workspace.
 #[derive(Debug)]
-pub(crate) struct Row {
+pub(crate) struct WorkspaceStats {
     pub share: u32,
     pub n_sent: u64,
-    pub ends: BTreeMap<&'static str, u64>,
+    pub outcomes: BTreeMap<&'static str, u64>,
     pub tokens: u64,
     /// Milliseconds from the request to its first token.
-    pub waits: Histogram<u64>,
-    waiting: u32,
+    pub wait_ms: Histogram<u64>,
+    n_waiting: u32,
     idx: usize,
 }
 
 /// Measures of a whole run.
 #[derive(Debug)]
-pub(crate) struct Measure {
-    pub rows: BTreeMap<String, Row>,
-    pub gap: Gap,
-    pub paces: Histogram<u64>,
-    started: HashMap<(String, u64, u32), Vec<Duration>>,
+pub(crate) struct Measurements {
+    pub rows: BTreeMap<String, WorkspaceStats>,
+    pub fairness_gap: Gap,
+    pub token_gaps: Histogram<u64>,
+    start_times: HashMap<(String, u64, u32), Vec<Duration>>,
     n_ended: usize,
 }
 
-impl Measure {
+impl Measurements {
     pub(crate) fn new(fleet: &Fleet) -> Self {
         let mut rows = BTreeMap::new();
         for (idx, it) in fleet.workspaces.iter().enumerate() {
-            let row = Row {
+            let row = WorkspaceStats {
                 share: it.share,
                 n_sent: 0,
-                ends: BTreeMap::new(),
+                outcomes: BTreeMap::new(),
                 tokens: 0,
-                waits: histogram(),
-                waiting: 0,
+                wait_ms: new_histogram(),
+                n_waiting: 0,
                 idx,
             };
             rows.insert(it.name.clone(), row);
@@ -69,64 +69,64 @@
         let shares = fleet.workspaces.iter().map(|it| f64::from(it.share)).collect();
         Self {
             rows,
-            gap: Gap::new(shares),
-            paces: histogram(),
-            started: HashMap::new(),
+            fairness_gap: Gap::new(shares),
+            token_gaps: new_histogram(),
+            start_times: HashMap::new(),
             n_ended: 0,
         }
     }
 
-    /// Counts a request that is sent.
-    pub(crate) fn start(&mut self, it: &Arrival) {
-        let key = key(it);
-        self.started.entry(key).or_default().push(clock::now());
+    /// Counts a request that is pending.
+    pub(crate) fn record_start(&mut self, it: &Arrival) {
+        let key = arrival_key(it);
+        self.start_times.entry(key).or_default().push(clock::now());
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
         row.n_sent += 1;
         if 1 < it.cost {
-            row.waiting += 1;
-            self.gap.set_backlogged(row.idx, Backlog::Waits);
+            row.n_waiting += 1;
+            self.fairness_gap.set_backlogged(row.idx, Backlog::Waits);
         }
     }
 
     /// Counts a first token.
-    pub(crate) fn first(&mut self, it: &Arrival) {
-        let started = self.started.get_mut(&key(it)).and_then(Vec::pop);
+    pub(crate) fn record_first_token(&mut self, it: &Arrival) {
+        let start_time = self.start_times.get_mut(&arrival_key(it)).and_then(Vec::pop);
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
-        if let Some(at) = started {
-            let _ = row.waits.record((clock::now() - at).as_millis() as u64);
+        if let Some(at) = start_time {
+            let _ = row.wait_ms.record((clock::now() - at).as_millis() as u64);
         }
-        row.leave_queue(&mut self.gap);
+        row.leave_queue(&mut self.fairness_gap);
     }
 
     /// Counts a token.
-    pub(crate) fn token(&mut self, it: &Arrival) {
+    pub(crate) fn record_token(&mut self, it: &Arrival) {
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
         row.tokens += 1;
-        self.gap.serve(row.idx, 1.0);
+        self.fairness_gap.serve(row.idx, 1.0);
     }
 
     /// Counts the mean time between the tokens of one answer.
-    pub(crate) fn pace(&mut self, pace: Duration) {
-        let _ = self.paces.record(pace.as_millis() as u64);
+    pub(crate) fn record_token_gap(&mut self, gap: Duration) {
+        let _ = self.token_gaps.record(gap.as_millis() as u64);
     }
 
     /// Counts the end of a request.
-    pub(crate) fn end(&mut self, idx: usize, it: &Arrival, end: End) {
+    pub(crate) fn record_outcome(&mut self, idx: usize, it: &Arrival, outcome: Outcome) {
         self.n_ended += 1;
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
-        *row.ends.entry(name(end)).or_default() += 1;
-        if end != End::Whole && end != End::Refused {
-            log::warn!(request = idx, workspace = it.workspace; "ended as {}", name(end));
+        *row.outcomes.entry(outcome_name(outcome)).or_default() += 1;
+        if outcome != Outcome::Whole && outcome != Outcome::Refused {
+            log::warn!(request = idx, workspace = it.workspace; "ended as {}", outcome_name(outcome));
         }
-        if end == End::Whole && it.cost <= 1 {
-            self.first(it);
-        } else if end != End::Whole {
-            row.leave_queue(&mut self.gap);
+        if outcome == Outcome::Whole && it.cost <= 1 {
+            self.record_first_token(it);
+        } else if outcome != Outcome::Whole {
+            row.leave_queue(&mut self.fairness_gap);
         }
     }
 
     /// Returns the workspaces' names in the order of the gap's numbers.
-    pub(crate) fn names(&self) -> Vec<String> {
+    pub(crate) fn workspace_names(&self) -> Vec<String> {
         let mut res: Vec<_> = self.rows.iter().map(|(name, it)| (it.idx, name.clone())).collect();
         res.sort_unstable();
         res.into_iter().map(|(_, name)| name).collect()
@@ -138,30 +138,30 @@
     }
 }
 
-impl Row {
+impl WorkspaceStats {
     fn leave_queue(&mut self, gap: &mut Gap) {
-        self.waiting = self.waiting.saturating_sub(1);
-        if self.waiting == 0 {
+        self.n_waiting = self.n_waiting.saturating_sub(1);
+        if self.n_waiting == 0 {
             gap.set_backlogged(self.idx, Backlog::Idle);
         }
     }
 }
 
-fn key(it: &Arrival) -> (String, u64, u32) {
+fn arrival_key(it: &Arrival) -> (String, u64, u32) {
     (it.workspace.clone(), it.at, it.cost)
 }
 
-fn name(end: End) -> &'static str {
-    match end {
-        End::Whole => "whole",
-        End::Refused => "refused",
-        End::Unknown => "unknown",
-        End::Lost => "lost",
-        End::Wrong => "wrong",
+fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Whole => "whole",
+        Outcome::Refused => "refused",
+        Outcome::Unknown => "unknown",
+        Outcome::Lost => "lost",
+        Outcome::Wrong => "wrong",
     }
 }
 
-fn histogram() -> Histogram<u64> {
+fn new_histogram() -> Histogram<u64> {
     // Three significant digits from 1 ms to an hour: the bounds are constants.
     Histogram::new_with_bounds(1, 3_600_000, 3).unwrap_or_else(|_| unreachable!())
 }
--- a/crates/portfield-load/src/report.rs
+++ b/crates/portfield-load/src/report.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use crate::{measure::Measure, sample::Samples};
+use crate::{measurements::Measurements, samples::Samples};
 
 #[derive(Debug, Serialize)]
-struct Line {
+struct WorkspaceRow {
     workspace: String,
     share: u32,
     requests: u64,
@@ -25,7 +25,7 @@
 /// The measures of a run.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
-    workspaces: Vec<Line>,
+    workspaces: Vec<WorkspaceRow>,
     requests: usize,
     ended: usize,
     /// Tokens for a share of one.
@@ -38,36 +38,36 @@
 }
 
 impl Report {
-    pub(crate) fn new(measure: &Measure, samples: &Samples, n_total: usize) -> Self {
-        let sent = measure.rows.iter().filter(|(_, it)| 0 < it.n_sent);
-        let workspaces = sent.map(|(name, it)| {
-            let end = |key: &str| it.ends.get(key).copied().unwrap_or(0);
-            Line {
+    pub(crate) fn new(measurements: &Measurements, samples: &Samples, n_total: usize) -> Self {
+        let active = measurements.rows.iter().filter(|(_, it)| 0 < it.n_sent);
+        let workspaces = active.map(|(name, it)| {
+            let n_outcomes = |key: &str| it.outcomes.get(key).copied().unwrap_or(0);
+            WorkspaceRow {
                 workspace: name.clone(),
                 share: it.share,
                 requests: it.n_sent,
                 tokens: it.tokens,
                 service_for_share: it.tokens as f64 / f64::from(it.share),
-                wait_p50_ms: it.waits.value_at_quantile(0.5),
-                wait_p95_ms: it.waits.value_at_quantile(0.95),
-                whole: end("whole"),
-                refused: end("refused"),
-                unknown: end("unknown"),
-                lost: end("lost"),
-                wrong: end("wrong"),
+                wait_p50_ms: it.wait_ms.value_at_quantile(0.5),
+                wait_p95_ms: it.wait_ms.value_at_quantile(0.95),
+                whole: n_outcomes("whole"),
+                refused: n_outcomes("refused"),
+                unknown: n_outcomes("unknown"),
+                lost: n_outcomes("lost"),
+                wrong: n_outcomes("wrong"),
             }
         });
-        let names: Vec<_> = measure.names();
-        let (a, b) = measure.gap.pair();
+        let names: Vec<_> = measurements.workspace_names();
+        let (a, b) = measurements.fairness_gap.pair();
         Self {
             workspaces: workspaces.collect(),
             requests: n_total,
-            ended: measure.n_ended(),
-            largest_gap: measure.gap.largest(),
+            ended: measurements.n_ended(),
+            largest_gap: measurements.fairness_gap.largest(),
             gap_between: (names[a].clone(), names[b].clone()),
-            utilisation: samples.used as f64 / samples.slots.max(1) as f64,
-            control_bytes_per_host_second: samples.control(),
-            token_gap_p95_ms: measure.paces.value_at_quantile(0.95),
+            utilisation: samples.used_slots as f64 / samples.slots.max(1) as f64,
+            control_bytes_per_host_second: samples.control_rate(),
+            token_gap_p95_ms: measurements.token_gaps.value_at_quantile(0.95),
         }
     }
 
