--- a/crates/portfield-load/src/bin/portfield-bench.rs
+++ b/crates/portfield-load/src/bin/portfield-bench.rs
@@ -1,4 +1,4 @@
-//! `portfield-bench`: the router's added latency and its memory for idle streams.
+//! `portfield-bench`: measures the latency that a router adds and its memory per idle stream.
 
 use std::{
     fs,
@@ -16,9 +16,9 @@
 
 /// Threads beside the main one.
 const N_THREADS: usize = 2;
-/// Streams that are opened at once.
+/// Streams opened concurrently.
 const OPEN_BATCH: usize = 500;
-/// Time in which a stream's first event must come.
+/// Time-out for the next event of a stream.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Measures one router against direct calls to the upstreams behind it.
@@ -37,13 +37,13 @@
     /// Token of the workspace.
     #[arg(long, default_value = "token-large")]
     token: String,
-    /// Calls of each kind, in turn.
+    /// Number of direct and of routed calls, made alternately.
     #[arg(long, default_value_t = 2000)]
     calls: usize,
-    /// Idle streams held open at once.
+    /// Number of idle streams to hold open.
     #[arg(long, default_value_t = 9500)]
     streams: usize,
-    /// Process id of the router, to read its memory.
+    /// Process id of the router, to read its memory usage.
     #[arg(long)]
     pid: u32,
 }
@@ -62,7 +62,7 @@
     Ok(res)
 }
 
-/// Calls directly and through the router in turn, and compares.
+/// Compares the latency of direct and routed calls, made alternately.
 async fn measure_latency(args: &Args) -> eyre::Result<String> {
     let mut direct = Histogram::<u64>::new(3)?;
     let mut routed = Histogram::<u64>::new(3)?;
@@ -74,7 +74,7 @@
         )
     };
     for idx in 0..args.calls + args.calls / 10 {
-        // The first tenth only warms up.
+        // The first calls, a tenth of their number, are a warm-up.
         let is_measured = args.calls / 10 <= idx;
         for (address, path, histogram) in
             [(args.direct, "/run", &mut direct), (args.router, args.path.as_str(), &mut routed)]
@@ -107,7 +107,7 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Opens idle streams, waits for an event on each and reads the router's memory.
+/// Opens idle streams, waits for an event on each and reports the router's memory usage.
 async fn measure_streams(rt: &Runtime, args: &Args) -> eyre::Result<String> {
     let before = resident_bytes(args.pid)?;
     let mut streams = Vec::new();
@@ -122,7 +122,7 @@
         }
     }
     let after = resident_bytes(args.pid)?;
-    // Every stream must still be there and get its next event.
+    // A stream counts as alive if it delivers another event.
     let mut n_alive = 0;
     for it in &mut streams {
         let mut bytes = [0; 512];
@@ -138,6 +138,7 @@
     ))
 }
 
+/// Opens a stream and reads up to its first event.
 async fn open_stream(router: SocketAddr, token: String, idx: usize) -> eyre::Result<TcpStream> {
     let body = format!("{{\"echo\":\"s{idx}\",\"max_tokens\":1000}}");
     let request = format!(
@@ -158,8 +159,10 @@
     Ok(stream)
 }
 
+/// Returns the resident memory of a process in bytes, assuming pages of 4 KiB.
 fn resident_bytes(pid: u32) -> eyre::Result<u64> {
-    let text = fs::read_to_string(format!("/proc/{pid}/statm")).wrap_err("router's memory")?;
+    let text = fs::read_to_string(format!("/proc/{pid}/statm"))
+        .wrap_err("cannot read the router's memory usage")?;
     let pages = text.split(' ').nth(1).and_then(|it| it.parse::<u64>().ok()).unwrap_or(0);
     Ok(pages * 4096)
 }
--- a/crates/portfield-load/src/client.rs
+++ b/crates/portfield-load/src/client.rs
@@ -1,4 +1,5 @@
-//! One caller: sends a request, reads its whole answer and checks that it is its own.
+//! Caller of one request: sends it, reads the complete response and checks that it belongs to the
+//! request.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +15,7 @@
 
 use crate::measurements::{Measurements, Outcome};
 
-/// A request on its way.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingRequest {
     pub idx: usize,
@@ -23,7 +24,7 @@
     pub token: String,
 }
 
-/// Sends one request and measures what comes back.
+/// Sends one request and records its times, tokens and outcome.
 pub(crate) async fn send(pending: PendingRequest, measurements: Arc<Mutex<Measurements>>) {
     lock(&measurements).record_start(&pending.arrival);
     let outcome = match exchange(&pending, &measurements).await {
@@ -67,6 +68,7 @@
     read_events(response, pending, &echo, measurements).await
 }
 
+/// Returns the outcome of a response whose status is not 200.
 async fn error_outcome(response: Response) -> Outcome {
     let outcome = response.header("x-portfield-outcome").map(|it| it.as_str());
     match outcome {
@@ -81,7 +83,7 @@
     Ok(if text == expected { Outcome::Whole } else { Outcome::Wrong })
 }
 
-/// Reads a stream: every event must be this request's, and the next in order.
+/// Reads an event stream and checks that every event belongs to this request and is the next in order.
 async fn read_events(
     mut response: Response,
     pending: &PendingRequest,
--- a/crates/portfield-load/src/main.rs
+++ b/crates/portfield-load/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfield-load`: replays a trace against running routers and prints the measures.
+//! `portfield-load`: replays a trace against running routers and prints the measurements.
 
 mod client;
 mod measurements;
@@ -25,7 +25,7 @@
 /// Time between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Replays a trace against running routers and prints the measures.
+/// Replays a trace against running routers and prints the measurements.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
@@ -35,13 +35,13 @@
     /// Address of the platform's services.
     #[arg(long, env = "PORTFIELD_PLATFORM")]
     platform: SocketAddr,
-    /// Start of every workspace's token; the rest is its name.
+    /// Prefix of each workspace's token, followed by the name of the workspace.
     #[arg(long, default_value = "token-")]
     token_prefix: String,
-    /// Longest time to go on after the last arrival, in seconds.
+    /// Maximum time to wait for responses after the last arrival, in seconds.
     #[arg(long, default_value_t = 60)]
     linger: u64,
-    /// Print JSON in place of the table.
+    /// Print JSON instead of the table.
     #[arg(long)]
     json: bool,
 }
@@ -93,6 +93,7 @@
     Ok(report.table())
 }
 
+/// Prints progress to standard error until all requests have ended.
 async fn print_progress(
     measurements: Arc<Mutex<Measurements>>,
     n_total: usize,
--- a/crates/portfield-load/src/measurements.rs
+++ b/crates/portfield-load/src/measurements.rs
@@ -1,4 +1,4 @@
-//! What callers saw, per workspace.
+//! Measurements from the callers' view, per workspace.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,40 +13,44 @@
     trace::Arrival,
 };
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The whole answer to its own request.
+    /// The caller got the complete response to its own request.
     Whole,
-    /// Refused as not run.
+    /// The router answered that the request did not run.
     Refused,
-    /// Said to be unknown.
+    /// The router answered that it is unknown whether the request ran.
     Unknown,
-    /// No answer, or not the whole of it.
+    /// The response was missing or incomplete.
     Lost,
-    /// Something else than its own answer.
+    /// The response does not belong to the request.
     Wrong,
 }
 
-/// Measures of one workspace.
+/// Measurements of one workspace.
 #[derive(Debug)]
 pub(crate) struct WorkspaceStats {
     pub share: u32,
     pub n_sent: u64,
     pub outcomes: BTreeMap<&'static str, u64>,
     pub tokens: u64,
-    /// Milliseconds from the request to its first token.
+    /// Milliseconds from sending a request to its first token.
     pub wait_ms: Histogram<u64>,
+    /// Streaming requests without a first token yet.
     n_waiting: u32,
+    /// Index of the workspace in the fairness gap.
     idx: usize,
 }
 
-/// Measures of a whole run.
+/// Measurements of a run.
 #[derive(Debug)]
 pub(crate) struct Measurements {
     pub rows: BTreeMap<String, WorkspaceStats>,
     pub fairness_gap: Gap,
+    /// Mean milliseconds between the tokens of a response.
     pub token_gaps: Histogram<u64>,
+    /// Start times of the requests that have no first token yet, by [`arrival_key`].
     start_times: HashMap<(String, u64, u32), Vec<Duration>>,
     n_ended: usize,
 }
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Counts a request that is pending.
+    /// Records that a request is sent.
     pub(crate) fn record_start(&mut self, it: &Arrival) {
         let key = arrival_key(it);
         self.start_times.entry(key).or_default().push(clock::now());
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Counts a first token.
+    /// Records the first token of a response.
     pub(crate) fn record_first_token(&mut self, it: &Arrival) {
         let start_time = self.start_times.get_mut(&arrival_key(it)).and_then(Vec::pop);
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
@@ -98,19 +102,19 @@
         row.leave_queue(&mut self.fairness_gap);
     }
 
-    /// Counts a token.
+    /// Records a token.
     pub(crate) fn record_token(&mut self, it: &Arrival) {
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
         row.tokens += 1;
         self.fairness_gap.serve(row.idx, 1.0);
     }
 
-    /// Counts the mean time between the tokens of one answer.
+    /// Records the mean time between the tokens of a response.
     pub(crate) fn record_token_gap(&mut self, gap: Duration) {
         let _ = self.token_gaps.record(gap.as_millis() as u64);
     }
 
-    /// Counts the end of a request.
+    /// Records the outcome of the request with the number `idx`.
     pub(crate) fn record_outcome(&mut self, idx: usize, it: &Arrival, outcome: Outcome) {
         self.n_ended += 1;
         let Some(row) = self.rows.get_mut(&it.workspace) else { return };
@@ -125,14 +129,14 @@
         }
     }
 
-    /// Returns the workspaces' names in the order of the gap's numbers.
+    /// Returns the names of the workspaces, ordered by their index in the fairness gap.
     pub(crate) fn workspace_names(&self) -> Vec<String> {
         let mut res: Vec<_> = self.rows.iter().map(|(name, it)| (it.idx, name.clone())).collect();
         res.sort_unstable();
         res.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Returns how many requests ended.
+    /// Returns the number of requests that have ended.
     pub(crate) fn n_ended(&self) -> usize {
         self.n_ended
     }
@@ -147,6 +151,7 @@
     }
 }
 
+/// Returns the key of requests that share their start times: workspace, arrival time and cost.
 fn arrival_key(it: &Arrival) -> (String, u64, u32) {
     (it.workspace.clone(), it.at, it.cost)
 }
@@ -162,6 +167,6 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // Three significant digits from 1 ms to an hour: the bounds are constants.
+    // Milliseconds from 1 to an hour with three significant digits. These constant bounds are valid.
     Histogram::new_with_bounds(1, 3_600_000, 3).unwrap_or_else(|_| unreachable!())
 }
--- a/crates/portfield-load/src/report.rs
+++ b/crates/portfield-load/src/report.rs
@@ -1,4 +1,4 @@
-//! The table at the end of a run.
+//! Report at the end of a run, as a table or JSON.
 
 use std::fmt::Write;
 
@@ -6,6 +6,7 @@
 
 use crate::{measurements::Measurements, samples::Samples};
 
+/// Measurements of one workspace.
 #[derive(Debug, Serialize)]
 struct WorkspaceRow {
     workspace: String,
@@ -22,16 +23,17 @@
     wrong: u64,
 }
 
-/// The measures of a run.
+/// Measurements of a run.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
     workspaces: Vec<WorkspaceRow>,
     requests: usize,
     ended: usize,
-    /// Tokens for a share of one.
+    /// Largest fairness gap, in tokens for a share of one.
     largest_gap: f64,
+    /// The two workspaces with the largest fairness gap.
     gap_between: (String, String),
-    /// Slots in use while anything waited, of one.
+    /// Fraction of the engine slots in use while any request waited.
     utilisation: f64,
     control_bytes_per_host_second: f64,
     token_gap_p95_ms: u64,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Writes the table.
+    /// Formats the report as a text table.
     pub(crate) fn table(&self) -> String {
         let mut res = format!(
             "{:22} {:>5} {:>8} {:>8} {:>10} {:>8} {:>8} {:>6} {:>7} {:>7} {:>5} {:>5}\n",
--- a/crates/portfield-load/src/samples.rs
+++ b/crates/portfield-load/src/samples.rs
@@ -1,4 +1,4 @@
-//! Looks at the schedulers while a trace runs: slots in use and control traffic.
+//! Samples of slots in use and control traffic, polled from schedulers and routers during a run.
 
 use std::{
     collections::HashMap,
@@ -10,16 +10,17 @@
 use portfield_net::{clock, http1::Client, platform::Host};
 use serde_json::Value;
 
-/// Time between two looks.
+/// Time between two polls of all hosts.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was seen so far.
+/// Samples of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
-    /// Slots of engines and those in use, summed over looks at which something waited.
+    /// Engine slots, summed over the polls at which requests waited for the service.
     pub slots: u64,
+    /// Engine slots in use, summed over the same polls.
     pub used_slots: u64,
-    /// Control bytes by process, first and last.
+    /// Bytes of control traffic by process, at the first and the latest poll.
     pub control_bytes: HashMap<String, (u64, u64)>,
     pub first_poll: Option<Duration>,
     pub last_poll: Duration,
@@ -27,7 +28,7 @@
 }
 
 impl Samples {
-    /// Returns control bytes a second for each host.
+    /// Returns the control traffic per host in bytes per second.
     pub(crate) fn control_rate(&self) -> f64 {
         let bytes: u64 = self.control_bytes.values().map(|(first, last)| last - first).sum();
         let time = self.last_poll.saturating_sub(self.first_poll.unwrap_or_default()).as_secs_f64();
@@ -35,7 +36,7 @@
     }
 }
 
-/// Looks until it is dropped.
+/// Polls the status of all hosts until the future is dropped.
 pub(crate) async fn poll_hosts(hosts: Vec<Host>, fleet: Arc<Fleet>, samples: Arc<Mutex<Samples>>) {
     loop {
         let mut shards = Vec::new();
