--- a/crates/portfield-net/src/platform.rs
+++ b/crates/portfield-net/src/platform.rs
@@ -7,7 +7,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use http_types::Method;
-use portfield::member::ListEntry;
+use portfield::member::HostListEntry;
 use serde::{Deserialize, Serialize};
 
 use crate::http1::{self, Client};
@@ -81,8 +81,8 @@
 
 impl Host {
     /// Returns the host's entry in the list that membership uses.
-    pub fn list_entry(&self) -> ListEntry {
-        ListEntry {
+    pub fn list_entry(&self) -> HostListEntry {
+        HostListEntry {
             host: self.scheduler.ip(),
             address: self.scheduler,
             data_centre: self.data_centre.clone(),
--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -1,119 +1,129 @@
 //! Weighted virtual service counters, merged across owners.
 //!
 //! The order of service is that of virtual token counters (Sheng et al., *Fairness in
-//! Serving Large Language Models*, OSDI 2024), the floor for a workspace that comes back
-//! that of start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996).
+//! Serving Large Language Models*, OSDI 2024). The floor for a workspace that was idle is that of
+//! start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996).
 //!
-//! A workspace's counter is the sum over all owners of what it was served (grow-only,
-//! merged by maximum), of what is reserved for requests that run (a gauge, the last word
-//! counts) and of its lift (merged by maximum). All are in virtual units: cost over share.
+//! A workspace's counter is the sum of three parts: the cost served by all owners (grow-only,
+//! merged by maximum), the cost reserved by all owners for running requests (a gauge, the latest
+//! value replaces earlier ones) and the workspace's lift (merged by maximum). All are in virtual
+//! units: cost divided by share.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{Incarnation, WorkspaceId},
     wire,
 };
 
-/// Cost divided by share, times [`SCALE`].
-pub type Virtual = u64;
+/// Cost divided by share, times [`UNITS_PER_TOKEN`].
+pub type VirtualCost = u64;
 
 /// Virtual units in one token of a workspace with share 1.
-pub const SCALE: u64 = 1 << 16;
+pub const UNITS_PER_TOKEN: u64 = 1 << 16;
 
-/// Turns a cost in tokens into virtual units.
+/// Converts a cost in tokens to virtual units.
 ///
 /// # Examples
 ///
 /// ```
-/// use portfield::schedule::{SCALE, to_virtual};
+/// use portfield::schedule::{UNITS_PER_TOKEN, virtual_cost};
 ///
-/// assert_eq!(to_virtual(10, 2), 5 * SCALE);
+/// assert_eq!(virtual_cost(10, 2), 5 * UNITS_PER_TOKEN);
 /// ```
-pub fn to_virtual(cost: u32, share: u32) -> Virtual {
-    u64::from(cost) * SCALE / u64::from(share.max(1))
+pub fn virtual_cost(cost: u32, share: u32) -> VirtualCost {
+    u64::from(cost) * UNITS_PER_TOKEN / u64::from(share.max(1))
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Entry {
-    /// Served and reserved here.
-    served: Virtual,
-    reserved: Virtual,
-    lift: Virtual,
-    /// Sum over all owners, reservations and lift included.
-    total: Virtual,
-    /// Reservations of all owners.
-    pending: Virtual,
-    /// Tickets waiting here, and owners elsewhere that have some.
+    /// Cost served by this owner.
+    served: VirtualCost,
+    /// Cost reserved by this owner.
+    reserved: VirtualCost,
+    lift: VirtualCost,
+    /// The counter: cost served and reserved by all owners, and the lift.
+    total: VirtualCost,
+    /// Cost reserved by all owners.
+    pending: VirtualCost,
+    /// Tickets waiting at this owner.
     waiting: u32,
-    elsewhere: u32,
-    /// Versions of the last change to the counters here and to the lift.
-    changed: u64,
-    lifted: u64,
+    /// Number of other owners with waiting tickets.
+    waiting_owners: u32,
+    /// Version of the last change to this owner's usage.
+    usage_version: u64,
+    /// Version of the last change to the lift.
+    lift_version: u64,
 }
 
 impl Entry {
     fn is_active(&self) -> bool {
-        0 < self.waiting || 0 < self.elsewhere
+        0 < self.waiting || 0 < self.waiting_owners
     }
 
-    /// Returns the counter without what is only reserved.
-    fn settled(&self) -> Virtual {
+    /// Returns the counter without reservations.
+    fn settled(&self) -> VirtualCost {
         self.total - self.pending
     }
 }
 
+/// Usage last reported by one incarnation of an owner.
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct RemoteUsage {
+    /// Sequence number of the latest report merged.
     sequence: u64,
     usage: BTreeMap<WorkspaceId, wire::Usage>,
 }
 
-/// The counters of every workspace of one service, as one owner knows them.
+/// Counters of the workspaces of one service, as known to one owner.
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
     entries: HashMap<WorkspaceId, Entry>,
-    seen: BTreeMap<(ShardKey, Incarnation), Seen>,
-    /// Workspaces with tickets here, by counter.
-    local: BTreeSet<(Virtual, WorkspaceId)>,
-    /// Workspaces with tickets anywhere, by counter.
-    active: BTreeSet<(Virtual, WorkspaceId)>,
-    /// The same by settled counter: the least is the floor for who comes back.
-    settled: BTreeSet<(Virtual, WorkspaceId)>,
-    /// Settled counter of the workspace served last.
-    clock: Virtual,
+    remote: BTreeMap<(ShardKey, Incarnation), RemoteUsage>,
+    /// Workspaces with tickets at this owner, ordered by counter.
+    local: BTreeSet<(VirtualCost, WorkspaceId)>,
+    /// Workspaces with tickets at any owner, ordered by counter.
+    active: BTreeSet<(VirtualCost, WorkspaceId)>,
+    /// The same workspaces, ordered by counter without reservations; the lowest is the floor for a
+    /// workspace that was idle.
+    settled: BTreeSet<(VirtualCost, WorkspaceId)>,
+    /// Highest counter, without reservations, of a workspace at the time it got a grant; the floor
+    /// while no workspace is active.
+    virtual_time: VirtualCost,
+    /// Number of changes to usage and lifts so far.
     version: u64,
-    /// Whether the other owners' counters are known, so that a lift would be true.
-    complete: bool,
+    /// Whether the other owners' counters are known, so that lifts can be computed.
+    lifts_enabled: bool,
 }
 
 impl Counters {
-    /// Notes that what other owners counted is known: from now on workspaces are lifted.
+    /// Starts lifting workspaces that become active; called once the other owners' counters are
+    /// known.
     ///
-    /// **NOTE:** A new owner that lifted before would lift over what it doesn't know yet, and
-    /// the lift would stay.
-    pub fn set_complete(&mut self) {
-        self.complete = true;
+    /// **NOTE:** A lift is never taken back. If a new owner lifted a workspace before it knew its past
+    /// service, that service would count twice: in the lift and again once it is reported.
+    pub fn enable_lifts(&mut self) {
+        self.lifts_enabled = true;
     }
 
     /// Returns a workspace's counter.
-    pub fn total(&self, id: WorkspaceId) -> Virtual {
+    pub fn total(&self, id: WorkspaceId) -> VirtualCost {
         self.entries.get(&id).map_or(0, |it| it.total)
     }
 
-    /// Returns the local workspace to serve next, with its counter.
-    pub fn least_local(&self) -> Option<(Virtual, WorkspaceId)> {
+    /// Returns the workspace with the lowest counter among those with tickets at this owner.
+    pub fn least_served_local(&self) -> Option<(VirtualCost, WorkspaceId)> {
         self.local.first().copied()
     }
 
-    /// Returns the workspaces with tickets anywhere, the least served first.
-    pub fn active(&self) -> impl Iterator<Item = (Virtual, WorkspaceId)> + '_ {
+    /// Returns the workspaces with tickets at any owner, lowest counter first.
+    pub fn active(&self) -> impl Iterator<Item = (VirtualCost, WorkspaceId)> + '_ {
         self.active.iter().copied()
     }
 
-    /// Returns whether a workspace has tickets here.
-    pub fn is_local(&self, id: WorkspaceId) -> bool {
+    /// Returns whether a workspace has tickets at this owner.
+    pub fn has_local_tickets(&self, id: WorkspaceId) -> bool {
         self.entries.get(&id).is_some_and(|it| 0 < it.waiting)
     }
 
@@ -122,51 +132,53 @@
         self.version
     }
 
-    /// Sets how many tickets of a workspace wait here.
+    /// Sets the number of a workspace's tickets that wait at this owner.
     pub fn set_waiting(&mut self, id: WorkspaceId, waiting: u32) {
-        self.enter(id, |it| it.waiting = waiting);
-        self.touch(id);
+        self.update_with_lift(id, |it| it.waiting = waiting);
+        self.mark_changed(id);
     }
 
-    /// Reserves the estimate of a request that was granted.
-    pub fn reserve(&mut self, id: WorkspaceId, amount: Virtual) {
+    /// Reserves the estimated cost of a request that was granted a slot.
+    pub fn reserve(&mut self, id: WorkspaceId, amount: VirtualCost) {
         let settled = self.entries.get(&id).map_or(0, Entry::settled);
-        self.clock = self.clock.max(settled);
-        self.change(id, |it| {
+        self.virtual_time = self.virtual_time.max(settled);
+        self.update(id, |it| {
             it.reserved += amount;
             it.pending += amount;
             it.total += amount;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
-    /// Takes back what is left of a reservation.
-    pub fn release(&mut self, id: WorkspaceId, amount: Virtual) {
-        self.change(id, |it| {
+    /// Releases the rest of a reservation.
+    pub fn release(&mut self, id: WorkspaceId, amount: VirtualCost) {
+        self.update(id, |it| {
             it.reserved -= amount;
             it.pending -= amount;
             it.total -= amount;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
-    /// Counts service, out of the reservation as far as `reserved` goes.
-    pub fn serve(&mut self, id: WorkspaceId, amount: Virtual, reserved: Virtual) {
+    /// Records cost served; it replaces up to `reserved` of the reservation.
+    pub fn record_served(&mut self, id: WorkspaceId, amount: VirtualCost, reserved: VirtualCost) {
         let covered = amount.min(reserved);
-        self.change(id, |it| {
+        self.update(id, |it| {
             it.served += amount;
             it.reserved -= covered;
             it.pending -= covered;
             it.total += amount - covered;
         });
-        self.touch(id);
+        self.mark_changed(id);
     }
 
-    /// Lifts whoever is so far behind the best served that catching up would starve the
-    /// others for longer than `limit`; happens after a cut heals.
-    pub fn clamp(&mut self, limit: Virtual) {
-        let Some((most, _)) = self.active.last().copied() else { return };
-        let floor = most.saturating_sub(limit);
+    /// Lifts workspaces that are more than `limit` behind the highest counter of an active one.
+    ///
+    /// After a network partition a workspace may lag so far that serving it until it has caught up
+    /// would starve the others.
+    pub fn clamp_lag(&mut self, limit: VirtualCost) {
+        let Some((highest, _)) = self.active.last().copied() else { return };
+        let floor = highest.saturating_sub(limit);
         while let Some((total, id)) = self.active.first().copied() {
             if floor <= total {
                 return;
@@ -175,43 +187,43 @@
         }
     }
 
-    /// Takes in another owner's counters; returns whether they were news.
+    /// Merges a report of an owner's usage; returns false if it is outdated.
     pub fn merge(&mut self, shard: ShardKey, set: &wire::UsageSet) -> bool {
-        self.retire_before(shard, set.incarnation);
-        let newest = self.newest(shard);
-        let seen = self.seen.entry((shard, set.incarnation)).or_default();
-        if set.sequence <= seen.sequence {
+        self.expire_before(shard, set.incarnation);
+        let latest = self.latest_incarnation(shard);
+        let known = self.remote.entry((shard, set.incarnation)).or_default();
+        if set.sequence <= known.sequence {
             return false;
         }
-        seen.sequence = set.sequence;
-        let is_live = newest.is_none_or(|it| it <= set.incarnation);
+        known.sequence = set.sequence;
+        let is_latest = latest.is_none_or(|it| it <= set.incarnation);
         for it in &set.usage {
-            let mut fresh = *it;
-            if !is_live {
-                fresh.reserved = 0;
-                fresh.waiting = 0;
+            let mut usage = *it;
+            if !is_latest {
+                usage.reserved = 0;
+                usage.waiting = 0;
             }
-            self.apply(shard, set.incarnation, fresh);
+            self.apply_usage(shard, set.incarnation, usage);
         }
         true
     }
 
-    /// Takes in lifts.
+    /// Merges lifts reported by other owners.
     pub fn merge_lifts(&mut self, lifts: &[wire::Lift]) {
         for it in lifts {
             self.raise_lift(it.workspace, it.value);
         }
     }
 
-    /// Forgets the reservations and tickets of an owner that is silent; what it served stays.
-    pub fn silence(&mut self, shard: ShardKey) {
-        self.retire_before(shard, Incarnation::MAX);
+    /// Drops the reservations and waiting tickets of an owner that is gone; served cost is kept.
+    pub fn expire_owner(&mut self, shard: ShardKey) {
+        self.expire_before(shard, Incarnation::MAX);
     }
 
-    /// Returns the counters here that changed after `version`.
+    /// Returns this owner's usage of the workspaces that changed after `version`.
     pub fn usage_since(&self, version: u64) -> Vec<wire::Usage> {
-        let fresh = self.entries.iter().filter(|(_, it)| version < it.changed);
-        let mut res: Vec<_> = fresh
+        let changed = self.entries.iter().filter(|(_, it)| version < it.usage_version);
+        let mut res: Vec<_> = changed
             .map(|(id, it)| wire::Usage {
                 workspace: *id,
                 served: it.served,
@@ -225,16 +237,16 @@
 
     /// Returns the lifts that changed after `version`.
     pub fn lifts_since(&self, version: u64) -> Vec<wire::Lift> {
-        let fresh = self.entries.iter().filter(|(_, it)| version < it.lifted);
+        let changed = self.entries.iter().filter(|(_, it)| version < it.lift_version);
         let mut res: Vec<_> =
-            fresh.map(|(id, it)| wire::Lift { workspace: *id, value: it.lift }).collect();
+            changed.map(|(id, it)| wire::Lift { workspace: *id, value: it.lift }).collect();
         res.sort_unstable_by_key(|it| it.workspace);
         res
     }
 
-    /// Returns what is known of all other owners, for an owner that starts with nothing.
-    pub fn seen_sets(&self) -> Vec<wire::UsageSet> {
-        let sets = self.seen.iter().map(|((shard, incarnation), it)| wire::UsageSet {
+    /// Returns the usage known of all other owners and earlier incarnations, for a new owner.
+    pub fn remote_usage_sets(&self) -> Vec<wire::UsageSet> {
+        let sets = self.remote.iter().map(|((shard, incarnation), it)| wire::UsageSet {
             shard: Some((*shard).into()),
             incarnation: *incarnation,
             sequence: it.sequence,
@@ -243,126 +255,128 @@
         sets.collect()
     }
 
-    /// Ends one incarnation of the counters here: what it served stays as another owner's
-    /// would, and counting starts anew.
-    pub fn seal(&mut self, shard: ShardKey, incarnation: Incarnation) {
-        let mut sealed = Seen { sequence: u64::MAX, usage: BTreeMap::new() };
+    /// Closes an incarnation of this owner: cost served so far is kept as that of another owner,
+    /// and this owner's served cost restarts at zero.
+    pub fn close_incarnation(&mut self, shard: ShardKey, incarnation: Incarnation) {
+        let mut closed = RemoteUsage { sequence: u64::MAX, usage: BTreeMap::new() };
         for (id, it) in self.entries.iter_mut().filter(|(_, it)| 0 < it.served) {
             let served = std::mem::take(&mut it.served);
-            sealed.usage.insert(*id, wire::Usage { workspace: *id, served, ..Default::default() });
+            closed.usage.insert(*id, wire::Usage { workspace: *id, served, ..Default::default() });
         }
-        self.seen.insert((shard, incarnation), sealed);
+        self.remote.insert((shard, incarnation), closed);
         let all: Vec<_> = self.entries.keys().copied().collect();
-        all.into_iter().for_each(|it| self.touch(it));
+        all.into_iter().for_each(|it| self.mark_changed(it));
     }
 
-    fn newest(&self, shard: ShardKey) -> Option<Incarnation> {
+    fn latest_incarnation(&self, shard: ShardKey) -> Option<Incarnation> {
         let all = (shard, 0)..=(shard, Incarnation::MAX);
-        self.seen.range(all).next_back().map(|((_, it), _)| *it)
+        self.remote.range(all).next_back().map(|((_, it), _)| *it)
     }
 
-    fn retire_before(&mut self, shard: ShardKey, incarnation: Incarnation) {
-        let old = (shard, 0)..(shard, incarnation);
-        let stale: Vec<_> = self
-            .seen
-            .range(old)
-            .flat_map(|((_, inc), seen)| seen.usage.values().map(|it| (*inc, *it)))
+    fn expire_before(&mut self, shard: ShardKey, incarnation: Incarnation) {
+        let earlier = (shard, 0)..(shard, incarnation);
+        let expired: Vec<_> = self
+            .remote
+            .range(earlier)
+            .flat_map(|((_, inc), known)| known.usage.values().map(|it| (*inc, *it)))
             .filter(|(_, it)| 0 < it.reserved || 0 < it.waiting)
             .collect();
-        for (inc, mut usage) in stale {
+        for (inc, mut usage) in expired {
             usage.reserved = 0;
             usage.waiting = 0;
-            self.apply(shard, inc, usage);
+            self.apply_usage(shard, inc, usage);
         }
     }
 
-    fn apply(&mut self, shard: ShardKey, incarnation: Incarnation, fresh: wire::Usage) {
-        let id = fresh.workspace;
-        let seen = self.seen.entry((shard, incarnation)).or_default();
-        let old = seen.usage.get(&id).copied().unwrap_or_default();
-        let fresh = wire::Usage { served: fresh.served.max(old.served), ..fresh };
-        seen.usage.insert(id, fresh);
-        self.change(id, |it| {
-            it.total += fresh.served + fresh.reserved;
+    fn apply_usage(&mut self, shard: ShardKey, incarnation: Incarnation, usage: wire::Usage) {
+        let id = usage.workspace;
+        let known = self.remote.entry((shard, incarnation)).or_default();
+        let old = known.usage.get(&id).copied().unwrap_or_default();
+        let new = wire::Usage { served: usage.served.max(old.served), ..usage };
+        known.usage.insert(id, new);
+        self.update(id, |it| {
+            it.total += new.served + new.reserved;
             it.total -= old.served + old.reserved;
-            it.pending += fresh.reserved;
+            it.pending += new.reserved;
             it.pending -= old.reserved;
         });
-        match (0 < old.waiting, 0 < fresh.waiting) {
-            // NOTE: only the owner where it waits lifts it. Here its service is known late,
-            // and a lift over what is not known yet would stay.
-            (false, true) => self.change(id, |it| it.elsewhere += 1),
-            (true, false) => self.change(id, |it| it.elsewhere -= 1),
+        match (0 < old.waiting, 0 < new.waiting) {
+            // NOTE: only the owner at which a workspace waits lifts it. Another owner learns of
+            // its service late, and a lift that ignores some of it is never taken back.
+            (false, true) => self.update(id, |it| it.waiting_owners += 1),
+            (true, false) => self.update(id, |it| it.waiting_owners -= 1),
             _ => (),
         }
     }
 
-    /// Applies a change after which a workspace may newly be active: whoever was idle
-    /// starts at the floor and banks nothing.
+    /// Updates an entry and lifts the workspace to the floor if it becomes active, so that it gets
+    /// no credit for the time it was idle.
     ///
-    /// **NOTE:** The floor leaves reservations out. They are estimates: a lift over one that
-    /// was too high would stay after it is taken back, and starve the workspace meanwhile.
-    fn enter(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
+    /// **NOTE:** The floor excludes reservations, which are estimates. A lift that included one
+    /// that was too high would remain after its release, and starve the workspace.
+    fn update_with_lift(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let was_active = self.entries.get(&id).is_some_and(Entry::is_active);
-        let floor = self.settled.first().map_or(self.clock, |it| it.0);
-        self.change(id, f);
+        let floor = self.settled.first().map_or(self.virtual_time, |it| it.0);
+        self.update(id, f);
         let entry = self.entries[&id];
-        if self.complete && !was_active && entry.is_active() && entry.settled() < floor {
+        if self.lifts_enabled && !was_active && entry.is_active() && entry.settled() < floor {
             self.raise_lift(id, entry.lift + (floor - entry.settled()));
         }
     }
 
-    fn lift_to(&mut self, id: WorkspaceId, floor: Virtual) {
+    fn lift_to(&mut self, id: WorkspaceId, floor: VirtualCost) {
         let entry = self.entries[&id];
         self.raise_lift(id, entry.lift + (floor - entry.total));
     }
 
-    fn raise_lift(&mut self, id: WorkspaceId, value: Virtual) {
+    fn raise_lift(&mut self, id: WorkspaceId, value: VirtualCost) {
         let old = self.entries.get(&id).map_or(0, |it| it.lift);
         if value <= old {
             return;
         }
         self.version += 1;
         let version = self.version;
-        self.change(id, |it| {
+        self.update(id, |it| {
             it.lift = value;
             it.total += value - old;
-            it.lifted = version;
+            it.lift_version = version;
         });
     }
 
-    fn touch(&mut self, id: WorkspaceId) {
+    fn mark_changed(&mut self, id: WorkspaceId) {
         self.version += 1;
         let version = self.version;
-        self.change(id, |it| it.changed = version);
+        self.update(id, |it| it.usage_version = version);
     }
 
-    /// Changes an entry and keeps both orders current.
-    fn change(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
+    /// Updates an entry and its position in the orders.
+    fn update(&mut self, id: WorkspaceId, f: impl FnOnce(&mut Entry)) {
         let entry = self.entries.entry(id).or_default();
         let old = *entry;
         f(entry);
         let new = *entry;
         if (old.total, old.waiting) != (new.total, new.waiting) {
             let (was, is) = ((old.total, 0 < old.waiting), (new.total, 0 < new.waiting));
-            move_key(&mut self.local, id, was, is);
+            update_order(&mut self.local, id, was, is);
         }
         if (old.total, old.is_active()) != (new.total, new.is_active()) {
             let (was, is) = ((old.total, old.is_active()), (new.total, new.is_active()));
-            move_key(&mut self.active, id, was, is);
+            update_order(&mut self.active, id, was, is);
         }
         if (old.settled(), old.is_active()) != (new.settled(), new.is_active()) {
             let (was, is) = ((old.settled(), old.is_active()), (new.settled(), new.is_active()));
-            move_key(&mut self.settled, id, was, is);
+            update_order(&mut self.settled, id, was, is);
         }
     }
 }
 
-fn move_key(
-    set: &mut BTreeSet<(Virtual, WorkspaceId)>,
+/// Moves a workspace in an order from its old key to its new one; the flags say whether it was and
+/// is a member.
+fn update_order(
+    set: &mut BTreeSet<(VirtualCost, WorkspaceId)>,
     id: WorkspaceId,
-    (old, was_in): (Virtual, bool),
-    (new, is_in): (Virtual, bool),
+    (old, was_in): (VirtualCost, bool),
+    (new, is_in): (VirtualCost, bool),
 ) {
     if was_in {
         set.remove(&(old, id));
--- a/crates/portfield/src/schedule/decision.rs
+++ b/crates/portfield/src/schedule/decision.rs
@@ -1,14 +1,14 @@
-//! Decisions remembered for operators.
+//! Log of recent scheduling decisions, for operators.
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
-use super::key::ShardKey;
+use super::shard_key::ShardKey;
 use crate::{
     ids::{HostId, LoanId, TicketId, UpstreamId},
     wire,
 };
 
-/// Decisions that are remembered.
+/// Decisions kept; beyond it the oldest are dropped.
 const MAX_DECISIONS: usize = 8192;
 
 /// What was decided.
@@ -18,37 +18,37 @@
     Queued {
         /// The shard.
         shard: ShardKey,
-        /// Cost hint in tokens.
+        /// Cost that the caller expects, in tokens; zero if unknown.
         hint: u32,
     },
-    /// It got a slot.
+    /// A ticket was granted a slot.
     Granted {
         /// The shard that granted it.
         shard: ShardKey,
-        /// Whose slot it is.
+        /// The upstream of the slot.
         upstream: UpstreamId,
-        /// Reserved cost in tokens.
+        /// Cost reserved for it, in tokens.
         estimate: u32,
-        /// The loan that the slot came by, zero for an own one.
+        /// Loan of the slot, zero if the shard has the slot itself.
         loan: LoanId,
     },
-    /// It was not queued.
+    /// A ticket was not queued.
     Refused {
         /// The shard.
         shard: ShardKey,
-        /// When to come back.
+        /// Delay before a retry.
         retry: Duration,
     },
-    /// Its request ended.
+    /// A request that had a grant ended.
     Ended {
         /// The shard.
         shard: ShardKey,
-        /// What it was charged, in tokens.
+        /// Cost charged, in tokens.
         cost: u32,
-        /// The grant was not used to its end.
+        /// Whether the router gave the grant up.
         declined: bool,
     },
-    /// The shard went to another owner.
+    /// A shard was handed over to another owner.
     HandedOver {
         /// The shard.
         shard: ShardKey,
@@ -73,49 +73,53 @@
     }
 }
 
-/// One decision that an operator may ask about.
+/// One decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
     /// When it was made.
     pub at: Duration,
-    /// The router concerned.
+    /// Host of the router; for a hand-over, the host that gave up the shard.
     pub host: HostId,
-    /// The ticket concerned, zero for none.
+    /// The ticket, zero if the decision concerns none.
     pub ticket: TicketId,
     /// What was decided.
     pub step: Step,
 }
 
-/// The last decisions, the oldest first.
+/// The latest decisions, oldest first.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Decisions {
-    all: VecDeque<Decision>,
+pub(super) struct DecisionLog {
+    entries: VecDeque<Decision>,
 }
 
-impl Decisions {
-    /// Remembers a decision.
-    pub(super) fn push(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
-        self.all.push_back(Decision { at, host, ticket, step });
-        if MAX_DECISIONS < self.all.len() {
-            self.all.pop_front();
+impl DecisionLog {
+    /// Adds a decision.
+    pub(super) fn record(&mut self, at: Duration, host: HostId, ticket: TicketId, step: Step) {
+        self.entries.push_back(Decision { at, host, ticket, step });
+        if MAX_DECISIONS < self.entries.len() {
+            self.entries.pop_front();
         }
     }
 
-    /// Remembers what an answer to a router grants and refuses.
-    pub(super) fn note_answer(&mut self, at: Duration, host: HostId, answer: &wire::ShardAnswer) {
+    /// Adds the grants and refusals of an answer to a router.
+    pub(super) fn record_answer(&mut self, at: Duration, host: HostId, answer: &wire::ShardAnswer) {
         let Some(shard) = answer.shard.as_ref().map(ShardKey::from) else { return };
         for it in &answer.grants {
             let (upstream, estimate, loan) = (it.upstream, it.estimate, it.loan);
-            self.push(at, host, it.ticket, Step::Granted { shard, upstream, estimate, loan });
+            self.record(at, host, it.ticket, Step::Granted { shard, upstream, estimate, loan });
         }
         for it in &answer.refusals {
             let retry = Duration::from_millis(it.retry.into());
-            self.push(at, host, it.ticket, Step::Refused { shard, retry });
+            self.record(at, host, it.ticket, Step::Refused { shard, retry });
         }
     }
 
-    /// Returns the decisions on a ticket.
-    pub(super) fn on(&self, host: HostId, ticket: TicketId) -> impl Iterator<Item = &Decision> {
-        self.all.iter().filter(move |it| it.host == host && it.ticket == ticket)
+    /// Returns the decisions about a router's ticket, oldest first.
+    pub(super) fn of_ticket(
+        &self,
+        host: HostId,
+        ticket: TicketId,
+    ) -> impl Iterator<Item = &Decision> {
+        self.entries.iter().filter(move |it| it.host == host && it.ticket == ticket)
     }
 }
--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -1,5 +1,5 @@
-//! An owner's dealings with the other owners of its service: usage exchanged under a byte
-//! budget, slots lent and borrowed.
+//! Exchange between the owners of a service: usage, limited by a bandwidth budget, and loans of
+//! slots.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -8,99 +8,123 @@
 
 use prost::Message;
 
-use super::{key::ShardKey, owner::Owner};
+use super::{owner::ShardOwner, shard_key::ShardKey};
 use crate::{
     ids::{Incarnation, LoanId, UpstreamId, WorkspaceId},
     wire,
 };
 
-/// A peer that was silent for this long has nothing that waits or runs.
-const SILENCE: Duration = Duration::from_secs(3);
-/// An idle frame goes out this often, so that a silent peer is a lost one.
-const IDLE_EXCHANGE: Duration = Duration::from_secs(1);
-/// Time between two complete lists of the loans that are held.
+/// Time without a frame after which a peer is considered gone, with its tickets and requests.
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which a frame is sent without news, so that the peer can tell an idle owner from one
+/// that is gone. An unanswered frame blocks the next one for as long.
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two complete lists of the loans held from a peer.
 const HELD_PERIOD: Duration = Duration::from_secs(5);
-/// A loan that a complete list leaves out is lost if it is older than this.
-const LOAN_TRANSIT: Duration = Duration::from_secs(2);
-/// Time in which peers tell a new owner all that they know.
-const PEER_LIMIT: Duration = Duration::from_secs(2);
-/// Bytes that a call to a peer costs beside its frame.
-const CALL_COST: usize = 120;
-/// Time between two frames that only carry loans or a new want.
-const URGENT_PAUSE: Duration = Duration::from_millis(2);
-
+/// Age beyond which a loan is lost if the borrower's complete list omits it; a younger one may
+/// still be on its way.
+const LOAN_GRACE: Duration = Duration::from_secs(2);
+/// Time after recovery for which a new owner waits for the complete state of its peers.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
+/// Overhead of a call to a peer, in bytes.
+const CALL_OVERHEAD: usize = 120;
+/// Shortest time between two frames to a peer, also if they carry loans or new demand.
+const MIN_FRAME_GAP: Duration = Duration::from_millis(2);
+
+/// State of the exchange with one peer.
 #[derive(Debug, Clone, Default)]
 struct Peer {
+    /// Its latest known incarnation, zero if none.
     incarnation: Incarnation,
-    heard: Duration,
-    silent: bool,
-    /// It told all that it knows.
-    told_all: bool,
-    /// Tickets that it has waiting beyond its own free slots, less what was lent since.
+    /// When its latest frame arrived.
+    last_heard: Duration,
+    /// Whether it was last heard longer than [`PEER_TIMEOUT`] ago.
+    is_silent: bool,
+    /// Whether it has sent its complete state.
+    is_synced: bool,
+    /// Number of its waiting tickets in excess of its free slots, less the slots lent since.
     want: u32,
-    /// Its last answer is lost: what is lent to it may be, too.
-    unsure: bool,
+    /// Whether the latest frame to it may be lost; until one is confirmed, nothing is lent to it.
+    delivery_unknown: bool,
+    /// Workspaces that have waiting tickets at it.
     backlog: BTreeSet<WorkspaceId>,
-    /// Versions of the counters that it has, and that are on their way.
-    acked: u64,
-    sending: Option<u64>,
-    pulls: bool,
-    told_want: u32,
-    sent: Duration,
-    next: Duration,
+    /// Version of the counters that it has confirmed.
+    acked_version: u64,
+    /// Version of the counters in the frame that it has not confirmed yet.
+    sent_version: Option<u64>,
+    /// Whether the next regular frame must be a full one.
+    needs_full: bool,
+    /// Excess tickets of this owner, as last sent.
+    sent_want: u32,
+    last_sent: Duration,
+    /// When the next regular frame is due.
+    next_regular: Duration,
+    /// When the next complete list of held loans is due.
     next_held: Duration,
+    /// Loans to it that are to be sent.
     lends: Vec<wire::Loan>,
+    /// Loans from it that are to be returned.
     returns: Vec<LoanId>,
-    /// Loans to give back whose requests may still run.
+    /// Loans from it that are to be returned, but whose requests may still run.
     doubtful: Vec<LoanId>,
+    /// Loans to it that it holds, each with the time it was made or last confirmed.
     lent: BTreeMap<LoanId, Duration>,
 }
 
-/// What is known of a frame that was sent.
+/// Whether a frame that was sent has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
-    /// The receiver took it in.
+pub enum DeliveryStatus {
+    /// The receiver accepted it.
     Confirmed,
     /// It may or may not have arrived.
     Unknown,
 }
 
-/// The other owners of a service.
+/// Peers of an owner: the other owners of its service, and its own successor.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers {
+    /// Peers by shard; the successor has the owner's own shard.
     peers: BTreeMap<ShardKey, Peer>,
+    /// Borrowed slots that are not used yet, with their lenders.
     borrowed: VecDeque<(ShardKey, wire::Loan)>,
-    next_loan: LoanId,
+    /// Number of the latest loan.
+    last_loan: LoanId,
+    /// Sequence number of the latest usage set.
     sequence: u64,
 }
 
 impl Peer {
-    /// Returns whether loans are to be given or given back.
+    /// Returns whether loans are to be sent or returned.
     fn has_loans(&self) -> bool {
         !self.lends.is_empty() || !self.returns.is_empty() || !self.doubtful.is_empty()
     }
 }
 
 impl Peers {
-    /// Keeps exactly the given peers.
+    /// Sets the peers; those already known keep their state.
     pub(super) fn configure(&mut self, list: impl Iterator<Item = ShardKey>) {
         let mut old = std::mem::take(&mut self.peers);
-        // The first frame to a peer is a full one.
-        let fresh = || Peer { pulls: true, ..Peer::default() };
-        self.peers = list.map(|it| (it, old.remove(&it).unwrap_or_else(fresh))).collect();
+        // The first frame to a peer is a full one, as it knows nothing yet.
+        let new_peer = || Peer { needs_full: true, ..Peer::default() };
+        self.peers = list.map(|it| (it, old.remove(&it).unwrap_or_else(new_peer))).collect();
     }
 
-    /// Returns a peer where a workspace has tickets beyond the peer's own slots.
-    pub(super) fn wanting(&self, id: WorkspaceId) -> Option<ShardKey> {
+    /// Returns a peer at which a workspace has tickets and that lacks slots for its tickets.
+    pub(super) fn find_borrower(&self, id: WorkspaceId) -> Option<ShardKey> {
         let mut all = self.peers.iter();
-        all.find(|(_, it)| 0 < it.want && !it.unsure && it.backlog.contains(&id))
+        all.find(|(_, it)| 0 < it.want && !it.delivery_unknown && it.backlog.contains(&id))
             .map(|(key, _)| *key)
     }
 
-    /// Records a loan of a slot and returns its number.
-    pub(super) fn lend(&mut self, now: Duration, to: ShardKey, upstream: UpstreamId) -> LoanId {
-        self.next_loan += 1;
-        let id = self.next_loan;
+    /// Records a loan of a slot, to be sent with the next frame; returns its number.
+    pub(super) fn record_loan(
+        &mut self,
+        now: Duration,
+        to: ShardKey,
+        upstream: UpstreamId,
+    ) -> LoanId {
+        self.last_loan += 1;
+        let id = self.last_loan;
         if let Some(it) = self.peers.get_mut(&to) {
             it.want -= 1;
             it.lends.push(wire::Loan { id, upstream });
@@ -109,45 +133,45 @@
         id
     }
 
-    /// Returns the loans of a lender that are not used yet.
-    fn unused_from(&self, lender: ShardKey) -> impl Iterator<Item = wire::Loan> + '_ {
+    /// Returns the loans from a lender that are not used yet.
+    fn unused_loans(&self, lender: ShardKey) -> impl Iterator<Item = wire::Loan> + '_ {
         self.borrowed.iter().filter(move |it| it.0 == lender).map(|it| it.1)
     }
 
     /// Queues the return of a borrowed slot.
-    pub(super) fn give_back(&mut self, lender: ShardKey, loan: LoanId) {
+    pub(super) fn return_loan(&mut self, lender: ShardKey, loan: LoanId) {
         if let Some(it) = self.peers.get_mut(&lender) {
             it.returns.push(loan);
         }
     }
 
     /// Queues the return of a borrowed slot whose request may still run.
-    pub(super) fn give_up(&mut self, lender: ShardKey, loan: LoanId) {
+    pub(super) fn return_doubtful(&mut self, lender: ShardKey, loan: LoanId) {
         if let Some(it) = self.peers.get_mut(&lender) {
             it.doubtful.push(loan);
         }
     }
 
-    /// Takes a borrowed slot that is not used yet.
-    pub(super) fn take_borrowed(&mut self) -> Option<(ShardKey, wire::Loan)> {
+    /// Removes and returns a borrowed slot that is not used yet, with its lender.
+    pub(super) fn pop_borrowed(&mut self) -> Option<(ShardKey, wire::Loan)> {
         self.borrowed.pop_front()
     }
 }
 
-impl Owner {
-    /// Sets the other shards of the service, this one's successor among them as itself.
+impl ShardOwner {
+    /// Sets the shards of the service; this owner's own shard stands for its successor.
     pub fn set_peers(&mut self, list: impl Iterator<Item = ShardKey>) {
         self.peers.configure(list);
-        // Loan numbers of one life must not meet those of the life before.
-        self.peers.next_loan = self.peers.next_loan.max(self.incarnation << 20);
+        // Loan numbers must differ from those of earlier incarnations.
+        self.peers.last_loan = self.peers.last_loan.max(self.incarnation << 20);
     }
 
-    /// Takes in what a peer says.
-    pub fn hear(&mut self, now: Duration, frame: &wire::PeerShard) {
+    /// Handles a frame of a peer.
+    pub fn handle_frame(&mut self, now: Duration, frame: &wire::PeerShard) {
         let Some(from) = frame.from.as_ref().map(ShardKey::from) else { return };
         if from == self.shard {
-            // Another host takes itself for the owner: its counts are true all the same.
-            self.hear_usage(from, frame);
+            // Another host also considers itself the owner; the service it counted is valid.
+            self.merge_usage(from, frame);
             return;
         }
         let Some(peer) = self.peers.peers.get_mut(&from) else { return };
@@ -160,113 +184,120 @@
                 lent: std::mem::take(&mut peer.lent),
                 returns: std::mem::take(&mut peer.returns),
                 doubtful: std::mem::take(&mut peer.doubtful),
-                pulls: true,
+                needs_full: true,
                 ..Peer::default()
             };
         }
-        peer.heard = now;
-        peer.silent = false;
+        peer.last_heard = now;
+        peer.is_silent = false;
         peer.want = frame.want.saturating_sub(peer.lends.len() as u32);
-        peer.pulls |= frame.pull;
-        peer.told_all |= frame.complete;
-        self.hear_usage(from, frame);
-        self.hear_loans(now, from, frame);
-        self.counters.clamp(self.at_mean(self.limits.catch_up));
+        peer.needs_full |= frame.pull;
+        peer.is_synced |= frame.complete;
+        self.merge_usage(from, frame);
+        self.apply_loans(now, from, frame);
+        self.counters.clamp_lag(self.cost_at_mean_share(self.config.max_lag));
     }
 
-    /// Returns the frames that are due, and puts off the next by what these cost.
-    pub fn frames(&mut self, now: Duration) -> Vec<wire::PeerShard> {
-        self.silence_lost(now);
-        let want = self.want(now);
+    /// Returns the frames that are due. The next regular ones are delayed by the size of these
+    /// divided by the bandwidth.
+    pub fn due_frames(&mut self, now: Duration) -> Vec<wire::PeerShard> {
+        self.expire_silent(now);
+        let want = self.excess_tickets(now);
         let keys: Vec<_> = self.peers.peers.keys().copied().collect();
         let mut res = Vec::new();
         let mut bytes = 0;
         for key in keys {
-            let Some(frame) = self.frame(now, key, want) else { continue };
+            let Some(frame) = self.build_frame(now, key, want) else { continue };
             if !frame.sets.is_empty() {
-                bytes += frame.encoded_len() + CALL_COST;
+                bytes += frame.encoded_len() + CALL_OVERHEAD;
             }
             res.push(frame);
         }
         if 0 < bytes {
-            let rate = u64::from(self.limits.exchange_rate);
+            let rate = u64::from(self.config.exchange_bandwidth);
             let pause = Duration::from_millis(bytes as u64 * 1000 / rate);
-            self.postpone(now + pause.max(self.limits.exchange));
+            self.delay_regular(now + pause.max(self.config.exchange_period));
         }
         res
     }
 
-    /// Returns when a frame is due next.
-    pub fn next_frame(&self) -> Duration {
+    /// Returns when the next frame is due.
+    pub fn next_frame_at(&self) -> Duration {
         let version = self.counters.version();
         let due = |it: &Peer| {
-            let urgent = it.has_loans();
-            if it.sending.is_some() {
-                it.sent + IDLE_EXCHANGE
-            } else if urgent || it.pulls {
-                it.sent + URGENT_PAUSE
-            } else if it.acked < version {
-                it.next
+            let is_urgent = it.has_loans();
+            if it.sent_version.is_some() {
+                it.last_sent + HEARTBEAT_PERIOD
+            } else if is_urgent || it.needs_full {
+                it.last_sent + MIN_FRAME_GAP
+            } else if it.acked_version < version {
+                it.next_regular
             } else {
-                it.next.max(it.sent + IDLE_EXCHANGE)
+                it.next_regular.max(it.last_sent + HEARTBEAT_PERIOD)
             }
         };
         self.peers.peers.values().map(due).min().unwrap_or(Duration::MAX)
     }
 
-    /// Learns that a frame arrived, or that it may not have.
+    /// Records whether a frame has arrived.
     ///
-    /// Returned slots are named again, as that is idempotent; a lent slot is not lent
-    /// again but stays in doubt until the upstream's load reports clear it.
-    pub fn frame_sent(&mut self, now: Duration, frame: &wire::PeerShard, arrived: Arrival) {
+    /// If that is unknown, returns of loans are sent again, as they are idempotent. Lent slots are
+    /// not lent again: they are in doubt until the upstream's load reports clear them.
+    pub fn record_delivery(
+        &mut self,
+        now: Duration,
+        frame: &wire::PeerShard,
+        status: DeliveryStatus,
+    ) {
         let Some(to) = frame.to.as_ref().map(ShardKey::from) else { return };
         let Some(peer) = self.peers.peers.get_mut(&to) else { return };
-        let sending = peer.sending.take();
-        peer.unsure = arrived == Arrival::Unknown;
-        if arrived == Arrival::Confirmed {
-            peer.acked = peer.acked.max(sending.unwrap_or(0));
+        let sent_version = peer.sent_version.take();
+        peer.delivery_unknown = status == DeliveryStatus::Unknown;
+        if status == DeliveryStatus::Confirmed {
+            peer.acked_version = peer.acked_version.max(sent_version.unwrap_or(0));
             return;
         }
         peer.returns.extend(&frame.returns);
         peer.doubtful.extend(&frame.doubtful);
-        peer.pulls |= 1 < frame.sets.len();
+        peer.needs_full |= 1 < frame.sets.len();
         if frame.complete {
             peer.next_held = now;
         }
         for loan in &frame.lends {
-            self.doubt_lent(now, to, loan.id);
+            self.mark_loan_doubtful(now, to, loan.id);
         }
     }
 
-    /// Returns the latest ownership of a peer's shard that was heard of.
-    pub(super) fn heard_from(&self, peer: ShardKey) -> Option<Incarnation> {
+    /// Returns the latest known incarnation of a peer, zero if it was never heard.
+    pub(super) fn peer_incarnation(&self, peer: ShardKey) -> Option<Incarnation> {
         self.peers.peers.get(&peer).map(|it| it.incarnation)
     }
 
-    /// Goes on under a later number: another host took itself for the owner meanwhile, and
-    /// the peers no longer listen to this one's.
-    pub(super) fn renumber(&mut self, incarnation: Incarnation) {
-        self.counters.seal(self.shard, self.incarnation);
+    /// Continues under a later incarnation. Needed after another host considered itself the owner:
+    /// the peers know its later incarnation and ignore frames of this one.
+    pub(super) fn change_incarnation(&mut self, incarnation: Incarnation) {
+        self.counters.close_incarnation(self.shard, self.incarnation);
         self.incarnation = incarnation;
         for it in self.peers.peers.values_mut() {
-            it.pulls = true;
+            it.needs_full = true;
         }
     }
 
-    /// Returns whether every peer told all that it knows, or had the time to.
-    pub(super) fn knows_peers(&self, now: Duration) -> bool {
+    /// Returns whether all peers have sent their complete state, or [`SYNC_TIMEOUT`] is over.
+    pub(super) fn is_synced(&self, now: Duration) -> bool {
         let own = self.shard;
         let mut others = self.peers.peers.iter().filter(|(key, _)| **key != own);
-        self.granting() + PEER_LIMIT <= now || others.all(|(_, it)| it.told_all)
+        self.recovery_end() + SYNC_TIMEOUT <= now || others.all(|(_, it)| it.is_synced)
     }
 
-    /// Returns whether no peer was heard yet.
-    fn is_new(&self) -> bool {
+    /// Returns whether no peer has sent a frame yet.
+    fn has_no_contact(&self) -> bool {
         let own = self.shard;
         self.peers.peers.iter().all(|(key, it)| *key == own || it.incarnation == 0)
     }
 
-    fn hear_usage(&mut self, from: ShardKey, frame: &wire::PeerShard) {
+    /// Merges the usage and lifts in a frame.
+    fn merge_usage(&mut self, from: ShardKey, frame: &wire::PeerShard) {
         self.counters.merge_lifts(&frame.lifts);
         for set in &frame.sets {
             let Some(shard) = set.shard.as_ref().map(ShardKey::from) else { continue };
@@ -285,25 +316,26 @@
         }
     }
 
-    fn hear_loans(&mut self, now: Duration, from: ShardKey, frame: &wire::PeerShard) {
+    /// Applies the loans, returns and held loans in a frame.
+    fn apply_loans(&mut self, now: Duration, from: ShardKey, frame: &wire::PeerShard) {
         for loan in &frame.returns {
-            self.slots.give_back(now, *loan);
+            self.slots.return_loan(now, *loan);
             if let Some(peer) = self.peers.peers.get_mut(&from) {
                 peer.lent.remove(loan);
             }
         }
         for loan in &frame.doubtful {
-            self.doubt_lent(now, from, *loan);
+            self.mark_loan_doubtful(now, from, *loan);
         }
         self.peers.borrowed.extend(frame.lends.iter().map(|it| (from, *it)));
         if frame.complete {
-            self.reconcile(now, from, &frame.held);
+            self.reconcile_loans(now, from, &frame.held);
         }
     }
 
-    /// Makes the loans to a peer those that it says it holds. One that it lost, as with the
-    /// owner before it, is in doubt: what ran under it may still run.
-    fn reconcile(&mut self, now: Duration, from: ShardKey, held: &[wire::Loan]) {
+    /// Matches the loans to a peer with its complete list of held loans. A loan that it lost, for
+    /// instance in a change of owner, becomes doubtful, as its request may still run.
+    fn reconcile_loans(&mut self, now: Duration, from: ShardKey, held: &[wire::Loan]) {
         let Some(peer) = self.peers.peers.get_mut(&from) else { return };
         for loan in held {
             if peer.lent.insert(loan.id, now).is_none() {
@@ -313,35 +345,38 @@
         let lost: Vec<_> = peer
             .lent
             .iter()
-            .filter(|(id, at)| **at + LOAN_TRANSIT <= now && !held.iter().any(|it| it.id == **id))
+            .filter(|(id, at)| **at + LOAN_GRACE <= now && !held.iter().any(|it| it.id == **id))
             .map(|(id, _)| *id)
             .collect();
         for loan in lost {
-            self.doubt_lent(now, from, loan);
+            self.mark_loan_doubtful(now, from, loan);
         }
     }
 
-    /// Ends a loan of which nobody can say whether its slot is still used.
-    fn doubt_lent(&mut self, now: Duration, peer: ShardKey, loan: LoanId) {
+    /// Ends a loan whose slot may or may not be in use, and marks the slot as in doubt.
+    fn mark_loan_doubtful(&mut self, now: Duration, peer: ShardKey, loan: LoanId) {
         if let Some(it) = self.peers.peers.get_mut(&peer) {
             it.lent.remove(&loan);
         }
-        self.slots.doubt_loan(now, loan);
+        self.slots.mark_loan_doubtful(now, loan);
     }
 
-    fn frame(&mut self, now: Duration, to: ShardKey, want: u32) -> Option<wire::PeerShard> {
-        let is_new = self.is_new();
+    /// Builds the frame to a peer if one is due; `want` is this owner's number of excess tickets.
+    fn build_frame(&mut self, now: Duration, to: ShardKey, want: u32) -> Option<wire::PeerShard> {
+        let needs_pull = self.has_no_contact();
         let peer = self.peers.peers.get_mut(&to)?;
-        if peer.sending.is_some() && now < peer.sent + IDLE_EXCHANGE {
+        if peer.sent_version.is_some() && now < peer.last_sent + HEARTBEAT_PERIOD {
             return None;
         }
         let version = self.counters.version();
-        // Who has just begun needs everything now, whatever the budget says.
-        let regular = peer.next <= now || peer.pulls;
-        let stale = peer.acked < version || peer.pulls || peer.sent + IDLE_EXCHANGE <= now;
-        let new_want = peer.told_want == 0 && 0 < want;
-        let urgent = peer.has_loans() || new_want;
-        if !((regular && stale || urgent) && peer.sent + URGENT_PAUSE <= now) {
+        // A full frame is sent at once, whatever the bandwidth budget.
+        let is_regular = peer.next_regular <= now || peer.needs_full;
+        let has_news = peer.acked_version < version
+            || peer.needs_full
+            || peer.last_sent + HEARTBEAT_PERIOD <= now;
+        let is_new_want = peer.sent_want == 0 && 0 < want;
+        let is_urgent = peer.has_loans() || is_new_want;
+        if !((is_regular && has_news || is_urgent) && peer.last_sent + MIN_FRAME_GAP <= now) {
             return None;
         }
         let mut res = wire::PeerShard {
@@ -352,34 +387,35 @@
             lends: std::mem::take(&mut peer.lends),
             returns: std::mem::take(&mut peer.returns),
             doubtful: std::mem::take(&mut peer.doubtful),
-            pull: is_new,
+            pull: needs_pull,
             ..Default::default()
         };
-        peer.told_want = want;
-        peer.sent = now;
-        peer.sending = Some(peer.acked);
-        if regular || new_want {
-            peer.sending = Some(version);
-            peer.next = now + self.limits.exchange;
-            let (since, full) = (peer.acked, std::mem::take(&mut peer.pulls));
-            let tells_held = full || peer.next_held <= now;
-            if tells_held {
+        peer.sent_want = want;
+        peer.last_sent = now;
+        peer.sent_version = Some(peer.acked_version);
+        if is_regular || is_new_want {
+            peer.sent_version = Some(version);
+            peer.next_regular = now + self.config.exchange_period;
+            let (since, is_full) = (peer.acked_version, std::mem::take(&mut peer.needs_full));
+            let lists_loans = is_full || peer.next_held <= now;
+            if lists_loans {
                 peer.next_held = now + HELD_PERIOD;
             }
-            // The successor also hears now and then what the others told.
-            let is_told_all = full || tells_held && to == self.shard;
-            self.fill(&mut res, if full { 0 } else { since }, is_told_all);
-            if tells_held && to != self.shard {
+            // The successor also gets the usage of other owners, each time held loans are due.
+            let includes_remote = is_full || lists_loans && to == self.shard;
+            self.add_usage(&mut res, if is_full { 0 } else { since }, includes_remote);
+            if lists_loans && to != self.shard {
                 res.complete = true;
-                res.held = self.held_from(to);
-                res.held.extend(self.peers.unused_from(to));
+                res.held = self.loans_in_use(to);
+                res.held.extend(self.peers.unused_loans(to));
             }
         }
         Some(res)
     }
 
-    /// Adds usage and lifts changed after a version, and in a full frame all that is known.
-    fn fill(&mut self, res: &mut wire::PeerShard, since: u64, full: bool) {
+    /// Adds the usage and lifts that changed after version `since`, and the usage of other owners if
+    /// `includes_remote` is set.
+    fn add_usage(&mut self, res: &mut wire::PeerShard, since: u64, includes_remote: bool) {
         self.peers.sequence += 1;
         res.sets.push(wire::UsageSet {
             shard: Some(self.shard.into()),
@@ -388,44 +424,48 @@
             usage: self.counters.usage_since(since),
         });
         res.lifts = self.counters.lifts_since(since);
-        if full {
-            res.sets.extend(self.counters.seen_sets());
+        if includes_remote {
+            res.sets.extend(self.counters.remote_usage_sets());
         }
     }
 
-    fn postpone(&mut self, next: Duration) {
+    /// Delays the regular frames to all peers to `next` at the earliest.
+    fn delay_regular(&mut self, next: Duration) {
         for it in self.peers.peers.values_mut() {
-            it.next = it.next.max(next);
+            it.next_regular = it.next_regular.max(next);
         }
     }
 
-    /// A silent peer's reservations and wants no longer count, and loans to it are in doubt.
-    fn silence_lost(&mut self, now: Duration) {
-        let lost: Vec<_> = self
+    /// Expires peers that are silent: their reservations and demand no longer count, and loans to
+    /// them become doubtful.
+    fn expire_silent(&mut self, now: Duration) {
+        let silent: Vec<_> = self
             .peers
             .peers
             .iter()
-            .filter(|(_, it)| !it.silent && 0 < it.incarnation && it.heard + SILENCE <= now)
+            .filter(|(_, it)| {
+                !it.is_silent && 0 < it.incarnation && it.last_heard + PEER_TIMEOUT <= now
+            })
             .map(|(key, _)| *key)
             .collect();
-        for key in lost {
+        for key in silent {
             let Some(peer) = self.peers.peers.get_mut(&key) else { continue };
-            peer.silent = true;
+            peer.is_silent = true;
             peer.want = 0;
             peer.backlog.clear();
-            peer.acked = 0;
-            peer.pulls = true;
+            peer.acked_version = 0;
+            peer.needs_full = true;
             let lent = std::mem::take(&mut peer.lent);
-            self.counters.silence(key);
+            self.counters.expire_owner(key);
             for loan in lent.into_keys() {
-                self.slots.doubt_loan(now, loan);
+                self.slots.mark_loan_doubtful(now, loan);
             }
         }
     }
 }
 
-impl Owner {
-    /// Takes over the counters that an earlier owner sent ahead.
+impl ShardOwner {
+    /// Restores the counters that an earlier owner replicated to this host.
     pub(super) fn restore(
         &mut self,
         sets: impl Iterator<Item = wire::UsageSet>,
@@ -438,19 +478,20 @@
         }
         let lifts = lifts.iter().map(|(id, value)| wire::Lift { workspace: *id, value: *value });
         self.counters.merge_lifts(&lifts.collect::<Vec<_>>());
-        // The life before has ended: what it had reserved is registered anew.
-        self.counters.silence(self.shard);
+        // The earlier incarnation has ended: its routers register their requests again, which
+        // reserves their cost anew.
+        self.counters.expire_owner(self.shard);
     }
 
-    /// Returns the frame that hands everything known to the next owner.
-    pub(super) fn last_frame(&mut self) -> wire::PeerShard {
+    /// Builds the frame that hands over all known counters to the next owner.
+    pub(super) fn handover_frame(&mut self) -> wire::PeerShard {
         let mut res = wire::PeerShard {
             from: Some(self.shard.into()),
             to: Some(self.shard.into()),
             incarnation: self.incarnation,
             ..Default::default()
         };
-        self.fill(&mut res, 0, true);
+        self.add_usage(&mut res, 0, true);
         res
     }
 }
