--- a/crates/portfield-net/src/settings.rs
+++ b/crates/portfield-net/src/settings.rs
@@ -8,20 +8,20 @@
 /// The settings file cannot be used; with every mistake found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    mistakes: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl Error {
     /// Returns every mistake.
-    pub fn mistakes(&self) -> &[Diagnostic] {
-        &self.mistakes
+    pub fn diagnostics(&self) -> &[Diagnostic] {
+        &self.diagnostics
     }
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the settings are not acceptable")?;
-        for it in &self.mistakes {
+        for it in &self.diagnostics {
             write!(f, "\n  {}: {}", it.key, it.message)?;
         }
         Ok(())
@@ -41,13 +41,13 @@
 /// reader.address("listen");
 /// reader.string("data_centre");
 /// let err = reader.finish().unwrap_err();
-/// let keys: Vec<_> = err.mistakes().iter().map(|it| it.key.as_str()).collect();
+/// let keys: Vec<_> = err.diagnostics().iter().map(|it| it.key.as_str()).collect();
 /// assert_eq!(keys, ["listen", "data_centre", "extra"]);
 /// ```
 #[derive(Debug, Default)]
 pub struct Reader {
     table: Table,
-    mistakes: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl Reader {
@@ -57,7 +57,7 @@
             Ok(text) => Self::parse(&text),
             Err(err) => {
                 let mut res = Self::default();
-                res.mistake("file", format!("{}: {err}", path.display()));
+                res.report("file", format!("{}: {err}", path.display()));
                 res
             }
         }
@@ -68,7 +68,7 @@
         let mut res = Self::default();
         match text.parse() {
             Ok(it) => res.table = it,
-            Err(err) => res.mistake("file", format!("not TOML: {err}")),
+            Err(err) => res.report("file", format!("not TOML: {err}")),
         }
         res
     }
@@ -77,18 +77,18 @@
     pub fn string(&mut self, key: &str) -> String {
         match self.table.remove(key) {
             Some(Value::String(it)) if !it.is_empty() => it,
-            Some(_) => self.wrong(key, "must be a text that is not empty"),
-            None => self.wrong(key, "is missing; write a text"),
+            Some(_) => self.reject_string(key, "must be a text that is not empty"),
+            None => self.reject_string(key, "is missing; write a text"),
         }
     }
 
     /// Takes an address that must be there.
     pub fn address(&mut self, key: &str) -> SocketAddr {
         let res = self.optional_address(key);
-        if res.is_none() && !self.mistakes.iter().any(|it| it.key == key) {
-            self.mistake(key, "is missing; write an IP number and a port".to_owned());
+        if res.is_none() && !self.diagnostics.iter().any(|it| it.key == key) {
+            self.report(key, "is missing; write an IP number and a port".to_owned());
         }
-        res.unwrap_or_else(nowhere)
+        res.unwrap_or_else(unspecified_address)
     }
 
     /// Takes an address that may be missing.
@@ -96,7 +96,7 @@
         let value = self.table.remove(key)?;
         let res = value.as_str().and_then(|it| it.parse().ok());
         if res.is_none() {
-            self.mistake(key, "must be an IP number and a port, such as 127.0.0.1:80".to_owned());
+            self.report(key, "must be an IP number and a port, such as 127.0.0.1:80".to_owned());
         }
         res
     }
@@ -108,41 +108,41 @@
         let res: Vec<_> =
             list.iter().filter_map(|it| it.as_str().and_then(|it| it.parse().ok())).collect();
         if !value.is_array() || res.len() != list.len() {
-            self.mistake(key, "must be a list of IP numbers with ports".to_owned());
+            self.report(key, "must be a list of IP numbers with ports".to_owned());
         }
         res
     }
 
     /// Takes a table of addresses by name, empty if missing.
     pub fn address_table(&mut self, key: &str) -> HashMap<String, SocketAddr> {
-        self.named(key, ["addresses", "an address"], |it| it.parse().ok())
+        self.table_of(key, ["addresses", "an address"], |it| it.parse().ok())
     }
 
     /// Takes a table of texts by name, empty if missing.
     pub fn string_table(&mut self, key: &str) -> HashMap<String, String> {
-        let text = |it: &str| (!it.is_empty()).then(|| it.to_owned());
-        self.named(key, ["texts", "a text that is not empty"], text)
+        let parse = |it: &str| (!it.is_empty()).then(|| it.to_owned());
+        self.table_of(key, ["texts", "a text that is not empty"], parse)
     }
 
-    /// Takes a table of values by name; `[all, each]` name what it must hold, for mistakes.
-    fn named<T>(
+    /// Takes a table of values by name; `[all, each]` name what it must hold, for diagnostics.
+    fn table_of<T>(
         &mut self,
         key: &str,
         [all, each]: [&str; 2],
-        read: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> HashMap<String, T> {
         let Some(value) = self.table.remove(key) else { return HashMap::new() };
         let Value::Table(table) = value else {
-            self.mistake(key, format!("must be a table of {all}"));
+            self.report(key, format!("must be a table of {all}"));
             return HashMap::new();
         };
         let mut res = HashMap::new();
         for (name, it) in table {
-            match it.as_str().and_then(&read) {
+            match it.as_str().and_then(&parse) {
                 Some(it) => {
                     res.insert(name, it);
                 }
-                None => self.mistake(&format!("{key}.{name}"), format!("must be {each}")),
+                None => self.report(&format!("{key}.{name}"), format!("must be {each}")),
             }
         }
         res
@@ -155,8 +155,8 @@
         match res.filter(|it| (range.0..=range.1).contains(it)) {
             Some(it) => it,
             None => {
-                let text = format!("must be a number from {} to {}", range.0, range.1);
-                self.mistake(key, text);
+                let message = format!("must be a number from {} to {}", range.0, range.1);
+                self.report(key, message);
                 default
             }
         }
@@ -174,7 +174,7 @@
         match res.filter(|it| (range.0..=range.1).contains(it)) {
             Some(it) => it,
             None => {
-                self.mistake(key, format!("must be a number from {} to {}", range.0, range.1));
+                self.report(key, format!("must be a number from {} to {}", range.0, range.1));
                 default
             }
         }
@@ -191,26 +191,26 @@
     ///
     /// [`Error`] with every mistake.
     pub fn finish(mut self) -> Result<(), Error> {
-        let unknown: Vec<_> = self.table.keys().cloned().collect();
-        for key in unknown {
-            self.mistake(&key, "is not a known key; remove it".to_owned());
+        let unknown_keys: Vec<_> = self.table.keys().cloned().collect();
+        for key in unknown_keys {
+            self.report(&key, "is not a known key; remove it".to_owned());
         }
-        if self.mistakes.is_empty() {
+        if self.diagnostics.is_empty() {
             return Ok(());
         }
-        Err(Error { mistakes: self.mistakes })
+        Err(Error { diagnostics: self.diagnostics })
     }
 
-    fn wrong(&mut self, key: &str, text: &str) -> String {
-        self.mistake(key, text.to_owned());
+    fn reject_string(&mut self, key: &str, message: &str) -> String {
+        self.report(key, message.to_owned());
         String::new()
     }
 
-    fn mistake(&mut self, key: &str, text: String) {
-        self.mistakes.push(Diagnostic { key: key.to_owned(), message: text });
+    fn report(&mut self, key: &str, message: String) {
+        self.diagnostics.push(Diagnostic { key: key.to_owned(), message });
     }
 }
 
-fn nowhere() -> SocketAddr {
+fn unspecified_address() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
--- a/crates/portfield-net/tests/settings_page.rs
+++ b/crates/portfield-net/tests/settings_page.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_page_names_every_key_and_no_other() {
+fn settings_page_lists_exactly_the_known_keys() {
     for (heading, path) in [
         ("## Scheduler", "crates/portfield-scheduler/src/settings.rs"),
         ("## Router", "crates/portfield-router/src/settings.rs"),
