--- a/crates/portfield-net/src/lib.rs
+++ b/crates/portfield-net/src/lib.rs
@@ -1,6 +1,6 @@
-//! Sockets, settings, logs and platform clients shared by portfield's binaries.
+//! Clocks, connections, settings, logs and platform clients shared by portfield's programs.
 //!
-//! Everything here is plumbing: no decision about routing or fairness is made in it.
+//! This crate is infrastructure only. Decisions about routing and fairness are made elsewhere.
 
 pub mod clock;
 pub mod connector;
--- a/crates/portfield-net/src/settings.rs
+++ b/crates/portfield-net/src/settings.rs
@@ -1,18 +1,18 @@
-//! Settings files in TOML, read as a whole: every mistake is reported with its key.
+//! Settings files in TOML. All problems of a file are reported together, each with its key.
 
 use std::{collections::HashMap, error, fmt, fs, net::SocketAddr, path::Path, time::Duration};
 
 use portfield::fleet::Diagnostic;
 use toml::{Table, Value};
 
-/// The settings file cannot be used; with every mistake found.
+/// Error of a settings file that cannot be used, with every problem found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     diagnostics: Vec<Diagnostic>,
 }
 
 impl Error {
-    /// Returns every mistake.
+    /// Returns the diagnostics, one for each problem.
     pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.diagnostics
     }
@@ -20,7 +20,7 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the settings are not acceptable")?;
+        f.write_str("the settings are invalid")?;
         for it in &self.diagnostics {
             write!(f, "\n  {}: {}", it.key, it.message)?;
         }
@@ -30,7 +30,7 @@
 
 impl error::Error for Error {}
 
-/// Reads keys one by one and collects what is wrong with them.
+/// Reads a settings file key by key and collects its problems.
 ///
 /// # Examples
 ///
@@ -51,7 +51,7 @@
 }
 
 impl Reader {
-    /// Reads a file.
+    /// Reads and parses a file.
     pub fn open(path: &Path) -> Self {
         match fs::read_to_string(path) {
             Ok(text) => Self::parse(&text),
@@ -63,68 +63,74 @@
         }
     }
 
-    /// Reads a text.
+    /// Parses the text of a file.
     pub fn parse(text: &str) -> Self {
         let mut res = Self::default();
         match text.parse() {
             Ok(it) => res.table = it,
-            Err(err) => res.report("file", format!("not TOML: {err}")),
+            Err(err) => res.report("file", format!("invalid TOML: {err}")),
         }
         res
     }
 
-    /// Takes a text that must be there.
+    /// Takes a required string, which must not be empty.
     pub fn string(&mut self, key: &str) -> String {
         match self.table.remove(key) {
             Some(Value::String(it)) if !it.is_empty() => it,
-            Some(_) => self.reject_string(key, "must be a text that is not empty"),
-            None => self.reject_string(key, "is missing; write a text"),
+            Some(_) => self.reject_string(key, "must be a string that is not empty"),
+            None => self.reject_string(key, "is missing; add a string"),
         }
     }
 
-    /// Takes an address that must be there.
+    /// Takes a required address.
     pub fn address(&mut self, key: &str) -> SocketAddr {
         let res = self.optional_address(key);
         if res.is_none() && !self.diagnostics.iter().any(|it| it.key == key) {
-            self.report(key, "is missing; write an IP number and a port".to_owned());
+            self.report(
+                key,
+                "is missing; add an IP address with a port, such as 127.0.0.1:80".to_owned(),
+            );
         }
         res.unwrap_or_else(unspecified_address)
     }
 
-    /// Takes an address that may be missing.
+    /// Takes an optional address.
     pub fn optional_address(&mut self, key: &str) -> Option<SocketAddr> {
         let value = self.table.remove(key)?;
         let res = value.as_str().and_then(|it| it.parse().ok());
         if res.is_none() {
-            self.report(key, "must be an IP number and a port, such as 127.0.0.1:80".to_owned());
+            self.report(key, "must be an IP address with a port, such as 127.0.0.1:80".to_owned());
         }
         res
     }
 
-    /// Takes a list of addresses, empty if missing.
+    /// Takes an optional list of addresses, empty by default.
     pub fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let Some(value) = self.table.remove(key) else { return Vec::new() };
         let list = value.as_array().cloned().unwrap_or_default();
         let res: Vec<_> =
             list.iter().filter_map(|it| it.as_str().and_then(|it| it.parse().ok())).collect();
         if !value.is_array() || res.len() != list.len() {
-            self.report(key, "must be a list of IP numbers with ports".to_owned());
+            self.report(key, "must be a list of IP addresses with ports".to_owned());
         }
         res
     }
 
-    /// Takes a table of addresses by name, empty if missing.
+    /// Takes an optional table of addresses by name, empty by default.
     pub fn address_table(&mut self, key: &str) -> HashMap<String, SocketAddr> {
-        self.table_of(key, ["addresses", "an address"], |it| it.parse().ok())
+        self.table_of(key, ["IP addresses with ports", "an IP address with a port"], |it| {
+            it.parse().ok()
+        })
     }
 
-    /// Takes a table of texts by name, empty if missing.
+    /// Takes an optional table of strings by name, empty by default.
     pub fn string_table(&mut self, key: &str) -> HashMap<String, String> {
         let parse = |it: &str| (!it.is_empty()).then(|| it.to_owned());
-        self.table_of(key, ["texts", "a text that is not empty"], parse)
+        self.table_of(key, ["strings", "a string that is not empty"], parse)
     }
 
-    /// Takes a table of values by name; `[all, each]` name what it must hold, for diagnostics.
+    /// Takes an optional table of values by name. Diagnostics call the values `all` and one value
+    /// `each`.
     fn table_of<T>(
         &mut self,
         key: &str,
@@ -148,26 +154,26 @@
         res
     }
 
-    /// Takes a number within a range.
+    /// Takes an optional integer within an inclusive range.
     pub fn integer(&mut self, key: &str, default: u64, range: (u64, u64)) -> u64 {
         let Some(value) = self.table.remove(key) else { return default };
         let res = value.as_integer().and_then(|it| u64::try_from(it).ok());
         match res.filter(|it| (range.0..=range.1).contains(it)) {
             Some(it) => it,
             None => {
-                let message = format!("must be a number from {} to {}", range.0, range.1);
+                let message = format!("must be an integer from {} to {}", range.0, range.1);
                 self.report(key, message);
                 default
             }
         }
     }
 
-    /// Takes a time in milliseconds within a range.
+    /// Takes an optional duration in whole milliseconds within an inclusive range.
     pub fn millis(&mut self, key: &str, default: u64, range: (u64, u64)) -> Duration {
         Duration::from_millis(self.integer(key, default, range))
     }
 
-    /// Takes a number with or without a fraction, within a range.
+    /// Takes an optional number, integer or float, within an inclusive range.
     pub fn float(&mut self, key: &str, default: f64, range: (f64, f64)) -> f64 {
         let Some(value) = self.table.remove(key) else { return default };
         let res = value.as_float().or(value.as_integer().map(|it| it as f64));
@@ -180,20 +186,20 @@
         }
     }
 
-    /// Takes a time in seconds within a range.
+    /// Takes an optional duration in seconds within an inclusive range.
     pub fn seconds(&mut self, key: &str, default: f64, range: (f64, f64)) -> Duration {
         Duration::from_secs_f64(self.float(key, default, range))
     }
 
-    /// Ends the reading: keys that nobody took are unknown.
+    /// Finishes reading. Keys that were not taken are reported as unknown.
     ///
     /// # Errors
     ///
-    /// [`Error`] with every mistake.
+    /// Returns an [`Error`] with every problem found.
     pub fn finish(mut self) -> Result<(), Error> {
         let unknown_keys: Vec<_> = self.table.keys().cloned().collect();
         for key in unknown_keys {
-            self.report(&key, "is not a known key; remove it".to_owned());
+            self.report(&key, "unknown key; remove it".to_owned());
         }
         if self.diagnostics.is_empty() {
             return Ok(());
@@ -201,6 +207,7 @@
         Err(Error { diagnostics: self.diagnostics })
     }
 
+    /// Reports a problem with a string and returns an empty string in its place.
     fn reject_string(&mut self, key: &str, message: &str) -> String {
         self.report(key, message.to_owned());
         String::new()
@@ -211,6 +218,7 @@
     }
 }
 
+/// Returns the placeholder for an address that is missing or invalid.
 fn unspecified_address() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
--- a/crates/portfield-net/tests/settings_page.rs
+++ b/crates/portfield-net/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The settings page for operators names exactly the keys that the programs read.
+//! The operators' documentation of the settings lists exactly the keys that the programs read.
 
 use std::{collections::BTreeSet, fs};
 
@@ -6,7 +6,7 @@
     fs::read_to_string(format!("{}/../../{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-/// Returns the keys that a settings module takes.
+/// Returns the keys that a settings module takes from its `Reader`, found in the source code.
 fn keys_in_code(path: &str) -> BTreeSet<String> {
     let text = read(path);
     let calls = text.split("it.").skip(1);
@@ -15,7 +15,7 @@
     quoted.filter_map(|it| it.1.split('"').next()).map(str::to_owned).collect()
 }
 
-/// Returns the keys of the table under a heading.
+/// Returns the keys in the table under a heading of the page.
 fn keys_on_page(heading: &str) -> BTreeSet<String> {
     let page = read("docs/operators/settings.md");
     let section = page.split(heading).nth(1).unwrap().split("\n## ").next().unwrap();
