--- a/crates/portfield-burn/src/html.rs
+++ b/crates/portfield-burn/src/html.rs
@@ -44,12 +44,12 @@
 
 /// Appends the table row of one workspace and service.
 fn write_row(res: &mut String, it: &Row) {
-    let longest = it.tallies[it.tallies.len() - 1];
+    let longest_window = it.tallies[it.tallies.len() - 1];
     let (workspace, service) = (escape(&it.workspace), escape(&it.service));
     let _ = write!(
         res,
         "<tr><td class=l>{workspace}<td class=l>{service}<td>{}<td>{}<td>{}<td>{}",
-        longest.total, longest.failed, longest.late, longest.slow
+        longest_window.total, longest_window.failed, longest_window.late, longest_window.slow
     );
     for burn in it.burns {
         let class = match burn {
--- a/crates/portfield-burn/src/report.rs
+++ b/crates/portfield-burn/src/report.rs
@@ -115,7 +115,7 @@
             "6 h"
         );
         for it in &self.rows {
-            let longest = it.tallies[WINDOW_MINUTES.len() - 1];
+            let longest_window = it.tallies[WINDOW_MINUTES.len() - 1];
             let [m5, m30, h1, h6] = it.burns;
             let alert = match it.alert {
                 Alert::None => "",
@@ -125,7 +125,12 @@
             let _ = writeln!(
                 res,
                 "{alert:5} {:22} {:12} {:>9} {:>7} {:>6} {:>6} {m5:>8.2} {m30:>8.2} {h1:>8.2} {h6:>8.2}",
-                it.workspace, it.service, longest.total, longest.failed, longest.late, longest.slow
+                it.workspace,
+                it.service,
+                longest_window.total,
+                longest_window.failed,
+                longest_window.late,
+                longest_window.slow
             );
         }
         let _ = writeln!(res, "\nfirst byte, ms       p50      p95      p99");
--- a/crates/portfield-load/src/measurements.rs
+++ b/crates/portfield-load/src/measurements.rs
@@ -46,7 +46,7 @@
 /// Measurements of a run.
 #[derive(Debug)]
 pub(crate) struct Measurements {
-    pub rows: BTreeMap<String, WorkspaceStats>,
+    pub workspaces: BTreeMap<String, WorkspaceStats>,
     pub fairness_gap: Gap,
     /// Mean milliseconds between the tokens of a response.
     pub token_gaps: Histogram<u64>,
@@ -57,9 +57,9 @@
 
 impl Measurements {
     pub(crate) fn new(fleet: &Fleet) -> Self {
-        let mut rows = BTreeMap::new();
+        let mut workspaces = BTreeMap::new();
         for (idx, it) in fleet.workspaces.iter().enumerate() {
-            let row = WorkspaceStats {
+            let stats = WorkspaceStats {
                 share: it.share,
                 n_sent: 0,
                 outcomes: BTreeMap::new(),
@@ -68,11 +68,11 @@
                 n_waiting: 0,
                 idx,
             };
-            rows.insert(it.name.clone(), row);
+            workspaces.insert(it.name.clone(), stats);
         }
         let shares = fleet.workspaces.iter().map(|it| f64::from(it.share)).collect();
         Self {
-            rows,
+            workspaces,
             fairness_gap: Gap::new(shares),
             token_gaps: new_histogram(),
             start_times: HashMap::new(),
@@ -84,29 +84,29 @@
     pub(crate) fn record_start(&mut self, it: &Arrival) {
         let key = arrival_key(it);
         self.start_times.entry(key).or_default().push(clock::now());
-        let Some(row) = self.rows.get_mut(&it.workspace) else { return };
-        row.n_sent += 1;
+        let Some(stats) = self.workspaces.get_mut(&it.workspace) else { return };
+        stats.n_sent += 1;
         if 1 < it.cost {
-            row.n_waiting += 1;
-            self.fairness_gap.set_backlogged(row.idx, Backlog::Waits);
+            stats.n_waiting += 1;
+            self.fairness_gap.set_backlogged(stats.idx, Backlog::Waits);
         }
     }
 
     /// Records the first token of a response.
     pub(crate) fn record_first_token(&mut self, it: &Arrival) {
         let start_time = self.start_times.get_mut(&arrival_key(it)).and_then(Vec::pop);
-        let Some(row) = self.rows.get_mut(&it.workspace) else { return };
+        let Some(stats) = self.workspaces.get_mut(&it.workspace) else { return };
         if let Some(at) = start_time {
-            let _ = row.wait_ms.record((clock::now() - at).as_millis() as u64);
+            let _ = stats.wait_ms.record((clock::now() - at).as_millis() as u64);
         }
-        row.leave_queue(&mut self.fairness_gap);
+        stats.leave_queue(&mut self.fairness_gap);
     }
 
     /// Records a token.
     pub(crate) fn record_token(&mut self, it: &Arrival) {
-        let Some(row) = self.rows.get_mut(&it.workspace) else { return };
-        row.tokens += 1;
-        self.fairness_gap.serve(row.idx, 1.0);
+        let Some(stats) = self.workspaces.get_mut(&it.workspace) else { return };
+        stats.tokens += 1;
+        self.fairness_gap.serve(stats.idx, 1.0);
     }
 
     /// Records the mean time between the tokens of a response.
@@ -117,21 +117,22 @@
     /// Records the outcome of the request with the number `idx`.
     pub(crate) fn record_outcome(&mut self, idx: usize, it: &Arrival, outcome: Outcome) {
         self.n_ended += 1;
-        let Some(row) = self.rows.get_mut(&it.workspace) else { return };
-        *row.outcomes.entry(outcome_name(outcome)).or_default() += 1;
+        let Some(stats) = self.workspaces.get_mut(&it.workspace) else { return };
+        *stats.outcomes.entry(outcome_name(outcome)).or_default() += 1;
         if outcome != Outcome::Whole && outcome != Outcome::Refused {
             log::warn!(request = idx, workspace = it.workspace; "ended as {}", outcome_name(outcome));
         }
         if outcome == Outcome::Whole && it.cost <= 1 {
             self.record_first_token(it);
         } else if outcome != Outcome::Whole {
-            row.leave_queue(&mut self.fairness_gap);
+            stats.leave_queue(&mut self.fairness_gap);
         }
     }
 
     /// Returns the names of the workspaces, ordered by their index in the fairness gap.
     pub(crate) fn workspace_names(&self) -> Vec<String> {
-        let mut res: Vec<_> = self.rows.iter().map(|(name, it)| (it.idx, name.clone())).collect();
+        let mut res: Vec<_> =
+            self.workspaces.iter().map(|(name, it)| (it.idx, name.clone())).collect();
         res.sort_unstable();
         res.into_iter().map(|(_, name)| name).collect()
     }
--- a/crates/portfield-load/src/report.rs
+++ b/crates/portfield-load/src/report.rs
@@ -41,7 +41,7 @@
 
 impl Report {
     pub(crate) fn new(measurements: &Measurements, samples: &Samples, n_total: usize) -> Self {
-        let active = measurements.rows.iter().filter(|(_, it)| 0 < it.n_sent);
+        let active = measurements.workspaces.iter().filter(|(_, it)| 0 < it.n_sent);
         let workspaces = active.map(|(name, it)| {
             let n_outcomes = |key: &str| it.outcomes.get(key).copied().unwrap_or(0);
             WorkspaceRow {
