--- a/crates/portfield-load/src/bin/portfield-bench.rs
+++ b/crates/portfield-load/src/bin/portfield-bench.rs
@@ -74,14 +74,14 @@
         )
     };
     for idx in 0..args.calls + args.calls / 10 {
-        // The first calls, a tenth of their number, are a warm-up.
+        // The first calls are a warm-up, a tenth as many as are measured.
         let is_measured = args.calls / 10 <= idx;
         for (address, path, histogram) in
             [(args.direct, "/run", &mut direct), (args.router, args.path.as_str(), &mut routed)]
         {
             let start = Instant::now();
             let response = exchange(address, &request(path)).await?;
-            ensure!(response.starts_with("HTTP/1.1 200"), "{response}");
+            ensure!(response.starts_with("HTTP/1.1 200"), "unexpected response: {response}");
             if is_measured {
                 histogram.record(start.elapsed().as_micros() as u64)?;
             }
@@ -152,7 +152,8 @@
     let mut bytes = [0; 512];
     while !received.windows(5).any(|it| it == b"data:") {
         let read = clock::timeout(EVENT_TIMEOUT, stream.read(&mut bytes)).await;
-        let n = read.ok_or_else(|| eyre::eyre!("stream {idx}: no event"))??;
+        let n =
+            read.ok_or_else(|| eyre::eyre!("stream {idx}: timed out waiting for an event"))??;
         ensure!(0 < n, "stream {idx} ended: {}", String::from_utf8_lossy(&received));
         received.extend_from_slice(&bytes[..n]);
     }
--- a/crates/portfield-load/src/main.rs
+++ b/crates/portfield-load/src/main.rs
@@ -58,7 +58,9 @@
     let arrivals = trace::read(&args.trace)?;
     let platform = PlatformClient::new(args.platform, Duration::from_secs(2));
     let fleet = fleet_store::read_fleet(&platform, 0).await?;
-    let fleet = Arc::new(fleet.ok_or_eyre("no configuration is in force")?);
+    let fleet = Arc::new(fleet.ok_or_eyre(
+        "no configuration is in force; run `portfieldctl plan` and `portfieldctl confirm`",
+    )?);
     let mut hosts = platform.read_hosts().await?;
     hosts.sort_by_key(|it| it.router);
     let measurements = Arc::new(Mutex::new(Measurements::new(&fleet)));
