--- a/crates/portfield-router/src/admin.rs
+++ b/crates/portfield-router/src/admin.rs
@@ -6,47 +6,47 @@
 use portfield_net::{http1::json, rpc};
 use serde_json::json;
 
-use crate::shell::Shell;
+use crate::app::App;
 
 /// Answers a request of the admin port.
-pub(crate) fn answer(shell: &Shell, request: &Request) -> Response {
+pub(crate) fn answer(app: &App, request: &Request) -> Response {
     match request.url().path() {
         "/ready" => {
-            let status = if shell.is_ready() { 200 } else { 503 };
-            json(status, &json!({ "revision": shell.fleet().revision }))
+            let status = if app.is_ready() { 200 } else { 503 };
+            json(status, &json!({ "revision": app.fleet().revision }))
         }
-        "/status" => status(shell),
-        "/burn" => json(200, &shell.burn()),
+        "/status" => status(app),
+        "/burn" => json(200, &app.burn_report()),
         "/records" => {
             let id = request.url().query().unwrap_or_default();
-            json(200, &shell.records(id))
+            json(200, &app.records(id))
         }
         _ => json(404, &json!({ "error": "try /ready, /status, /burn or /records?REQUEST-ID" })),
     }
 }
 
-fn status(shell: &Shell) -> Response {
+fn status(app: &App) -> Response {
     let (sent, received) = rpc::traffic();
-    let (waiting, running) = shell.load();
-    let counts = &shell.counts;
+    let (waiting, running) = app.load();
+    let counters = &app.counters;
     let count = |it: &std::sync::atomic::AtomicU64| it.load(Ordering::Relaxed);
     json(
         200,
         &json!({
-            "host": shell.address.ip(),
-            "revision": shell.fleet().revision,
-            "ready": shell.is_ready(),
+            "host": app.address.ip(),
+            "revision": app.fleet().revision,
+            "ready": app.is_ready(),
             "waiting": waiting,
             "running": running,
-            "accepted": count(&counts.accepted),
-            "answered": count(&counts.answered),
-            "not_run": count(&counts.not_run),
-            "unknown": count(&counts.unknown),
-            "rejected": count(&counts.rejected),
-            "hung_up": count(&counts.hung_up),
-            "retries": count(&counts.retries),
-            "resumed": count(&counts.resumed),
-            "connections": count(&counts.connections),
+            "accepted": count(&counters.accepted),
+            "answered": count(&counters.answered),
+            "not_run": count(&counters.not_run),
+            "unknown": count(&counters.unknown),
+            "rejected": count(&counters.rejected),
+            "hung_up": count(&counters.hung_up),
+            "retries": count(&counters.retries),
+            "resumed": count(&counters.resumed),
+            "connections": count(&counters.connections),
             "control_sent": sent,
             "control_received": received,
         }),
--- a/crates/portfield-router/src/shell.rs
+++ b/crates/portfield-router/src/app.rs
@@ -23,7 +23,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::{session, settings::Settings, ticket::Ticket, writes::Writes};
+use crate::{session, settings::Settings, ticket::Ticket, writes::TableWriter};
 
 /// Longest sleep between two ticks.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
 /// Records remembered for operators.
 const MAX_RECORDS: usize = 16_384;
 /// Time that the last reports to schedulers get at the end.
-const FLUSH: Duration = Duration::from_millis(100);
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 /// Time between two sets of metrics.
 const METRICS_PERIOD: Duration = Duration::from_secs(5);
 /// Time in which the platform answers.
@@ -40,11 +40,11 @@
 
 /// What became of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum GrantResult {
     /// Send the request to this upstream.
-    Start(UpstreamId),
+    Granted(UpstreamId),
     /// Give up; come back after the time given.
-    Refuse(RejectReason, Duration),
+    Rejected(RejectReason, Duration),
 }
 
 /// One step of a request, for operators.
@@ -62,7 +62,7 @@
 
 /// Counters of one router.
 #[derive(Debug, Default)]
-pub(crate) struct Counts {
+pub(crate) struct Counters {
     pub accepted: AtomicU64,
     pub answered: AtomicU64,
     pub not_run: AtomicU64,
@@ -75,101 +75,102 @@
 }
 
 #[derive(Debug)]
-struct State {
-    core: Router,
-    verdicts: HashMap<TicketId, Sender<Verdict>>,
+struct Inner {
+    router: Router,
+    waiters: HashMap<TicketId, Sender<GrantResult>>,
     sessions: HashMap<HostId, (u64, Sender<wire::RouterFrame>)>,
     n_sessions: u64,
     budget: RetryBudget,
     records: VecDeque<Record>,
     windows: SlidingWindows,
-    firsts: BTreeMap<ServiceId, Histogram<u64>>,
+    first_byte_times: BTreeMap<ServiceId, Histogram<u64>>,
 }
 
 /// One router process.
 #[derive(Debug)]
-pub(crate) struct Shell {
+pub(crate) struct App {
     pub rt: Runtime,
     pub settings: Settings,
     pub address: SocketAddr,
-    pub counts: Counts,
+    pub counters: Counters,
     pub metrics: Metrics,
-    pub writes: Writes,
-    life: u64,
+    pub table: TableWriter,
+    incarnation: u64,
     n_requests: AtomicU64,
     draining: AtomicBool,
     wake: (Sender<()>, Receiver<()>),
-    state: Mutex<State>,
+    inner: Mutex<Inner>,
 }
 
-impl Shell {
+impl App {
     /// Builds the state; `address` is the one it is bound to.
     pub(crate) fn new(rt: Runtime, settings: Settings, address: SocketAddr) -> Arc<Self> {
-        let life = clock::life();
-        let mut core = Router::new(address.ip(), settings.data_centre.clone(), life & 0xff_ffff);
+        let incarnation = clock::life();
+        let mut router =
+            Router::new(address.ip(), settings.data_centre.clone(), incarnation & 0xff_ffff);
         for it in &settings.schedulers {
-            core.add_scheduler(it.ip(), *it);
+            router.add_scheduler(it.ip(), *it);
         }
-        core.connect(clock::now());
-        let state = State {
-            core,
-            verdicts: HashMap::new(),
+        router.connect(clock::now());
+        let inner = Inner {
+            router,
+            waiters: HashMap::new(),
             sessions: HashMap::new(),
             n_sessions: 0,
             budget: RetryBudget::full(),
             records: VecDeque::new(),
             windows: SlidingWindows::default(),
-            firsts: BTreeMap::new(),
+            first_byte_times: BTreeMap::new(),
         };
         let res = Arc::new(Self {
             rt: rt.clone(),
             address,
-            counts: Counts::default(),
+            counters: Counters::default(),
             metrics: Metrics::new("portfield.router", settings.statsd),
-            writes: Writes::start(&rt, Platform::new(settings.platform, PLATFORM_TIMEOUT)),
-            life,
+            table: TableWriter::start(&rt, Platform::new(settings.platform, PLATFORM_TIMEOUT)),
+            incarnation,
             n_requests: AtomicU64::new(0),
             draining: AtomicBool::new(false),
             wake: async_channel::bounded(1),
             settings,
-            state: Mutex::new(state),
+            inner: Mutex::new(inner),
         });
-        res.with(|_| ());
+        res.update(|_| ());
         res
     }
 
     /// Returns the id for a new request: the host, the router's life, a number.
     pub(crate) fn next_id(&self) -> String {
         let n = self.n_requests.fetch_add(1, Ordering::Relaxed);
-        format!("{}-{:x}-{n:x}", self.address.ip(), self.life)
+        format!("{}-{:x}-{n:x}", self.address.ip(), self.incarnation)
     }
 
     /// Changes the decision state and carries out what it asks for.
-    pub(crate) fn with<T>(self: &Arc<Self>, f: impl FnOnce(&mut Router) -> T) -> T {
-        let mut state = self.lock();
-        let res = f(&mut state.core);
-        for action in state.core.take_actions() {
-            self.act(&mut state, action);
+    pub(crate) fn update<T>(self: &Arc<Self>, f: impl FnOnce(&mut Router) -> T) -> T {
+        let mut inner = self.lock();
+        let res = f(&mut inner.router);
+        for action in inner.router.take_actions() {
+            self.perform(&mut inner, action);
         }
-        drop(state);
+        drop(inner);
         let _ = self.wake.0.try_send(());
         res
     }
 
     /// Returns the configuration in force here.
     pub(crate) fn fleet(&self) -> Arc<Fleet> {
-        self.lock().core.fleet().clone()
+        self.lock().router.fleet().clone()
     }
 
     /// Returns how many requests wait and how many run.
     pub(crate) fn load(&self) -> (usize, usize) {
-        self.lock().core.load()
+        self.lock().router.load()
     }
 
     /// Returns whether the router can serve: configuration and schedulers are known.
     pub(crate) fn is_ready(&self) -> bool {
-        let state = self.lock();
-        let connected = state.core.is_connected() && 0 < state.core.fleet().revision;
+        let inner = self.lock();
+        let connected = inner.router.is_connected() && 0 < inner.router.fleet().revision;
         connected && !self.draining.load(Ordering::Relaxed)
     }
 
@@ -181,26 +182,26 @@
     /// Registers a request; the ticket tells what comes of it.
     pub(crate) fn submit(self: &Arc<Self>, request: Request) -> Result<Ticket, QueueFull> {
         let (sender, receiver) = async_channel::bounded(1);
-        let mut state = self.lock();
-        let id = state.core.submit(clock::now(), request)?;
-        state.verdicts.insert(id, sender);
-        drop(state);
-        self.with(|_| ());
+        let mut inner = self.lock();
+        let id = inner.router.submit(clock::now(), request)?;
+        inner.waiters.insert(id, sender);
+        drop(inner);
+        self.update(|_| ());
         Ok(Ticket::new(self.clone(), id, receiver))
     }
 
     /// Forgets the waiting end of a ticket.
-    pub(crate) fn forget(&self, id: TicketId) {
-        self.lock().verdicts.remove(&id);
+    pub(crate) fn remove_waiter(&self, id: TicketId) {
+        self.lock().waiters.remove(&id);
     }
 
     /// Pays for a retry, if the budget allows it.
-    pub(crate) fn spend_retry(&self) -> bool {
+    pub(crate) fn withdraw_retry(&self) -> bool {
         self.lock().budget.withdraw()
     }
 
     /// Counts a request towards the retry budget.
-    pub(crate) fn earn_retry(&self) {
+    pub(crate) fn deposit_retry(&self) {
         self.lock().budget.deposit();
     }
 
@@ -208,30 +209,30 @@
     pub(crate) fn record(&self, request: &str, ticket: TicketId, text: impl Into<String>) {
         let at_ms = clock::now().as_millis() as u64;
         let record = Record { request: request.to_owned(), at_ms, ticket, text: text.into() };
-        let mut state = self.lock();
-        state.records.push_back(record);
-        if MAX_RECORDS < state.records.len() {
-            state.records.pop_front();
+        let mut inner = self.lock();
+        inner.records.push_back(record);
+        if MAX_RECORDS < inner.records.len() {
+            inner.records.pop_front();
         }
     }
 
     /// Counts a request that ended against its service's objectives.
     pub(crate) fn observe(&self, workspace: WorkspaceId, service: &Service, sample: Sample) {
-        let mut state = self.lock();
-        state.windows.record(clock::now(), workspace, service, sample);
-        let Some(first) = sample.first_byte else { return };
-        let histogram = state.firsts.entry(service.id).or_insert_with(new_histogram);
-        let millis = first.as_millis() as u64;
+        let mut inner = self.lock();
+        inner.windows.record(clock::now(), workspace, service, sample);
+        let Some(first_byte) = sample.first_byte else { return };
+        let histogram = inner.first_byte_times.entry(service.id).or_insert_with(new_histogram);
+        let millis = first_byte.as_millis() as u64;
         histogram.saturating_record(millis);
-        drop(state);
+        drop(inner);
         self.metrics.time("first_byte_ms", millis);
     }
 
     /// Returns what the burn report reads.
-    pub(crate) fn burn(&self) -> Value {
-        let state = self.lock();
-        let fleet = state.core.fleet();
-        let rows: Vec<_> = state
+    pub(crate) fn burn_report(&self) -> Value {
+        let inner = self.lock();
+        let fleet = inner.router.fleet();
+        let rows: Vec<_> = inner
             .windows
             .totals(clock::now())
             .map(|((workspace, service), tallies)| {
@@ -240,8 +241,8 @@
                 json!({ "workspace": workspace, "service": service, "tallies": tallies })
             })
             .collect();
-        let firsts: BTreeMap<_, Vec<_>> = state
-            .firsts
+        let first_byte_times: BTreeMap<_, Vec<_>> = inner
+            .first_byte_times
             .iter()
             .filter_map(|(id, it)| {
                 let counts =
@@ -249,44 +250,44 @@
                 fleet.service(*id).map(|service| (service.name.clone(), counts.collect()))
             })
             .collect();
-        json!({ "rows": rows, "firsts": firsts })
+        json!({ "rows": rows, "firsts": first_byte_times })
     }
 
     /// Returns the remembered steps of a request.
     pub(crate) fn records(&self, request: &str) -> Vec<Record> {
-        let state = self.lock();
-        state.records.iter().filter(|it| it.request == request).cloned().collect()
+        let inner = self.lock();
+        inner.records.iter().filter(|it| it.request == request).cloned().collect()
     }
 
     /// Ticks whenever something is due.
-    pub(crate) async fn keep_time(self: Arc<Self>) {
+    pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
-            let next = self.lock().core.next_tick().unwrap_or(Duration::MAX);
+            let next = self.lock().router.next_tick().unwrap_or(Duration::MAX);
             let pause = next.saturating_sub(clock::now()).clamp(MIN_SLEEP, MAX_SLEEP);
             clock::timeout(pause, self.wake.1.recv()).await;
-            if self.lock().core.next_tick().is_some_and(|it| it <= clock::now()) {
-                self.with(|it| it.tick(clock::now()));
+            if self.lock().router.next_tick().is_some_and(|it| it <= clock::now()) {
+                self.update(|it| it.tick(clock::now()));
             }
         }
     }
 
     /// Sends metrics now and then.
-    pub(crate) async fn send_metrics(self: Arc<Self>) {
+    pub(crate) async fn report_metrics(self: Arc<Self>) {
         loop {
             clock::sleep(METRICS_PERIOD).await;
             let (waiting, running) = self.load();
             self.metrics.gauge("waiting", waiting as u64);
             self.metrics.gauge("running", running as u64);
-            let counts = &self.counts;
+            let counters = &self.counters;
             for (name, it) in [
-                ("accepted", &counts.accepted),
-                ("answered", &counts.answered),
-                ("not_run", &counts.not_run),
-                ("unknown", &counts.unknown),
-                ("rejected", &counts.rejected),
-                ("hung_up", &counts.hung_up),
-                ("retries", &counts.retries),
-                ("resumed", &counts.resumed),
+                ("accepted", &counters.accepted),
+                ("answered", &counters.answered),
+                ("not_run", &counters.not_run),
+                ("unknown", &counters.unknown),
+                ("rejected", &counters.rejected),
+                ("hung_up", &counters.hung_up),
+                ("retries", &counters.retries),
+                ("resumed", &counters.resumed),
             ] {
                 self.metrics.gauge(name, it.load(Ordering::Relaxed));
             }
@@ -297,15 +298,15 @@
 
     /// Gives the last reports time to go out.
     pub(crate) async fn flush(&self) {
-        clock::sleep(FLUSH).await;
+        clock::sleep(FLUSH_TIME).await;
     }
 
     /// Puts a session in the place of any earlier one and returns its number.
     pub(crate) fn open_session(&self, host: HostId, sender: Sender<wire::RouterFrame>) -> u64 {
-        let mut state = self.lock();
-        state.n_sessions += 1;
-        let number = state.n_sessions;
-        state.sessions.insert(host, (number, sender));
+        let mut inner = self.lock();
+        inner.n_sessions += 1;
+        let number = inner.n_sessions;
+        inner.sessions.insert(host, (number, sender));
         number
     }
 
@@ -320,27 +321,29 @@
             return;
         }
         self.lock().sessions.remove(&host);
-        self.with(|it| it.session_closed(clock::now(), host));
+        self.update(|it| it.session_closed(clock::now(), host));
     }
 
-    fn act(self: &Arc<Self>, state: &mut State, action: Action) {
+    fn perform(self: &Arc<Self>, inner: &mut Inner, action: Action) {
         match action {
             Action::Connect(host, address) => {
                 self.rt.spawn(session::run(self.clone(), host, address));
             }
             Action::Send(host, frame) => {
-                if let Some((_, sender)) = state.sessions.get(&host) {
+                if let Some((_, sender)) = inner.sessions.get(&host) {
                     let _ = sender.try_send(frame);
                 }
             }
-            Action::Forward(id, upstream) => tell(state, id, Verdict::Start(upstream)),
-            Action::Reject(id, reason, retry) => tell(state, id, Verdict::Refuse(reason, retry)),
-            Action::FetchConfig(host) => self.rt.spawn(session::fetch(self.clone(), host)),
+            Action::Forward(id, upstream) => notify(inner, id, GrantResult::Granted(upstream)),
+            Action::Reject(id, reason, retry) => {
+                notify(inner, id, GrantResult::Rejected(reason, retry));
+            }
+            Action::FetchConfig(host) => self.rt.spawn(session::fetch_config(self.clone(), host)),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -349,8 +352,8 @@
     Histogram::new_with_bounds(1, 3_600_000, 2).unwrap_or_else(|_| unreachable!())
 }
 
-fn tell(state: &mut State, id: TicketId, verdict: Verdict) {
-    if let Some(it) = state.verdicts.remove(&id) {
-        let _ = it.try_send(verdict);
+fn notify(inner: &mut Inner, id: TicketId, result: GrantResult) {
+    if let Some(it) = inner.waiters.remove(&id) {
+        let _ = it.try_send(result);
     }
 }
--- a/crates/portfield-router/src/call.rs
+++ b/crates/portfield-router/src/call.rs
@@ -13,7 +13,7 @@
 use portfield_net::clock;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::Rejection;
+use crate::response::Rejection;
 
 /// Header with the expected cost in tokens.
 const HINT: &str = "x-portfield-hint";
@@ -28,9 +28,9 @@
 /// Largest hint in tokens.
 const MAX_HINT: u32 = 1 << 20;
 /// Longest idempotency key in bytes.
-const MAX_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 /// Bytes of a prompt that make its prefix.
-const PREFIX_LEN: usize = 256;
+const PREFIX_BYTES: usize = 256;
 /// Bytes of a prompt that cost as much as one token that is generated.
 const BYTES_PER_TOKEN: usize = 64;
 
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub id: String,
-    pub arrived: Duration,
+    pub arrived_at: Duration,
     pub workspace: Workspace,
     pub service: Service,
     pub method: Method,
@@ -46,13 +46,13 @@
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub hint: u32,
-    pub batch: bool,
-    pub wait: Duration,
+    pub cost_hint: u32,
+    pub is_batch: bool,
+    pub wait_limit: Duration,
     pub repeatable: bool,
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Some attempt may have run.
-    pub sent: Arc<AtomicBool>,
+    pub may_have_run: Arc<AtomicBool>,
 }
 
 impl Call {
@@ -64,18 +64,18 @@
     pub(crate) fn parse(id: &str, fleet: &Fleet, parts: Parts) -> Result<Self, Rejection> {
         let workspace = find_workspace(fleet, &parts.headers)?;
         let (service, path) = find_service(fleet, &parts.uri)?;
-        let repeat = one_of(&parts.headers, REPEAT, ["never", "allowed"])?;
-        let longest = service.wait_limit();
-        let wait = number(&parts.headers, WAIT, 1, longest.as_millis() as u32)?;
+        let repeat = header_choice(&parts.headers, REPEAT, ["never", "allowed"])?;
+        let max_wait = service.wait_limit();
+        let wait = header_number(&parts.headers, WAIT, 1, max_wait.as_millis() as u32)?;
         Ok(Self {
             id: id.to_owned(),
-            arrived: clock::now(),
-            hint: number(&parts.headers, HINT, 1, MAX_HINT)?.unwrap_or(0),
-            batch: one_of(&parts.headers, CLASS, ["batch", "interactive"])? == Some(0),
-            wait: wait.map_or(longest, |it| Duration::from_millis(u64::from(it))),
+            arrived_at: clock::now(),
+            cost_hint: header_number(&parts.headers, HINT, 1, MAX_HINT)?.unwrap_or(0),
+            is_batch: header_choice(&parts.headers, CLASS, ["batch", "interactive"])? == Some(0),
+            wait_limit: wait.map_or(max_wait, |it| Duration::from_millis(u64::from(it))),
             repeatable: service.repeatable && repeat != Some(0),
-            key: key(&parts.headers)?,
-            sent: Arc::default(),
+            idempotency_key: parse_key(&parts.headers)?,
+            may_have_run: Arc::default(),
             workspace: workspace.clone(),
             service: service.clone(),
             method: parts.method,
@@ -86,11 +86,11 @@
     }
 
     /// Returns the hash of the prompt's prefix, zero for none.
-    pub(crate) fn prefix(&self) -> u32 {
+    pub(crate) fn prefix_hash(&self) -> u32 {
         if self.service.kind == Kind::Plain || self.body.is_empty() {
             return 0;
         }
-        let len = self.body.len().min(PREFIX_LEN);
+        let len = self.body.len().min(PREFIX_BYTES);
         (xxh3_64(&self.body[..len]) as u32).max(1)
     }
 
@@ -110,14 +110,14 @@
     res.map(|it| it.to_bytes()).map_err(|err| {
         if err.is::<http_body_util::LengthLimitError>() {
             let text = format!("the body is longer than {limit} bytes");
-            return Rejection::bad(StatusCode::PAYLOAD_TOO_LARGE, "body", text);
+            return Rejection::invalid(StatusCode::PAYLOAD_TOO_LARGE, "body", text);
         }
-        Rejection::bad(StatusCode::BAD_REQUEST, "body", "the body is cut short or malformed")
+        Rejection::invalid(StatusCode::BAD_REQUEST, "body", "the body is cut short or malformed")
     })
 }
 
 fn find_workspace<'a>(fleet: &'a Fleet, headers: &HeaderMap) -> Result<&'a Workspace, Rejection> {
-    let bad = |text: &str| Rejection::bad(StatusCode::UNAUTHORIZED, "authorization", text);
+    let bad = |text: &str| Rejection::invalid(StatusCode::UNAUTHORIZED, "authorization", text);
     let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
     let token = value.and_then(|it| it.strip_prefix("Bearer "));
     let token = token.ok_or_else(|| bad("send `Authorization: Bearer TOKEN`"))?;
@@ -129,13 +129,13 @@
     let (name, rest) = path.split_once('/').unwrap_or((path, ""));
     let service = fleet.service_by_name(name).ok_or_else(|| {
         let text = format!("no service is named `{name}`");
-        Rejection::bad(StatusCode::NOT_FOUND, "path", text)
+        Rejection::invalid(StatusCode::NOT_FOUND, "path", text)
     })?;
     let query = uri.query().map(|it| format!("?{it}")).unwrap_or_default();
     Ok((service, format!("/{rest}{query}")))
 }
 
-fn number(
+fn header_number(
     headers: &HeaderMap,
     name: &'static str,
     min: u32,
@@ -145,29 +145,29 @@
     let res = value.to_str().ok().and_then(|it| it.parse().ok());
     res.filter(|it| (min..=max).contains(it)).map(Some).ok_or_else(|| {
         let text = format!("must be a number from {min} to {max}");
-        Rejection::bad(StatusCode::BAD_REQUEST, name, text)
+        Rejection::invalid(StatusCode::BAD_REQUEST, name, text)
     })
 }
 
 /// Returns which of the words a header has.
-fn one_of(
+fn header_choice(
     headers: &HeaderMap,
     name: &'static str,
-    words: [&str; 2],
+    values: [&str; 2],
 ) -> Result<Option<usize>, Rejection> {
     let Some(value) = headers.get(name) else { return Ok(None) };
-    let res = words.iter().position(|it| value.as_bytes() == it.as_bytes());
+    let res = values.iter().position(|it| value.as_bytes() == it.as_bytes());
     res.map(Some).ok_or_else(|| {
-        let text = format!("must be `{}` or `{}`", words[0], words[1]);
-        Rejection::bad(StatusCode::BAD_REQUEST, name, text)
+        let text = format!("must be `{}` or `{}`", values[0], values[1]);
+        Rejection::invalid(StatusCode::BAD_REQUEST, name, text)
     })
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, Rejection> {
+fn parse_key(headers: &HeaderMap) -> Result<Option<String>, Rejection> {
     let Some(value) = headers.get(KEY) else { return Ok(None) };
-    let text = value.to_str().ok().filter(|it| (1..=MAX_KEY).contains(&it.len()));
+    let text = value.to_str().ok().filter(|it| (1..=MAX_KEY_BYTES).contains(&it.len()));
     text.map(|it| Some(it.to_owned())).ok_or_else(|| {
-        let text = format!("must have 1 to {MAX_KEY} visible characters");
-        Rejection::bad(StatusCode::BAD_REQUEST, KEY, text)
+        let text = format!("must have 1 to {MAX_KEY_BYTES} visible characters");
+        Rejection::invalid(StatusCode::BAD_REQUEST, KEY, text)
     })
 }
--- a/crates/portfield-router/src/once.rs
+++ b/crates/portfield-router/src/idempotency.rs
@@ -16,9 +16,9 @@
 use portfield_net::platform::ABSENT;
 
 use crate::{
-    answer::{Body, REQUEST_ID, Rejection, text_header},
+    app::App,
     call::Call,
-    shell::Shell,
+    response::{Body, REQUEST_ID, Rejection, header_value},
     writes::Written,
 };
 
@@ -31,7 +31,7 @@
 
 /// A claim that this request holds.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct HeldClaim {
     key: String,
     version: u64,
     claim: Claim,
@@ -39,41 +39,41 @@
 
 /// Gives a claim back if the request that holds it ends without having been sent, as when
 /// its caller hangs up.
-pub(crate) struct Guard {
-    shell: Arc<Shell>,
-    held: Held,
-    sent: Arc<AtomicBool>,
+pub(crate) struct ClaimGuard {
+    app: Arc<App>,
+    claim: HeldClaim,
+    may_have_run: Arc<AtomicBool>,
     taken: bool,
 }
 
-impl Guard {
-    pub(crate) fn new(shell: Arc<Shell>, held: Held, sent: Arc<AtomicBool>) -> Self {
-        Self { shell, held, sent, taken: false }
+impl ClaimGuard {
+    pub(crate) fn new(app: Arc<App>, claim: HeldClaim, may_have_run: Arc<AtomicBool>) -> Self {
+        Self { app, claim, may_have_run, taken: false }
     }
 
     /// Takes the claim: what becomes of it is decided elsewhere.
-    pub(crate) fn take(&mut self) -> Held {
+    pub(crate) fn take(&mut self) -> HeldClaim {
         self.taken = true;
-        self.held.clone()
+        self.claim.clone()
     }
 }
 
-impl Drop for Guard {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
-        if self.taken || self.sent.load(Ordering::Relaxed) {
+        if self.taken || self.may_have_run.load(Ordering::Relaxed) {
             return;
         }
-        let (shell, held) = (self.shell.clone(), self.held.clone());
-        self.shell.rt.spawn(async move { release(&shell, held).await });
+        let (app, claim) = (self.app.clone(), self.claim.clone());
+        self.app.rt.spawn(async move { release(&app, claim).await });
     }
 }
 
 /// What follows from a request's key.
-pub(crate) enum Claimed {
+pub(crate) enum ClaimResult {
     /// It may be sent, by this request only.
-    Send(Held),
+    Acquired(HeldClaim),
     /// It ran before; with its kept answer.
-    Replay(Response<Body>),
+    Replayed(Response<Body>),
 }
 
 /// Claims a request's key.
@@ -81,100 +81,108 @@
 /// # Errors
 ///
 /// The answer where the key is taken, stands for something else, or can't be claimed.
-pub(crate) async fn claim(shell: &Shell, call: &Call, key: &str) -> Result<Claimed, Rejection> {
+pub(crate) async fn claim(app: &App, call: &Call, key: &str) -> Result<ClaimResult, Rejection> {
     let row = claim_key(call.workspace.id, call.service.id, key);
     let content: [&[u8]; 3] = [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body];
-    let mine = Claim::new(&call.id, &content);
+    let own_claim = Claim::new(&call.id, &content);
     let mut version = ABSENT;
     for _ in 0..MAX_ATTEMPTS {
-        let found = match shell.writes.write(&row, version, mine.to_row()).await {
+        let found = match app.table.write(&row, version, own_claim.to_row()).await {
             Written::Applied => {
-                return Ok(Claimed::Send(Held { key: row, version: version + 1, claim: mine }));
+                return Ok(ClaimResult::Acquired(HeldClaim {
+                    key: row,
+                    version: version + 1,
+                    claim: own_claim,
+                }));
             }
             Written::Conflict(found) => found,
             // A claim that arrives late only keeps the key from being used: nothing was sent.
-            Written::Refused | Written::Unclear => return Err(no_store()),
+            Written::Refused | Written::Unclear => return Err(store_unavailable()),
         };
-        match decide(Claim::from_row(&found.value).as_ref(), &mine) {
+        match decide(Claim::from_row(&found.value).as_ref(), &own_claim) {
             Decision::Claim => version = found.version,
             Decision::AlreadyHeld => {
-                let held = Held { key: row, version: found.version, claim: mine };
-                return Ok(Claimed::Send(held));
+                let claim = HeldClaim { key: row, version: found.version, claim: own_claim };
+                return Ok(ClaimResult::Acquired(claim));
             }
-            Decision::Conflict => return Err(taken()),
+            Decision::Conflict => return Err(key_taken()),
             Decision::Mismatch => return Err(mismatch()),
             Decision::Replay(status, body) => return replay(&call.id, status, body),
         }
     }
-    Err(taken())
+    Err(key_taken())
 }
 
 /// Gives the key up: the request certainly did not run.
-pub(crate) async fn release(shell: &Shell, held: Held) {
-    settle(shell, held, ClaimState::Free).await;
+pub(crate) async fn release(app: &App, claim: HeldClaim) {
+    update_claim(app, claim, ClaimState::Free).await;
 }
 
 /// Keeps the answer with the key, as far as it is short text, and returns it.
-pub(crate) async fn keep(shell: &Shell, held: Held, res: Response<Body>) -> Response<Body> {
+pub(crate) async fn store_response(
+    app: &App,
+    claim: HeldClaim,
+    res: Response<Body>,
+) -> Response<Body> {
     let (parts, body) = res.into_parts();
     let status = parts.status.as_u16();
     let length = parts.headers.get(header::CONTENT_LENGTH).and_then(|it| it.to_str().ok());
     let length = length.and_then(|it| it.parse::<usize>().ok());
-    let is_short = length.is_some_and(|it| it <= MAX_KEPT_ANSWER);
-    if !is_short {
-        settle(shell, held, ClaimState::Done { status, body: None }).await;
+    let is_storable = length.is_some_and(|it| it <= MAX_KEPT_ANSWER);
+    if !is_storable {
+        update_claim(app, claim, ClaimState::Done { status, body: None }).await;
         return Response::from_parts(parts, body);
     }
     let Ok(bytes) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
         let text = "the upstream's answer was cut short";
-        let rejection = Rejection::gave_up(StatusCode::BAD_GATEWAY, Outcome::Unknown, text, None);
-        return rejection.answer(&held.claim.request);
+        let rejection = Rejection::failed(StatusCode::BAD_GATEWAY, Outcome::Unknown, text, None);
+        return rejection.to_response(&claim.claim.request);
     };
     let text = String::from_utf8(bytes.to_vec()).ok();
-    settle(shell, held, ClaimState::Done { status, body: text }).await;
-    Response::from_parts(parts, whole(bytes))
+    update_claim(app, claim, ClaimState::Done { status, body: text }).await;
+    Response::from_parts(parts, full_body(bytes))
 }
 
-async fn settle(shell: &Shell, held: Held, state: ClaimState) {
-    let Held { key, version, claim } = held;
+async fn update_claim(app: &App, claim: HeldClaim, state: ClaimState) {
+    let HeldClaim { key, version, claim } = claim;
     let claim = Claim { state, ..claim };
-    let written = shell.writes.write(&key, version, claim.to_row()).await;
+    let written = app.table.write(&key, version, claim.to_row()).await;
     if written != Written::Applied {
         log::warn!(request = claim.request; "the key's row was not updated: {written:?}");
     }
 }
 
-fn whole(bytes: Bytes) -> Body {
+fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|it| match it {}).boxed_unsync()
 }
 
-fn replay(id: &str, status: u16, body: Option<String>) -> Result<Claimed, Rejection> {
+fn replay(id: &str, status: u16, body: Option<String>) -> Result<ClaimResult, Rejection> {
     let Some(body) = body else {
         let text = "a request with this key was answered; its answer was not kept";
         return Err(conflict(text));
     };
-    let mut res = Response::new(whole(Bytes::from(body)));
+    let mut res = Response::new(full_body(Bytes::from(body)));
     *res.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-    res.headers_mut().insert(REQUEST_ID, text_header(id));
-    res.headers_mut().insert(REPLAYED, text_header("true"));
-    Ok(Claimed::Replay(res))
+    res.headers_mut().insert(REQUEST_ID, header_value(id));
+    res.headers_mut().insert(REPLAYED, header_value("true"));
+    Ok(ClaimResult::Replayed(res))
 }
 
-fn taken() -> Rejection {
+fn key_taken() -> Rejection {
     conflict("a request with this key may have run, or runs now")
 }
 
 fn conflict(text: &str) -> Rejection {
-    Rejection::gave_up(StatusCode::CONFLICT, Outcome::Unknown, text, None)
+    Rejection::failed(StatusCode::CONFLICT, Outcome::Unknown, text, None)
 }
 
 fn mismatch() -> Rejection {
     let text = "this key was used for another request";
-    Rejection::bad(StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key", text)
+    Rejection::invalid(StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key", text)
 }
 
-fn no_store() -> Rejection {
+fn store_unavailable() -> Rejection {
     let text = "the key could not be claimed: the table service does not answer";
     let retry = Some(STORE_RETRY);
-    Rejection::gave_up(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, text, retry)
+    Rejection::failed(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, text, retry)
 }
--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -2,16 +2,16 @@
 //! relays the answers.
 
 mod admin;
-mod answer;
+mod app;
 mod call;
-mod exchange;
-mod front;
-mod once;
+mod dispatch;
+mod idempotency;
 mod relay;
+mod response;
 mod resume;
+mod server;
 mod session;
 mod settings;
-mod shell;
 mod ticket;
 mod upstream;
 mod writes;
@@ -19,7 +19,7 @@
 use eyre::WrapErr;
 use portfield_net::{clock, daemon, http1, rt::Runtime};
 
-use crate::{settings::Settings, shell::Shell};
+use crate::{app::App, settings::Settings};
 
 /// Threads beside the main one.
 const N_THREADS: usize = 1;
@@ -32,21 +32,21 @@
     let (listener, address) = http1::bind(settings.listen).await.wrap_err("listen")?;
     let (admin, admin_address) = http1::bind(settings.admin).await.wrap_err("admin")?;
     let drain = settings.drain;
-    let shell = Shell::new(rt.clone(), settings, address);
+    let app = App::new(rt.clone(), settings, address);
     log::info!(address:% = address, admin:% = admin_address; "started");
-    let state = shell.clone();
+    let state = app.clone();
     rt.spawn(http1::serve(rt.clone(), admin, http1::at_once(move |it| admin::answer(&state, it))));
-    rt.spawn(shell.clone().keep_time());
-    rt.spawn(shell.clone().send_metrics());
+    rt.spawn(app.clone().run_timers());
+    rt.spawn(app.clone().report_metrics());
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.task(front::serve(shell.clone(), listener, stopped));
+    let front = rt.task(server::serve(app.clone(), listener, stopped));
     daemon::stop_signal().await?;
     log::info!("draining");
-    shell.drain();
+    app.drain();
     clock::sleep(drain).await;
     drop(stop);
     front.await;
-    shell.flush().await;
+    app.flush().await;
     log::info!("stopped");
     Ok(())
 }
--- a/crates/portfield-router/src/relay.rs
+++ b/crates/portfield-router/src/relay.rs
@@ -21,12 +21,12 @@
 use portfield_net::{clock, events::Events};
 
 use crate::{
-    answer::{Body, REQUEST_ID, text_header},
+    app::App,
     call::Call,
+    response::{Body, REQUEST_ID, header_value},
     resume::RESUME,
-    shell::Shell,
     ticket::Ticket,
-    upstream::{self, Place},
+    upstream::{self, Endpoint},
 };
 
 /// Header by which an engine names a stream that can be resumed.
@@ -36,123 +36,124 @@
 
 /// Starts to relay an answer.
 pub(crate) fn start(
-    shell: &Arc<Shell>,
+    app: &Arc<App>,
     call: &Call,
     ticket: Option<Ticket>,
-    place: Place,
+    endpoint: Endpoint,
     response: Response<Incoming>,
 ) -> Response<Body> {
     let (mut parts, body) = response.into_parts();
-    let is_events = header_is(&parts.headers, header::CONTENT_TYPE.as_str(), "text/event-stream");
-    let stream = parts.headers.get(STREAM_ID).and_then(|it| it.to_str().ok()).map(str::to_owned);
-    let stream = stream.filter(|_| is_events);
+    let is_event_stream =
+        header_starts_with(&parts.headers, header::CONTENT_TYPE.as_str(), "text/event-stream");
+    let stream_id = parts.headers.get(STREAM_ID).and_then(|it| it.to_str().ok()).map(str::to_owned);
+    let stream_id = stream_id.filter(|_| is_event_stream);
     let length = parts.headers.get(header::CONTENT_LENGTH).cloned();
-    parts.headers = upstream::forwarded(&parts.headers);
+    parts.headers = upstream::end_to_end_headers(&parts.headers);
     if let Some(it) = length {
         parts.headers.insert(header::CONTENT_LENGTH, it);
     }
-    parts.headers.insert(REQUEST_ID, text_header(&call.id));
-    if let Some(it) = &stream {
-        let token = resume_token(&shell.fleet(), call.workspace.id, place.id, it);
-        parts.headers.insert(RESUME, text_header(&token));
+    parts.headers.insert(REQUEST_ID, header_value(&call.id));
+    if let Some(it) = &stream_id {
+        let token = resume_token(&app.fleet(), call.workspace.id, endpoint.id, it);
+        parts.headers.insert(RESUME, header_value(&token));
         parts.headers.remove(STREAM_ID);
     }
     let relay = Relay {
-        shell: shell.clone(),
+        app: app.clone(),
         id: call.id.clone(),
         cost: call.prompt_cost(),
         ticket,
-        place,
-        stream,
+        endpoint,
+        stream_id,
         events: Events::default(),
-        is_events,
+        is_event_stream,
         n_events: 0,
         workspace: call.workspace.id,
         service: call.service.clone(),
-        arrived: call.arrived,
-        first: None,
+        arrived_at: call.arrived_at,
+        first_byte: None,
         body: Some(body),
     };
     let body = stream::try_unfold(relay, |mut it| async move {
-        Ok(it.next().await?.map(|bytes| (Frame::data(bytes), it)))
+        Ok(it.next_chunk().await?.map(|bytes| (Frame::data(bytes), it)))
     });
     Response::from_parts(parts, StreamBody::new(body).boxed_unsync())
 }
 
-fn header_is(headers: &http::HeaderMap, name: &str, prefix: &str) -> bool {
+fn header_starts_with(headers: &http::HeaderMap, name: &str, prefix: &str) -> bool {
     let value = headers.get(name).and_then(|it| it.to_str().ok());
     value.is_some_and(|it| it.starts_with(prefix))
 }
 
 struct Relay {
-    shell: Arc<Shell>,
+    app: Arc<App>,
     id: String,
     workspace: WorkspaceId,
     service: Service,
     /// Cost so far in tokens, the prompt's included.
     cost: u32,
     ticket: Option<Ticket>,
-    place: Place,
+    endpoint: Endpoint,
     /// Name of a stream that can be resumed.
-    stream: Option<String>,
+    stream_id: Option<String>,
     events: Events,
-    is_events: bool,
+    is_event_stream: bool,
     n_events: u32,
-    arrived: Duration,
-    first: Option<Duration>,
+    arrived_at: Duration,
+    first_byte: Option<Duration>,
     body: Option<Incoming>,
 }
 
 impl Relay {
     /// Returns the next piece of the answer, `None` at its end.
-    async fn next(&mut self) -> io::Result<Option<Bytes>> {
+    async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let Some(body) = &mut self.body else { return Ok(None) };
-            let frame = clock::timeout(self.shell.settings.stall_timeout, body.frame()).await;
+            let frame = clock::timeout(self.app.settings.stall_timeout, body.frame()).await;
             match frame {
-                Some(None) => return Ok(self.end()),
+                Some(None) => return Ok(self.finish()),
                 Some(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    let whole = if self.is_events { self.events.push(&data) } else { data };
-                    if whole.is_empty() {
+                    let data = if self.is_event_stream { self.events.push(&data) } else { data };
+                    if data.is_empty() {
                         continue;
                     }
-                    self.count();
-                    return Ok(Some(whole));
+                    self.record_events();
+                    return Ok(Some(data));
                 }
-                Some(Some(Err(err))) => self.mend(&err.to_string()).await?,
-                None => self.mend("the upstream stalled").await?,
+                Some(Some(Err(err))) => self.resume_stream(&err.to_string()).await?,
+                None => self.resume_stream("the upstream stalled").await?,
             }
         }
     }
 
-    fn count(&mut self) {
-        self.first.get_or_insert_with(clock::now);
-        if self.service.kind == Kind::Plain || !self.is_events {
+    fn record_events(&mut self) {
+        self.first_byte.get_or_insert_with(clock::now);
+        if self.service.kind == Kind::Plain || !self.is_event_stream {
             return;
         }
         let n_events = self.events.count() as u32;
         self.cost += n_events - self.n_events;
         self.n_events = n_events;
         if let Some(it) = &self.ticket {
-            it.progress(self.cost);
+            it.record_progress(self.cost);
         }
     }
 
-    fn end(&mut self) -> Option<Bytes> {
+    fn finish(&mut self) -> Option<Bytes> {
         self.body = None;
         let now = clock::now();
-        let first = self.first.unwrap_or(now);
-        let pace = (now - first) / self.n_events.max(1);
+        let first_byte = self.first_byte.unwrap_or(now);
+        let token_gap = (now - first_byte) / self.n_events.max(1);
         if let Some(mut it) = self.ticket.take() {
-            self.shell.record(&self.id, it.id(), format!("answered, cost {}", self.cost));
-            it.finish(self.cost, pace);
+            self.app.record(&self.id, it.id(), format!("answered, cost {}", self.cost));
+            it.finish(self.cost, token_gap);
         }
-        self.shell.counts.answered.fetch_add(1, Ordering::Relaxed);
-        let gap = if self.n_events == 0 { Duration::ZERO } else { pace };
+        self.app.counters.answered.fetch_add(1, Ordering::Relaxed);
+        let mean_gap = if self.n_events == 0 { Duration::ZERO } else { token_gap };
         self.observe(Sample {
-            first_byte: Some(first.saturating_sub(self.arrived)),
-            token_gap: gap,
+            first_byte: Some(first_byte.saturating_sub(self.arrived_at)),
+            token_gap: mean_gap,
         });
         // An event that came without its end is passed on: the answer was whole.
         let rest = self.events.take_partial();
@@ -160,21 +161,21 @@
     }
 
     fn observe(&self, sample: Sample) {
-        self.shell.observe(self.workspace, &self.service, sample);
+        self.app.observe(self.workspace, &self.service, sample);
     }
 
     /// Goes on with a stream that broke, after the last event that was relayed.
-    async fn mend(&mut self, cause: &str) -> io::Result<()> {
+    async fn resume_stream(&mut self, cause: &str) -> io::Result<()> {
         self.events.take_partial();
-        self.shell.record(&self.id, 0, format!("answer broke: {cause}"));
-        let last = self.events.last_id().unwrap_or_default().to_owned();
+        self.app.record(&self.id, 0, format!("answer broke: {cause}"));
+        let last_id = self.events.last_id().unwrap_or_default().to_owned();
         for n in 0..MAX_RESUMES {
-            let Some(stream) = &self.stream else { break };
-            let res = upstream::resume(&self.shell, &self.place, stream, &last).await;
+            let Some(stream_id) = &self.stream_id else { break };
+            let res = upstream::resume(&self.app, &self.endpoint, stream_id, &last_id).await;
             match res {
                 Ok(res) if res.status().is_success() => {
-                    self.shell.counts.resumed.fetch_add(1, Ordering::Relaxed);
-                    self.shell.record(&self.id, 0, format!("resumed after event {last}"));
+                    self.app.counters.resumed.fetch_add(1, Ordering::Relaxed);
+                    self.app.record(&self.id, 0, format!("resumed after event {last_id}"));
                     self.body = Some(res.into_body());
                     return Ok(());
                 }
@@ -186,9 +187,9 @@
         if let Some(mut it) = self.ticket.take() {
             it.fail(self.cost);
         }
-        self.shell.counts.unknown.fetch_add(1, Ordering::Relaxed);
+        self.app.counters.unknown.fetch_add(1, Ordering::Relaxed);
         self.observe(Sample { first_byte: None, token_gap: Duration::ZERO });
-        self.shell.record(&self.id, 0, "answer cut short: outcome unknown");
+        self.app.record(&self.id, 0, "answer cut short: outcome unknown");
         log::warn!(request = self.id; "answer cut short: {cause}");
         Err(io::Error::other("the upstream's answer was cut short"))
     }
@@ -197,11 +198,11 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if self.body.is_some() {
-            self.shell.counts.hung_up.fetch_add(1, Ordering::Relaxed);
-            self.shell.record(&self.id, 0, "the caller hung up");
-            if let Some(stream) = self.stream.take() {
-                let cancel = upstream::cancel(self.shell.clone(), self.place.clone(), stream);
-                self.shell.rt.spawn(cancel);
+            self.app.counters.hung_up.fetch_add(1, Ordering::Relaxed);
+            self.app.record(&self.id, 0, "the caller hung up");
+            if let Some(stream_id) = self.stream_id.take() {
+                let cancel = upstream::cancel(self.app.clone(), self.endpoint.clone(), stream_id);
+                self.app.rt.spawn(cancel);
             }
         }
     }
--- a/crates/portfield-router/src/answer.rs
+++ b/crates/portfield-router/src/response.rs
@@ -28,27 +28,31 @@
     /// Whether it ran.
     pub outcome: Outcome,
     /// When to come back.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Rejection {
     /// Builds the rejection of a bad request.
-    pub(crate) fn bad(status: StatusCode, field: &'static str, text: impl Into<String>) -> Self {
-        Self { status, field, text: text.into(), outcome: Outcome::NotRun, retry: None }
+    pub(crate) fn invalid(
+        status: StatusCode,
+        field: &'static str,
+        text: impl Into<String>,
+    ) -> Self {
+        Self { status, field, text: text.into(), outcome: Outcome::NotRun, retry_after: None }
     }
 
     /// Builds the final answer of a request that is given up on.
-    pub(crate) fn gave_up(
+    pub(crate) fn failed(
         status: StatusCode,
         outcome: Outcome,
         text: impl Into<String>,
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     ) -> Self {
-        Self { status, field: "", text: text.into(), outcome, retry }
+        Self { status, field: "", text: text.into(), outcome, retry_after }
     }
 
     /// Returns the JSON body.
-    pub(crate) fn body(&self, id: &str) -> Vec<u8> {
+    pub(crate) fn json_body(&self, id: &str) -> Vec<u8> {
         let value = json!({
             "error": self.text,
             "field": self.field,
@@ -59,15 +63,15 @@
     }
 
     /// Builds the answer.
-    pub(crate) fn answer(&self, id: &str) -> Response<Body> {
-        let body = Full::new(Bytes::from(self.body(id)));
+    pub(crate) fn to_response(&self, id: &str) -> Response<Body> {
+        let body = Full::new(Bytes::from(self.json_body(id)));
         let mut res = Response::new(body.map_err(|it| match it {}).boxed_unsync());
         *res.status_mut() = self.status;
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(REQUEST_ID, text_header(id));
-        headers.insert(OUTCOME, text_header(&self.outcome.to_string()));
-        if let Some(it) = self.retry {
+        headers.insert(REQUEST_ID, header_value(id));
+        headers.insert(OUTCOME, header_value(&self.outcome.to_string()));
+        if let Some(it) = self.retry_after {
             let secs = it.as_secs() + u64::from(0 < it.subsec_nanos());
             headers.insert(header::RETRY_AFTER, HeaderValue::from(secs.max(1)));
         }
@@ -76,6 +80,6 @@
 }
 
 /// Builds a header value; what can't stand in one is left out.
-pub(crate) fn text_header(text: &str) -> HeaderValue {
+pub(crate) fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/portfield-router/src/front.rs
+++ b/crates/portfield-router/src/server.rs
@@ -23,21 +23,21 @@
 use smol_hyper::rt::FuturesIo;
 
 use crate::{
-    answer::{Body, REQUEST_ID, Rejection},
+    app::App,
     call::{Call, read_body},
-    exchange,
-    shell::Shell,
+    dispatch,
+    response::{Body, REQUEST_ID, Rejection},
 };
 
 /// Most headers of a request.
 const MAX_HEADERS: usize = 64;
 /// Most bytes of a request's head.
-const MAX_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Start of an answer that hyper gives by itself to a malformed head.
-const AUTOMATIC: &[u8] = b"HTTP/1.1 4";
+const HYPER_ERROR_PREFIX: &[u8] = b"HTTP/1.1 4";
 
 /// Serves callers until `stop` closes, then until every connection has ended.
-pub(crate) async fn serve(shell: Arc<Shell>, listener: TcpListener, stop: Receiver<()>) {
+pub(crate) async fn serve(app: Arc<App>, listener: TcpListener, stop: Receiver<()>) {
     let (open, all_closed) = async_channel::bounded::<()>(1);
     loop {
         let accept = async { Some(listener.accept().await) };
@@ -49,9 +49,9 @@
             None => break,
             Some(Err(err)) => log::warn!(err:%; "accept"),
             Some(Ok((stream, _))) => {
-                let (shell, stop, open) = (shell.clone(), stop.clone(), open.clone());
-                shell.clone().rt.spawn(async move {
-                    connection(shell, stream, stop).await;
+                let (app, stop, open) = (app.clone(), stop.clone(), open.clone());
+                app.clone().rt.spawn(async move {
+                    serve_connection(app, stream, stop).await;
                     drop(open);
                 });
             }
@@ -61,23 +61,26 @@
     let _ = all_closed.recv().await;
 }
 
-async fn connection(shell: Arc<Shell>, stream: TcpStream, stop: Receiver<()>) {
-    shell.counts.connections.fetch_add(1, Ordering::Relaxed);
+async fn serve_connection(app: Arc<App>, stream: TcpStream, stop: Receiver<()>) {
+    app.counters.connections.fetch_add(1, Ordering::Relaxed);
     let _ = stream.set_nodelay(true);
-    let automatic = Arc::new(AtomicBool::new(false));
-    let recent = Recent::default();
-    let guard =
-        Guard { stream: stream.clone(), automatic: automatic.clone(), recent: recent.clone() };
+    let has_suppressed = Arc::new(AtomicBool::new(false));
+    let head_buffer = HeadBuffer::default();
+    let guarded = CallerStream {
+        stream: stream.clone(),
+        has_suppressed: has_suppressed.clone(),
+        head_buffer: head_buffer.clone(),
+    };
     let service = service_fn(|request| {
-        let (shell, recent) = (shell.clone(), recent.clone());
-        async move { Ok::<_, Infallible>(answer(shell, &recent, request).await) }
+        let (app, head_buffer) = (app.clone(), head_buffer.clone());
+        async move { Ok::<_, Infallible>(handle(app, &head_buffer, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(HyperTimer)
-        .header_read_timeout(shell.settings.head_timeout)
+        .header_read_timeout(app.settings.head_timeout)
         .max_headers(MAX_HEADERS)
-        .max_buf_size(MAX_HEAD)
-        .serve_connection(FuturesIo::new(guard), service);
+        .max_buf_size(MAX_HEAD_BYTES)
+        .serve_connection(FuturesIo::new(guarded), service);
     let mut connection = std::pin::pin!(connection);
     let stopped = async {
         let _ = stop.recv().await;
@@ -91,61 +94,71 @@
             connection.as_mut().await
         }
     };
-    shell.counts.connections.fetch_sub(1, Ordering::Relaxed);
+    app.counters.connections.fetch_sub(1, Ordering::Relaxed);
     if let Err(err) = res {
-        explain(&shell, stream, &err, automatic.load(Ordering::Relaxed)).await;
+        write_rejection(&app, stream, &err, has_suppressed.load(Ordering::Relaxed)).await;
     }
 }
 
-async fn answer(shell: Arc<Shell>, recent: &Recent, request: Request<Incoming>) -> Response<Body> {
-    let id = shell.next_id();
-    match accept(&shell, &id, recent, request).await {
-        Ok(call) => exchange::run(shell, call).await,
+async fn handle(
+    app: Arc<App>,
+    head_buffer: &HeadBuffer,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let id = app.next_id();
+    match read_call(&app, &id, head_buffer, request).await {
+        Ok(call) => dispatch::serve(app, call).await,
         Err(it) => {
-            shell.counts.rejected.fetch_add(1, Ordering::Relaxed);
-            shell.record(&id, 0, format!("rejected: {} {}", it.field, it.text));
-            it.answer(&id)
+            app.counters.rejected.fetch_add(1, Ordering::Relaxed);
+            app.record(&id, 0, format!("rejected: {} {}", it.field, it.text));
+            it.to_response(&id)
         }
     }
 }
 
-async fn accept(
-    shell: &Shell,
+async fn read_call(
+    app: &App,
     id: &str,
-    recent: &Recent,
+    head_buffer: &HeadBuffer,
     request: Request<Incoming>,
 ) -> Result<Call, Rejection> {
-    if request.headers().contains_key(header::TRANSFER_ENCODING) && recent.has_length() {
+    if request.headers().contains_key(header::TRANSFER_ENCODING) && head_buffer.has_content_length()
+    {
         let text = "send Content-Length or Transfer-Encoding, not both";
-        return Err(Rejection::bad(StatusCode::BAD_REQUEST, "transfer-encoding", text));
+        return Err(Rejection::invalid(StatusCode::BAD_REQUEST, "transfer-encoding", text));
     }
-    let fleet = shell.fleet();
+    let fleet = app.fleet();
     if fleet.revision == 0 {
         let text = "no configuration is in force yet";
-        return Err(Rejection::bad(StatusCode::SERVICE_UNAVAILABLE, "", text));
+        return Err(Rejection::invalid(StatusCode::SERVICE_UNAVAILABLE, "", text));
     }
     let (parts, body) = request.into_parts();
     let mut call = Call::parse(id, &fleet, parts)?;
-    call.body = read_body(body, shell.settings.body_limit).await?;
-    recent.clear();
+    call.body = read_body(body, app.settings.body_limit).await?;
+    head_buffer.clear();
     Ok(call)
 }
 
 /// Answers a malformed head with what is wrong with it.
-async fn explain(shell: &Shell, mut stream: TcpStream, err: &hyper::Error, automatic: bool) {
+async fn write_rejection(
+    app: &App,
+    mut stream: TcpStream,
+    err: &hyper::Error,
+    has_suppressed: bool,
+) {
     let status = if err.is_parse_too_large() {
         StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE
     } else if err.is_timeout() {
         StatusCode::REQUEST_TIMEOUT
-    } else if automatic {
+    } else if has_suppressed {
         StatusCode::BAD_REQUEST
     } else {
         return;
     };
-    let id = shell.next_id();
-    shell.counts.rejected.fetch_add(1, Ordering::Relaxed);
-    let rejection = Rejection::bad(status, "head", err.to_string());
-    let body = rejection.body(&id);
+    let id = app.next_id();
+    app.counters.rejected.fetch_add(1, Ordering::Relaxed);
+    let rejection = Rejection::invalid(status, "head", err.to_string());
+    let body = rejection.json_body(&id);
     let reason = status.canonical_reason().unwrap_or_default();
     let head = format!(
         "HTTP/1.1 {} {reason}\r\n{REQUEST_ID}: {id}\r\ncontent-type: application/json\r\n\
@@ -159,10 +172,10 @@
 
 /// Holds back the bare answer that hyper gives by itself to a malformed head, so that
 /// [`explain`] can give one with a body.
-struct Guard {
+struct CallerStream {
     stream: TcpStream,
-    automatic: Arc<AtomicBool>,
-    recent: Recent,
+    has_suppressed: Arc<AtomicBool>,
+    head_buffer: HeadBuffer,
 }
 
 /// The bytes of a connection since its last request was read, up to the longest head.
@@ -170,15 +183,15 @@
 /// hyper leaves a Content-Length out that comes after Transfer-Encoding; a request with both
 /// is to be refused (RFC 9112, section 6.1), in whichever order.
 #[derive(Debug, Clone, Default)]
-struct Recent {
+struct HeadBuffer {
     bytes: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Recent {
-    fn add(&self, bytes: &[u8]) {
-        let mut all = self.lock();
-        let n = bytes.len().min(MAX_HEAD.saturating_sub(all.len()));
-        all.extend_from_slice(&bytes[..n]);
+impl HeadBuffer {
+    fn push(&self, bytes: &[u8]) {
+        let mut buffered = self.lock();
+        let n = bytes.len().min(MAX_HEAD_BYTES.saturating_sub(buffered.len()));
+        buffered.extend_from_slice(&bytes[..n]);
     }
 
     fn clear(&self) {
@@ -186,7 +199,7 @@
     }
 
     /// Returns whether the head has a Content-Length.
-    fn has_length(&self) -> bool {
+    fn has_content_length(&self) -> bool {
         let bytes = self.lock();
         let text = String::from_utf8_lossy(&bytes).to_lowercase();
         let head = text.split("\r\n\r\n").next().unwrap_or_default();
@@ -198,7 +211,7 @@
     }
 }
 
-impl AsyncRead for Guard {
+impl AsyncRead for CallerStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -206,21 +219,22 @@
     ) -> Poll<io::Result<usize>> {
         let res = Pin::new(&mut self.stream).poll_read(cx, buf);
         if let Poll::Ready(Ok(n)) = res {
-            self.recent.add(&buf[..n]);
+            self.head_buffer.push(&buf[..n]);
         }
         res
     }
 }
 
-impl AsyncWrite for Guard {
+impl AsyncWrite for CallerStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let marker = REQUEST_ID.as_bytes();
-        if buf.starts_with(AUTOMATIC) && !buf.windows(marker.len()).any(|it| it == marker) {
-            self.automatic.store(true, Ordering::Relaxed);
+        if buf.starts_with(HYPER_ERROR_PREFIX) && !buf.windows(marker.len()).any(|it| it == marker)
+        {
+            self.has_suppressed.store(true, Ordering::Relaxed);
             return Poll::Ready(Ok(buf.len()));
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -231,7 +245,7 @@
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.automatic.load(Ordering::Relaxed) {
+        if self.has_suppressed.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_close(cx)
--- a/crates/portfield-router/src/ticket.rs
+++ b/crates/portfield-router/src/ticket.rs
@@ -5,20 +5,20 @@
 use async_channel::Receiver;
 use portfield::ids::TicketId;
 
-use crate::shell::{Shell, Verdict};
+use crate::app::{App, GrantResult};
 
 /// A registered request. Dropping it withdraws the request.
 #[derive(Debug)]
 pub(crate) struct Ticket {
-    shell: Arc<Shell>,
+    app: Arc<App>,
     id: TicketId,
-    verdict: Receiver<Verdict>,
+    result: Receiver<GrantResult>,
     ended: bool,
 }
 
 impl Ticket {
-    pub(crate) fn new(shell: Arc<Shell>, id: TicketId, verdict: Receiver<Verdict>) -> Self {
-        Self { shell, id, verdict, ended: false }
+    pub(crate) fn new(app: Arc<App>, id: TicketId, result: Receiver<GrantResult>) -> Self {
+        Self { app, id, result, ended: false }
     }
 
     /// Returns its number.
@@ -27,33 +27,33 @@
     }
 
     /// Waits for a grant or a refusal.
-    pub(crate) async fn wait(&self) -> Option<Verdict> {
-        self.verdict.recv().await.ok()
+    pub(crate) async fn wait(&self) -> Option<GrantResult> {
+        self.result.recv().await.ok()
     }
 
     /// Counts what the request has cost so far.
-    pub(crate) fn progress(&self, cost: u32) {
-        self.shell.with(|it| it.record_progress(self.id, cost));
+    pub(crate) fn record_progress(&self, cost: u32) {
+        self.app.update(|it| it.record_progress(self.id, cost));
     }
 
     /// Ends a request that was answered.
-    pub(crate) fn finish(&mut self, cost: u32, pace: Duration) {
+    pub(crate) fn finish(&mut self, cost: u32, token_gap: Duration) {
         self.ended = true;
-        self.shell.with(|it| it.finish(self.id, cost, pace));
+        self.app.update(|it| it.finish(self.id, cost, token_gap));
     }
 
     /// Ends a request that its upstream failed.
     pub(crate) fn fail(&mut self, cost: u32) {
         self.ended = true;
-        self.shell.with(|it| it.fail(self.id, cost));
+        self.app.update(|it| it.fail(self.id, cost));
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.shell.forget(self.id);
+        self.app.remove_waiter(self.id);
         if !self.ended {
-            self.shell.with(|it| it.cancel(self.id));
+            self.app.update(|it| it.cancel(self.id));
         }
     }
 }
--- a/crates/portfield-router/src/upstream.rs
+++ b/crates/portfield-router/src/upstream.rs
@@ -11,13 +11,13 @@
 use portfield_net::{clock, socket::Socket};
 
 use crate::{
-    answer::{OUTCOME, REQUEST_ID, text_header},
+    app::App,
     call::Call,
-    shell::Shell,
+    response::{OUTCOME, REQUEST_ID, header_value},
 };
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), or the router.
-const HOP_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -31,12 +31,12 @@
 
 /// An attempt that got no answer, and how far it came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Broken {
+pub(crate) struct AttemptError {
     pub phase: AttemptPhase,
     pub text: String,
 }
 
-impl Broken {
+impl AttemptError {
     fn new(phase: AttemptPhase, text: impl Into<String>) -> Self {
         Self { phase, text: text.into() }
     }
@@ -44,20 +44,20 @@
 
 /// Where an upstream is.
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
+pub(crate) struct Endpoint {
     pub id: UpstreamId,
     pub address: SocketAddr,
     pub data_centre: String,
 }
 
-impl Place {
+impl Endpoint {
     /// Finds an upstream; none where it is gone or gets no new work.
-    pub(crate) fn find(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
-        Self::at(fleet, id).filter(|_| fleet.upstream(id).is_some_and(|it| !it.leaving))
+    pub(crate) fn find_active(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
+        Self::find(fleet, id).filter(|_| fleet.upstream(id).is_some_and(|it| !it.leaving))
     }
 
     /// Finds an upstream for what runs there already.
-    pub(crate) fn at(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
+    pub(crate) fn find(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
         let it = fleet.upstream(id)?;
         let data_centre = fleet.data_centre_name(it.data_centre).to_owned();
         Some(Self { id, address: it.address, data_centre })
@@ -66,78 +66,78 @@
 
 /// Sends a call to an upstream and returns the head of its answer.
 pub(crate) async fn send(
-    shell: &Arc<Shell>,
-    place: &Place,
+    app: &Arc<App>,
+    endpoint: &Endpoint,
     call: &Call,
-) -> Result<Response<Incoming>, Broken> {
+) -> Result<Response<Incoming>, AttemptError> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.path.parse().unwrap_or_default();
-    *request.headers_mut() = forwarded(&call.headers);
-    request.headers_mut().insert(REQUEST_ID, text_header(&call.id));
-    let response = exchange(shell, place, request).await?;
-    let declined = response.headers().get(OUTCOME).is_some_and(|it| it == "not-run");
-    if declined && response.status().is_server_error() {
-        return Err(Broken::new(AttemptPhase::Declined, "the upstream did not run it"));
+    *request.headers_mut() = end_to_end_headers(&call.headers);
+    request.headers_mut().insert(REQUEST_ID, header_value(&call.id));
+    let response = exchange(app, endpoint, request).await?;
+    let is_declined = response.headers().get(OUTCOME).is_some_and(|it| it == "not-run");
+    if is_declined && response.status().is_server_error() {
+        return Err(AttemptError::new(AttemptPhase::Declined, "the upstream did not run it"));
     }
     Ok(response)
 }
 
 /// Asks an engine for the rest of a stream, after the last event that was relayed.
 pub(crate) async fn resume(
-    shell: &Arc<Shell>,
-    place: &Place,
-    stream: &str,
-    last: &str,
-) -> Result<Response<Incoming>, Broken> {
+    app: &Arc<App>,
+    endpoint: &Endpoint,
+    stream_id: &str,
+    last_id: &str,
+) -> Result<Response<Incoming>, AttemptError> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::GET;
-    *request.uri_mut() = format!("/streams/{stream}").parse().unwrap_or_default();
-    request.headers_mut().insert("last-event-id", text_header(last));
-    exchange(shell, place, request).await
+    *request.uri_mut() = format!("/streams/{stream_id}").parse().unwrap_or_default();
+    request.headers_mut().insert("last-event-id", header_value(last_id));
+    exchange(app, endpoint, request).await
 }
 
 /// Tells an engine that nobody reads a stream any more.
-pub(crate) async fn cancel(shell: Arc<Shell>, place: Place, stream: String) {
+pub(crate) async fn cancel(app: Arc<App>, endpoint: Endpoint, stream_id: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
-    *request.uri_mut() = format!("/streams/{stream}").parse().unwrap_or_default();
-    if let Err(err) = exchange(&shell, &place, request).await {
+    *request.uri_mut() = format!("/streams/{stream_id}").parse().unwrap_or_default();
+    if let Err(err) = exchange(&app, &endpoint, request).await {
         log::debug!("cancel: {}", err.text);
     }
 }
 
 async fn exchange(
-    shell: &Arc<Shell>,
-    place: &Place,
+    app: &Arc<App>,
+    endpoint: &Endpoint,
     mut request: Request<Full<Bytes>>,
-) -> Result<Response<Incoming>, Broken> {
+) -> Result<Response<Incoming>, AttemptError> {
     let headers = request.headers_mut();
-    headers.insert(header::HOST, text_header(&place.address.to_string()));
-    headers.insert(header::CONNECTION, text_header("close"));
-    let links = &shell.settings.links;
-    let home = shell.settings.data_centre == place.data_centre;
-    let data_centre = if home { "" } else { place.data_centre.as_str() };
-    let stream = links.connect(data_centre, place.address).await;
-    let stream = stream.map_err(|err| Broken::new(AttemptPhase::Unsent, err.to_string()))?;
+    headers.insert(header::HOST, header_value(&endpoint.address.to_string()));
+    headers.insert(header::CONNECTION, header_value("close"));
+    let links = &app.settings.links;
+    let is_local = app.settings.data_centre == endpoint.data_centre;
+    let data_centre = if is_local { "" } else { endpoint.data_centre.as_str() };
+    let stream = links.connect(data_centre, endpoint.address).await;
+    let stream = stream.map_err(|err| AttemptError::new(AttemptPhase::Unsent, err.to_string()))?;
     let handshake = http1::handshake(Socket::from(stream)).await;
     let (mut sender, connection) =
-        handshake.map_err(|err| Broken::new(AttemptPhase::Unsent, err.to_string()))?;
-    shell.rt.spawn(async move {
+        handshake.map_err(|err| AttemptError::new(AttemptPhase::Unsent, err.to_string()))?;
+    app.rt.spawn(async move {
         let _ = connection.await;
     });
-    let late = || Err(Broken::new(AttemptPhase::Sent, "no answer in time"));
-    let answer = async {
+    let timed_out = || Err(AttemptError::new(AttemptPhase::Sent, "no answer in time"));
+    let response = async {
         let res = sender.send_request(request).await;
-        res.map_err(|err| Broken::new(AttemptPhase::Sent, err.to_string()))
+        res.map_err(|err| AttemptError::new(AttemptPhase::Sent, err.to_string()))
     };
-    clock::timeout(shell.settings.answer_timeout, answer).await.unwrap_or_else(late)
+    clock::timeout(app.settings.answer_timeout, response).await.unwrap_or_else(timed_out)
 }
 
 /// Returns a message's headers without those of the connection it came by.
-pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut res = headers.clone();
-    for it in HOP_HEADERS {
+    for it in HOP_BY_HOP_HEADERS {
         res.remove(it);
     }
     res
--- a/crates/portfield-router/src/writes.rs
+++ b/crates/portfield-router/src/writes.rs
@@ -18,7 +18,7 @@
 /// Attempts to learn what became of a transaction whose answer was lost.
 const MAX_ATTEMPTS: u32 = 3;
 /// Pause between them.
-const PAUSE: Duration = Duration::from_millis(50);
+const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
 /// What became of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 
 /// A row to write if it still has a version.
 #[derive(Debug, Clone)]
-struct Write {
+struct PendingWrite {
     check: Check,
     put: Put,
     reply: Sender<Written>,
@@ -44,11 +44,11 @@
 
 /// The way to the table service.
 #[derive(Debug, Clone)]
-pub(crate) struct Writes {
-    sender: Sender<Write>,
+pub(crate) struct TableWriter {
+    sender: Sender<PendingWrite>,
 }
 
-impl Writes {
+impl TableWriter {
     /// Starts the task that writes.
     pub(crate) fn start(rt: &Runtime, platform: Platform) -> Self {
         let (sender, receiver) = async_channel::unbounded();
@@ -61,13 +61,13 @@
         let (reply, written) = async_channel::bounded(1);
         let check = Check { key: key.to_owned(), version };
         let put = Put { key: key.to_owned(), value };
-        let _ = self.sender.send(Write { check, put, reply, attempts: 0 }).await;
+        let _ = self.sender.send(PendingWrite { check, put, reply, attempts: 0 }).await;
         written.recv().await.unwrap_or(Written::Unclear)
     }
 }
 
-async fn run(platform: Platform, receiver: Receiver<Write>) {
-    let mut pending: Vec<Write> = Vec::new();
+async fn run(platform: Platform, receiver: Receiver<PendingWrite>) {
+    let mut pending: Vec<PendingWrite> = Vec::new();
     loop {
         if pending.is_empty() {
             let Ok(it) = receiver.recv().await else { return };
@@ -78,56 +78,56 @@
         {
             pending.push(it);
         }
-        let (batch, later) = split(std::mem::take(&mut pending));
-        pending = later;
+        let (batch, deferred) = split_conflicting(std::mem::take(&mut pending));
+        pending = deferred;
         pending.extend(commit(&platform, batch).await);
     }
 }
 
 /// Puts off writes to a row that the batch writes already.
-fn split(all: Vec<Write>) -> (Vec<Write>, Vec<Write>) {
-    let mut batch: Vec<Write> = Vec::new();
-    let mut later = Vec::new();
+fn split_conflicting(all: Vec<PendingWrite>) -> (Vec<PendingWrite>, Vec<PendingWrite>) {
+    let mut batch: Vec<PendingWrite> = Vec::new();
+    let mut deferred = Vec::new();
     for it in all {
-        let known = batch.iter().any(|old| old.check.key == it.check.key);
-        if known { later.push(it) } else { batch.push(it) }
+        let is_duplicate = batch.iter().any(|old| old.check.key == it.check.key);
+        if is_duplicate { deferred.push(it) } else { batch.push(it) }
     }
-    (batch, later)
+    (batch, deferred)
 }
 
 /// Commits a batch, answers what is decided and returns the rest.
-async fn commit(platform: &Platform, batch: Vec<Write>) -> Vec<Write> {
+async fn commit(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     let transaction = Transaction {
         checks: batch.iter().map(|it| it.check.clone()).collect(),
         puts: batch.iter().map(|it| it.put.clone()).collect(),
     };
     match platform.commit(&transaction).await {
-        Ok(Committed::Applied) => answer_all(batch, &Written::Applied),
-        Ok(Committed::Conflict(rows)) => settle(batch, &rows),
+        Ok(Committed::Applied) => reply_all(batch, &Written::Applied),
+        Ok(Committed::Conflict(rows)) => resolve_conflict(batch, &rows),
         Err(Error::Unclear(_)) => read_back(platform, batch).await,
         // One that was unclear before may still be applied.
         Err(_) => {
             for it in batch {
                 let is_first = it.attempts == 0;
-                it.answer(if is_first { Written::Refused } else { Written::Unclear });
+                it.reply_with(if is_first { Written::Refused } else { Written::Unclear });
             }
             Vec::new()
         }
     }
 }
 
-fn answer_all(batch: Vec<Write>, written: &Written) -> Vec<Write> {
-    batch.into_iter().for_each(|it| it.answer(written.clone()));
+fn reply_all(batch: Vec<PendingWrite>, written: &Written) -> Vec<PendingWrite> {
+    batch.into_iter().for_each(|it| it.reply_with(written.clone()));
     Vec::new()
 }
 
 /// Answers the writes whose rows differ, and returns the others: nothing was applied.
-fn settle(batch: Vec<Write>, rows: &[Row]) -> Vec<Write> {
+fn resolve_conflict(batch: Vec<PendingWrite>, rows: &[Row]) -> Vec<PendingWrite> {
     let mut rest = Vec::new();
     for it in batch {
         match rows.iter().find(|row| row.key == it.check.key) {
-            Some(row) if row.value == it.put.value => it.answer(Written::Applied),
-            Some(row) => it.answer(Written::Conflict(row.clone())),
+            Some(row) if row.value == it.put.value => it.reply_with(Written::Applied),
+            Some(row) => it.reply_with(Written::Conflict(row.clone())),
             None => rest.push(it),
         }
     }
@@ -136,27 +136,27 @@
 
 /// Learns from the rows what became of a batch; returns the writes to send again, which is
 /// safe: they are bound to a version.
-async fn read_back(platform: &Platform, batch: Vec<Write>) -> Vec<Write> {
-    clock::sleep(PAUSE).await;
+async fn read_back(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
+    clock::sleep(READ_BACK_PAUSE).await;
     let keys: Vec<_> = batch.iter().map(|it| it.check.key.clone()).collect();
     let rows = platform.read(&keys).await.unwrap_or_default();
     let mut rest = Vec::new();
     for mut it in batch {
         it.attempts += 1;
         match rows.iter().find(|row| row.key == it.check.key) {
-            Some(row) if row.value == it.put.value => it.answer(Written::Applied),
+            Some(row) if row.value == it.put.value => it.reply_with(Written::Applied),
             Some(row) if row.version != it.check.version => {
-                it.answer(Written::Conflict(row.clone()));
+                it.reply_with(Written::Conflict(row.clone()));
             }
-            _ if MAX_ATTEMPTS <= it.attempts => it.answer(Written::Unclear),
+            _ if MAX_ATTEMPTS <= it.attempts => it.reply_with(Written::Unclear),
             _ => rest.push(it),
         }
     }
     rest
 }
 
-impl Write {
-    fn answer(self, written: Written) {
+impl PendingWrite {
+    fn reply_with(self, written: Written) {
         let _ = self.reply.try_send(written);
     }
 }
