--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! A caller's request, read and validated.
 
 use std::{net::TcpStream, sync::Arc, time::Duration};
 
@@ -20,26 +20,25 @@
     state::{Host, hash_name},
 };
 
-/// When a caller is told to come back to a host that knows no configuration yet.
+/// Retry delay given by a host that has no configuration yet.
 const NO_CONFIG_RETRY: Duration = Duration::from_millis(300);
 
-/// When a caller is told to come back, to another host, by one that ends.
+/// Retry delay given by a host that is shutting down; the retry goes to another host.
 const STOPPING_RETRY: Duration = Duration::from_millis(50);
 
-/// When a caller is told to come back, to another host, by one that stood still: it mostly hears within as much
-/// what has changed.
+/// Retry delay given by a host that was suspended; it mostly catches up within this time.
 pub(crate) const SUSPENDED_RETRY: Duration = Duration::from_millis(100);
-/// What it is told.
-pub(crate) const SUSPENDED_TEXT: &str = "this host stood still, and hears first what has changed";
+/// Error text of that refusal.
+pub(crate) const SUSPENDED_TEXT: &str = "this host was suspended and is catching up";
 
-/// A request that may be sent to an upstream.
+/// A validated request that may be sent to an upstream.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub id: String,
-    /// The connection that it came on.
+    /// The connection that the request came on.
     pub caller: Arc<Async<TcpStream>>,
     pub arrived: Duration,
-    /// When its answer must be whole.
+    /// Time by which the whole response must be delivered.
     pub deadline: Duration,
     pub method: Method,
     pub uri: Uri,
@@ -49,18 +48,18 @@
     pub service: String,
     pub workspace: Option<Arc<Workspace>>,
     pub config_version: u64,
-    pub job: PlacementRequest,
-    /// Names the request, whatever the attempt.
+    pub placement: PlacementRequest,
+    /// Fingerprint of the request, the same for every attempt.
     pub fingerprint: Fingerprint,
-    _held: Arc<()>,
+    _active: Arc<()>,
 }
 
 impl Call {
-    /// Reads a request whole and checks it against the configuration in force.
+    /// Reads a request with its body and checks it against the active configuration.
     ///
     /// # Errors
     ///
-    /// The answer to a request that is not to be passed on.
+    /// The response to a request that must not be forwarded.
     pub(crate) async fn read(
         host: &Host,
         caller: &Arc<Async<TcpStream>>,
@@ -71,7 +70,10 @@
             return Err(Failure::unavailable(SUSPENDED_TEXT, SUSPENDED_RETRY));
         }
         let Some(active_config) = host.active_config() else {
-            return Err(Failure::unavailable("no configuration is known yet", NO_CONFIG_RETRY));
+            return Err(Failure::unavailable(
+                "this host has no configuration yet",
+                NO_CONFIG_RETRY,
+            ));
         };
         let catalog = active_config.catalog;
         let (parts, body) = request.into_parts();
@@ -79,30 +81,35 @@
             .map_err(|it| Failure::rejected(StatusCode::BAD_REQUEST, it.header, it.hint))?;
         let route = find_route(&catalog, &parts.uri, &parts.headers)?;
         if route.kind.is_stream() && !host.accepts_streams() {
-            return Err(Failure::unavailable("this host is about to end", STOPPING_RETRY));
+            return Err(Failure::unavailable("this host is shutting down", STOPPING_RETRY));
         }
         let workspace = authorize(&catalog, &route, head.api_key.as_deref())?;
         let service = route.pick_service(fastrand::f64()).unwrap_or_default().to_owned();
         let engine = catalog.service(&service).and_then(|it| it.engine);
-        let owner = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
-        let n_messages = messages(head.prompt.as_ref(), engine);
-        let draw = fastrand::f64();
-        let overload = host.governor().shed(arrived, owner, n_messages, draw);
+        let workspace_hash = workspace.as_ref().map_or(0, |it| hash_name(&it.name));
+        let n_messages = message_count(head.prompt.as_ref(), engine);
+        let random = fastrand::f64();
+        let overload = host.load_shedder().shed(arrived, workspace_hash, n_messages, random);
         if overload.is_some() || host.settings().active_limit < host.n_active() {
             host.metrics.count("refused{reason=\"Overload\"}");
             let tokens = head.prompt.as_ref().map_or(0.0, Prompt::token_cost);
-            host.balancer().record_refusal(arrived, owner, tokens);
-            let refused = Overloaded { owner, tokens, overload };
+            host.balancer().record_refusal(arrived, workspace_hash, tokens);
+            let refused = Overloaded { workspace_hash, tokens, overload };
             log_overload(host, &head, &route, workspace.as_deref(), refused);
-            return Err(Failure::overloaded(host.governor().retry_after(fastrand::f64())));
+            return Err(Failure::overloaded(host.load_shedder().retry_after(fastrand::f64())));
         }
-        let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-        let reading = read_body(body, catalog.limits().body_bytes);
-        let late =
-            || Err(Failure::rejected(StatusCode::REQUEST_TIMEOUT, "body", "send it in time"));
-        let body = clock::timeout(patience, reading).await.unwrap_or_else(late)?;
-        let job = PlacementRequest {
-            workspace: owner,
+        let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let body_read = read_body(body, catalog.limits().body_bytes);
+        let timed_out = || {
+            Err(Failure::rejected(
+                StatusCode::REQUEST_TIMEOUT,
+                "body",
+                "send the whole body in time",
+            ))
+        };
+        let body = clock::timeout(timeout, body_read).await.unwrap_or_else(timed_out)?;
+        let placement = PlacementRequest {
+            workspace: workspace_hash,
             service: hash_name(&service),
             prompt: head.prompt,
             objective: route.latency_target,
@@ -111,7 +118,7 @@
             engine,
         };
         let identity = RequestIdentity {
-            workspace: owner,
+            workspace: workspace_hash,
             method: parts.method.as_str(),
             target: parts.uri.path_and_query().map_or("", |it| it.as_str()),
             body: &body,
@@ -121,7 +128,7 @@
             id: head.attempt_id,
             caller: caller.clone(),
             arrived,
-            deadline: arrived.saturating_add(patience),
+            deadline: arrived.saturating_add(timeout),
             method: parts.method,
             uri: parts.uri,
             headers: parts.headers,
@@ -130,45 +137,48 @@
             service,
             workspace,
             config_version: catalog.version(),
-            job,
+            placement,
             fingerprint,
-            _held: host.track_request(),
+            _active: host.track_request(),
         })
     }
 
-    /// Returns what may be repeated.
+    /// Returns whether, and how, the request may be repeated.
     pub(crate) fn kind(&self) -> RouteKind {
         self.route.kind
     }
 
-    /// Returns the workspace's name, empty where the caller has none.
+    /// Returns the name of the workspace, empty if the caller has none.
     pub(crate) fn workspace_name(&self) -> &str {
         self.workspace.as_ref().map_or("", |it| it.name.as_str())
     }
 
-    /// Returns what hosts tell each other of the request by.
-    pub(crate) fn request(&self) -> quarantine::RequestKey {
-        quarantine::RequestKey { workspace: self.job.workspace, fingerprint: self.fingerprint }
+    /// Returns the key by which hosts identify the request in the quarantine.
+    pub(crate) fn quarantine_key(&self) -> quarantine::RequestKey {
+        quarantine::RequestKey {
+            workspace: self.placement.workspace,
+            fingerprint: self.fingerprint,
+        }
     }
 
-    /// Returns what the request counts in its workspace's share, in tokens.
+    /// Returns the cost of the request in its workspace's share, in tokens.
     pub(crate) fn tokens(&self) -> f64 {
-        self.job.token_cost()
+        self.placement.token_cost()
     }
 
-    /// Returns the time that is left.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time left until the deadline.
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(clock::now())
     }
 }
 
-/// A request that this host has no processor time for.
+/// A request refused because this host lacks processor time.
 #[derive(Debug, Clone, Copy)]
 struct Overloaded {
-    /// Hash of its workspace's name, zero without one.
-    owner: u32,
+    /// Hash of the workspace's name, zero without a workspace.
+    workspace_hash: u32,
     tokens: f64,
-    /// Why, where it is not for the number of requests at once.
+    /// Admission values behind the refusal; `None` if the limit of concurrent requests was hit.
     overload: Option<Overload>,
 }
 
@@ -177,23 +187,24 @@
     head: &request::RequestHead,
     route: &Route,
     workspace: Option<&Workspace>,
-    Overloaded { owner, tokens, overload }: Overloaded,
+    Overloaded { workspace_hash, tokens, overload }: Overloaded,
 ) {
     let name = workspace.map_or("", |it| it.name.as_str());
     host.ingress.record_refused(name);
-    let account = host.balancer().share_snapshot(clock::now(), owner);
+    let shares = host.balancer().share_snapshot(clock::now(), workspace_hash);
     log::info!(
         request = head.attempt_id, route = route.name, workspace = name, tokens,
         offered = overload.map_or(0.0, |it| it.offered),
         offered_level = overload.map_or(0.0, |it| it.limit),
         late_ms = overload.map_or(0.0, |it| it.lateness), active = host.n_active(),
-        asked = account.asked, taken = account.taken, level = account.fair_share, best = account.largest_usage;
+        asked = shares.asked, taken = shares.taken, level = shares.fair_share, best = shares.largest_usage;
         "not admitted"
     );
 }
 
-/// Returns how many messages a host passes on for a request: both ways once, and the events.
-fn messages(prompt: Option<&Prompt>, engine: Option<EngineSpec>) -> f64 {
+/// Returns how many messages this host relays for a request: the request, the response and its
+/// events.
+fn message_count(prompt: Option<&Prompt>, engine: Option<EngineSpec>) -> f64 {
     let n_events = match (prompt, engine) {
         (Some(prompt), Some(engine)) => prompt.max_output_tokens / engine.event_tokens.max(1),
         _ => 0,
@@ -204,7 +215,9 @@
 fn find_route(catalog: &Catalog, uri: &Uri, headers: &HeaderMap) -> Result<Arc<Route>, Failure> {
     let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let name = named.or(uri.host()).unwrap_or_default();
-    let missing = || Failure::rejected(StatusCode::NOT_FOUND, "path", "no route takes this path");
+    let missing = || {
+        Failure::rejected(StatusCode::NOT_FOUND, "path", "no route matches this host name and path")
+    };
     catalog.find_route(name, uri.path()).cloned().ok_or_else(missing)
 }
 
@@ -215,7 +228,7 @@
 ) -> Result<Option<Arc<Workspace>>, Failure> {
     let found = key.and_then(|it| catalog.workspace_by_key(it)).cloned();
     if found.is_none() && route.access == Access::ApiKey {
-        let text = "send a key of a workspace";
+        let text = "send the key of a workspace";
         return Err(Failure::rejected(StatusCode::UNAUTHORIZED, "authorization", text));
     }
     Ok(found)
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -1,4 +1,4 @@
-//! What one host knows and decides with, shared by its tasks.
+//! State of one host, shared by its tasks.
 
 use std::{
     collections::HashMap,
@@ -26,29 +26,30 @@
 
 use crate::{
     active_probes::ActiveProbes, atomic_instant::AtomicInstant, ingress::IngressStats,
-    metrics::Metrics, pool::Pool, settings::Settings, store_watch::OUTAGE,
+    metrics::Metrics, pool::Pool, settings::Settings, store_watch::OUTAGE_THRESHOLD,
     upstream_list::UpstreamList,
 };
 
-/// Time after a connection could not be accepted for which callers are sent elsewhere: the platform
-/// asks once a second, and descriptors are freed as answers end.
+/// Time without readiness after a failed accept: the platform checks readiness once per second, and
+/// file descriptors are freed as responses end.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Time for which a host that ends still takes streams: the platform needs two misses, a second
-/// apart, to send callers elsewhere.
+/// Time after shutdown began in which new streams are still accepted: the platform stops sending
+/// callers after two failed readiness checks, one second apart.
 pub(crate) const STREAM_ACCEPT_TIME: Duration = Duration::from_millis(2600);
 
-/// Verdicts that may wait to be written while the store is down; other hosts know them too.
-const MAX_PENDING_VERDICTS: usize = 256;
+/// Maximum number of quarantine entries queued for the store while it is down; other hosts know
+/// them too.
+const MAX_PENDING_WRITES: usize = 256;
 
-/// A configuration and the bytes that it was read from.
+/// A configuration with the bytes that it was decoded from.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveConfig {
     pub catalog: Arc<Catalog>,
     pub bytes: Bytes,
 }
 
-/// One router process.
+/// One host's router process.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub rt: Runtime,
@@ -58,42 +59,43 @@
     pub pool: Pool,
     pub probes: ActiveProbes,
     pub incarnation: u64,
-    own_hash: u64,
+    host_hash: u64,
     active_config: RwLock<Option<ActiveConfig>>,
-    pub listed: RwLock<UpstreamList>,
+    pub upstream_list: RwLock<UpstreamList>,
     balancer: Mutex<Balancer>,
     budgets: Mutex<HashMap<u32, RetryBudget>>,
     peers: Mutex<PeerTable>,
-    store_readers: Mutex<StoreWatchers>,
-    store_contacts: Mutex<StoreAvailability>,
-    governor: Mutex<LoadShedder>,
-    broken_runs: Mutex<BrokenAttempts>,
+    store_watchers: Mutex<StoreWatchers>,
+    store_availability: Mutex<StoreAvailability>,
+    load_shedder: Mutex<LoadShedder>,
+    broken_attempts: Mutex<BrokenAttempts>,
     quarantine: Mutex<Quarantine>,
-    suspension: Mutex<SuspendDetector>,
-    /// Requests whose verdict the store is to keep.
-    verdict_queue: Sender<RequestKey>,
-    /// When the store was first asked which requests are refused.
+    suspend_detector: Mutex<SuspendDetector>,
+    /// Requests whose quarantine entry is to be written to the store.
+    pending_writes: Sender<RequestKey>,
+    /// Set once the quarantine was read from the store, could not be read or need not be.
     quarantine_loaded: AtomicInstant,
     /// When the table of hosts was last read.
     hosts_loaded: AtomicInstant,
-    /// How often the store came back from a copy of itself, as far as this host has heard.
+    /// Number of restores of the store from a backup, as far as this host knows.
     store_era: AtomicU64,
-    /// When the process was told to stop.
+    /// When shutdown began.
     stopping: AtomicInstant,
-    /// Held by every request that is not answered yet.
+    /// Cloned into every request in progress; the reference count is their number.
     active: Arc<()>,
-    /// When the store last answered.
+    /// When the store last responded.
     store_response: AtomicInstant,
-    /// When a connection could last not be accepted.
+    /// When accepting or opening a connection last failed.
     accept_failure: AtomicInstant,
 }
 
 impl Host {
-    /// Builds the state of a process that knows nothing yet.
+    /// Creates the state of a process that knows nothing yet.
     ///
-    /// Returns with it the requests whose verdict the store is to keep, as they come.
+    /// Also returns the receiver of the requests whose quarantine entry is to be written to the
+    /// store.
     pub(crate) fn new(rt: Runtime, settings: Settings) -> (Arc<Self>, Receiver<RequestKey>) {
-        let place = GossipConfig {
+        let gossip_config = GossipConfig {
             host: host_hash(settings.peers),
             data_centre: hash_name(&settings.data_centre),
             direct_limit: settings.direct_hosts,
@@ -102,7 +104,7 @@
         let mut balancer = Balancer::new(settings.share_window);
         balancer.set_seed(incarnation);
         let seeds = settings.seeds.iter().copied().filter(|it| *it != settings.peers);
-        let (verdict_queue, pending) = async_channel::bounded(MAX_PENDING_VERDICTS);
+        let (pending_writes, receiver) = async_channel::bounded(MAX_PENDING_WRITES);
         let res = Arc::new(Self {
             pool: Pool::new(rt.clone()),
             probes: ActiveProbes::default(),
@@ -111,18 +113,18 @@
             ingress: IngressStats::default(),
             incarnation,
             active_config: RwLock::new(None),
-            listed: RwLock::default(),
+            upstream_list: RwLock::default(),
             balancer: Mutex::new(balancer),
             budgets: Mutex::default(),
-            peers: Mutex::new(PeerTable::new(place, seeds)),
-            own_hash: place.host,
-            store_readers: Mutex::new(StoreWatchers::new(settings.pace)),
-            store_contacts: Mutex::new(StoreAvailability::new(OUTAGE)),
-            governor: Mutex::default(),
-            broken_runs: Mutex::default(),
+            peers: Mutex::new(PeerTable::new(gossip_config, seeds)),
+            host_hash: gossip_config.host,
+            store_watchers: Mutex::new(StoreWatchers::new(settings.store_timeouts)),
+            store_availability: Mutex::new(StoreAvailability::new(OUTAGE_THRESHOLD)),
+            load_shedder: Mutex::default(),
+            broken_attempts: Mutex::default(),
             quarantine: Mutex::default(),
-            suspension: Mutex::default(),
-            verdict_queue,
+            suspend_detector: Mutex::default(),
+            pending_writes,
             quarantine_loaded: AtomicInstant::default(),
             hosts_loaded: AtomicInstant::default(),
             store_era: AtomicU64::new(0),
@@ -132,33 +134,33 @@
             accept_failure: AtomicInstant::default(),
             settings: RwLock::new(Arc::new(settings)),
         });
-        (res, pending)
+        (res, receiver)
     }
 
-    /// Returns the settings in force.
+    /// Returns the current settings.
     pub(crate) fn settings(&self) -> Arc<Settings> {
         self.settings.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub(crate) fn active_config(&self) -> Option<ActiveConfig> {
         self.active_config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the version of the configuration in force, zero before there is one.
+    /// Returns the version of the active configuration, zero if there is none yet.
     pub(crate) fn config_version(&self) -> u64 {
         self.active_config().map_or(0, |it| it.catalog.version())
     }
 
-    /// Puts a configuration in force, unless one as new is already; `source` says where it came
-    /// from.
+    /// Activates a configuration if it is newer than the active one; `source` names its origin in
+    /// logs.
     pub(crate) fn apply_config(&self, bytes: Bytes, source: &str) {
         let decode = || portfield_platform::config::decode(&bytes);
         let Some(decoded) = contain::call("configuration", decode) else { return };
         let catalog = match decoded {
             Ok(it) => it,
             Err(err) => {
-                log::error!(err:%, source; "configuration not readable");
+                log::error!(err:%, source; "configuration cannot be decoded");
                 return;
             }
         };
@@ -176,23 +178,23 @@
         self.metrics.count("config_changes");
     }
 
-    /// Returns the decision state.
+    /// Returns the balancer.
     pub(crate) fn balancer(&self) -> MutexGuard<'_, Balancer> {
         self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request towards a service's retry budget.
+    /// Adds a request to the retry budget of its service.
     pub(crate) fn deposit_retry(&self, service: u32) {
         self.with_budget(service, |it, _| it.deposit(clock::now()));
     }
 
-    /// Pays for sending a request a second time, if the budget allows it.
+    /// Takes one retry from the budget of a service; returns `false` if none is left.
     pub(crate) fn withdraw_retry(&self, service: u32) -> bool {
         self.with_budget(service, |it, n_hosts| it.withdraw(clock::now(), n_hosts))
     }
 
     fn with_budget<T>(&self, service: u32, f: impl FnOnce(&mut RetryBudget, usize) -> T) -> T {
-        // Hosts that fell silent may still repeat requests behind a cut.
+        // Hosts behind a network partition may be retrying requests too.
         let n_hosts = 1 + self.peers().n_known();
         let it = self.settings();
         let new = || RetryBudget::new(it.retry_ratio, it.retry_extra, it.retry_window);
@@ -200,37 +202,37 @@
         f(budgets.entry(service).or_insert_with(new), n_hosts)
     }
 
-    /// Returns the other hosts.
+    /// Returns the state of the other hosts.
     pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns this host's own load.
-    pub(crate) fn governor(&self) -> MutexGuard<'_, LoadShedder> {
-        self.governor.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the load shedder of this host.
+    pub(crate) fn load_shedder(&self) -> MutexGuard<'_, LoadShedder> {
+        self.load_shedder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the runs that broke of late.
-    pub(crate) fn broken_runs(&self) -> MutexGuard<'_, BrokenAttempts> {
-        self.broken_runs.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the attempts that recently broke.
+    pub(crate) fn broken_attempts(&self) -> MutexGuard<'_, BrokenAttempts> {
+        self.broken_attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether this host has stood still, and what it has heard since.
-    pub(crate) fn suspension(&self) -> MutexGuard<'_, SuspendDetector> {
-        self.suspension.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the tracker of suspensions of this host.
+    pub(crate) fn suspend_detector(&self) -> MutexGuard<'_, SuspendDetector> {
+        self.suspend_detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the requests that something is known against.
+    /// Returns the requests that are suspected or quarantined.
     pub(crate) fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the store has told which requests are refused, or cannot.
+    /// Records that readiness need not wait for the quarantine in the store any longer.
     pub(crate) fn mark_quarantine_loaded(&self) {
         self.quarantine_loaded.set_now();
     }
 
-    /// Notes that the table of hosts was read.
+    /// Records that the table of hosts was read.
     pub(crate) fn mark_hosts_loaded(&self) {
         self.hosts_loaded.set_now();
     }
@@ -240,102 +242,105 @@
         self.hosts_loaded.elapsed().is_some()
     }
 
-    /// Returns how often the store came back from a copy of itself, as far as this host has heard.
+    /// Returns how often the store was restored from a backup, as far as this host knows.
     pub(crate) fn store_era(&self) -> u64 {
         self.store_era.load(Ordering::Relaxed)
     }
 
-    /// Notes the era of the store; `source` says where it was heard.
+    /// Records the era of the store; `source` names its origin in logs.
     pub(crate) fn update_store_era(&self, era: u64, source: &str) {
         let before = self.store_era.fetch_max(era, Ordering::Relaxed);
         if before < era {
-            log::warn!(era, before, source; "store went back");
+            log::warn!(era, before, source; "store restored from a backup");
         }
     }
 
-    /// Has the store keep what is known against a request.
-    pub(crate) fn persist_verdict(&self, request: RequestKey) {
-        if self.verdict_queue.try_send(request).is_err() {
+    /// Queues the quarantine entry of a request to be written to the store.
+    pub(crate) fn persist_quarantine(&self, request: RequestKey) {
+        if self.pending_writes.try_send(request).is_err() {
             self.metrics.count("verdicts_not_kept");
-            log::warn!(fingerprint = request.fingerprint_hex(); "verdict not kept");
+            log::warn!(fingerprint = request.fingerprint_hex(); "quarantine entry not queued");
         }
     }
 
-    /// Returns whether a caller's connection is to be closed after an answer.
-    pub(crate) fn should_close(&self, answered: AnswerKind) -> bool {
-        self.is_stopping() || self.governor().closes_connection(answered) || !self.can_accept()
+    /// Returns whether to close a caller's connection after a response.
+    pub(crate) fn should_close(&self, answer_kind: AnswerKind) -> bool {
+        self.is_stopping()
+            || self.load_shedder().closes_connection(answer_kind)
+            || !self.can_accept()
     }
 
-    /// Looks anew at whom to tell what this host did.
-    pub(crate) fn refresh_audience(&self) -> GossipTopology {
+    /// Recomputes which hosts this host's digests go to, and returns them.
+    pub(crate) fn refresh_topology(&self) -> GossipTopology {
         self.peers().refresh_topology(clock::now())
     }
 
-    /// Returns whom to tell what this host did, as of the last look.
-    pub(crate) fn audience(&self) -> GossipTopology {
+    /// Returns which hosts this host's digests go to, as of the last refresh.
+    pub(crate) fn topology(&self) -> GossipTopology {
         self.peers().topology()
     }
 
-    /// Returns the hash that names this host among the others.
+    /// Returns the hash that identifies this host among the others.
     pub(crate) fn own_hash(&self) -> u64 {
-        self.own_hash
+        self.host_hash
     }
 
-    /// Notes what another host said of itself.
-    pub(crate) fn record_follower(&self, it: WatcherStatus) {
-        self.store_readers.lock().unwrap_or_else(PoisonError::into_inner).record(it);
+    /// Records how current another host's view of the store is.
+    pub(crate) fn record_watcher(&self, it: WatcherStatus) {
+        self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner).record(it);
     }
 
-    /// Notes that another host heard the store at a time.
+    /// Records that another host was in contact with the store at a time.
     pub(crate) fn record_store_contact(&self, at: Duration) {
-        self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner).record(at);
+        self.store_availability.lock().unwrap_or_else(PoisonError::into_inner).record(at);
     }
 
-    /// Returns whether others have heard the store from a time on until now.
+    /// Returns whether other hosts were in contact with the store from a time until now.
     pub(crate) fn peers_reached_store(&self, from: Duration) -> bool {
-        let witness = self.store_contacts.lock().unwrap_or_else(PoisonError::into_inner);
-        witness.is_continuous(from, clock::now())
+        let availability = self.store_availability.lock().unwrap_or_else(PoisonError::into_inner);
+        availability.is_continuous(from, clock::now())
     }
 
-    /// Returns whether this host is to follow the store itself.
-    pub(crate) fn is_store_reader(&self) -> bool {
+    /// Returns whether this host is one of those that watch the store themselves.
+    pub(crate) fn is_store_watcher(&self) -> bool {
         let data_centre = hash_name(&self.settings().data_centre);
         let now = clock::now();
         let n_others = self.balancer().n_hosts(now) - 1;
-        let readers = self.store_readers.lock().unwrap_or_else(PoisonError::into_inner);
-        readers.is_watcher(now, self.own_hash, data_centre, n_others)
+        let watchers = self.store_watchers.lock().unwrap_or_else(PoisonError::into_inner);
+        watchers.is_watcher(now, self.host_hash, data_centre, n_others)
     }
 
-    /// Notes that the store answered.
+    /// Records a response of the store.
     pub(crate) fn record_store_response(&self) {
         self.store_response.set_now();
     }
 
-    /// Returns how long ago the store last answered; for ever if it never did.
+    /// Returns the time since the store last responded, [`Duration::MAX`] if it never did.
     pub(crate) fn store_age(&self) -> Duration {
         self.store_response.elapsed().unwrap_or(Duration::MAX)
     }
 
-    /// Returns whether the list of upstreams is to be taken from other hosts.
+    /// Returns whether this host is to take the upstream list from other hosts.
     pub(crate) fn needs_peer_list(&self) -> bool {
-        self.settings().pace.fallback_after < self.store_age() || !self.is_store_reader()
+        self.settings().store_timeouts.fallback_after < self.store_age() || !self.is_store_watcher()
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether the host is ready for callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let known = self.active_config().is_some() && !self.with_list(|it| it.directory.is_empty());
-        let is_recalled = self.quarantine_loaded.elapsed().is_some();
-        known
-            && is_recalled
+        let has_state =
+            self.active_config().is_some() && !self.with_list(|it| it.directory.is_empty());
+        let quarantine_known = self.quarantine_loaded.elapsed().is_some();
+        has_state
+            && quarantine_known
             && self.has_fresh_state()
             && !self.is_stopping()
-            && !self.governor().is_overloaded()
+            && !self.load_shedder().is_overloaded()
             && self.can_accept()
     }
 
-    /// Notes that a connection could not be opened or accepted for want of descriptors, and frees some:
-    /// kept connections now, callers' with their next answers.
-    pub(crate) fn handle_fd_exhaustion(&self, err: &io::Error) {
+    /// Handles a failure to accept a connection, or to open one for lack of file descriptors:
+    /// closes the pooled connections now, and callers' connections after their next response.
+    pub(crate) fn handle_accept_failure(&self, err: &io::Error) {
         if self.can_accept() {
             log::warn!(err:%, active = self.n_active(); "connection not accepted");
         }
@@ -344,44 +349,44 @@
         self.pool.clear();
     }
 
-    /// Returns whether connections could be accepted of late.
+    /// Returns whether accepting a connection has not failed recently.
     fn can_accept(&self) -> bool {
         self.accept_failure.elapsed().is_none_or(|it| ACCEPT_BACKOFF < it)
     }
 
-    /// Returns whether the process was told to stop.
+    /// Returns whether shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.elapsed().is_some()
     }
 
-    /// Returns how long ago the process was told to stop.
+    /// Returns the time since shutdown began.
     pub(crate) fn stopping_elapsed(&self) -> Option<Duration> {
         self.stopping.elapsed()
     }
 
-    /// Returns whether new streams are taken: a host that was told to stop takes them only until callers
-    /// are sent elsewhere.
+    /// Returns whether new streams are accepted: during shutdown only until the platform has
+    /// stopped sending callers here.
     pub(crate) fn accepts_streams(&self) -> bool {
         self.stopping_elapsed().is_none_or(|it| it <= STREAM_ACCEPT_TIME)
     }
 
-    /// Turns readiness off for good.
+    /// Begins shutdown; the host stays not ready from now on.
     pub(crate) fn begin_shutdown(&self) {
         self.stopping.set_now();
     }
 
-    /// Returns what a request holds until it is answered.
+    /// Returns a guard that counts a request as active until it is dropped.
     pub(crate) fn track_request(&self) -> Arc<()> {
         self.active.clone()
     }
 
-    /// Returns how many requests are not answered yet.
+    /// Returns the number of requests in progress.
     pub(crate) fn n_active(&self) -> usize {
         Arc::strong_count(&self.active) - 1
     }
 }
 
-/// Returns the number of a name among the hosts.
+/// Returns the hash that stands for a name in messages between hosts.
 pub(crate) fn hash_name(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store: what the operator wrote, and the upstreams.
+//! Follows two tables of the store: the operator's configuration and orders, and the upstreams.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,189 +20,195 @@
     upstream_signals,
 };
 
-/// Pause after a call that failed; grows by half of itself up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(150);
-/// Longest such pause: a change must be in force two seconds after it was acknowledged.
+/// Pause after a failed call; grows by half each time, up to [`MAX_PAUSE`].
+const INITIAL_PAUSE: Duration = Duration::from_millis(150);
+/// Longest such pause: a change must be in force two seconds after the store acknowledged it.
 pub(crate) const MAX_PAUSE: Duration = Duration::from_millis(600);
-/// Least time between the beginnings of two calls for what the operator wrote.
+/// Minimum time between the starts of two calls for the operator's table.
 const OPERATOR_INTERVAL: Duration = Duration::from_millis(100);
-/// The same for the list of upstreams: those that come, go or warm up one after the other are told together, and who
-/// leaves must get nothing more two seconds later.
+/// The same for the upstream list: consecutive changes are read together, while a draining upstream
+/// must get no more requests after two seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(300);
-/// Time after the first look at a table before its changes are followed: by then a host knows
-/// how many there are, and whether it is one that follows.
-const SETTLE: Duration = Duration::from_millis(1000);
-/// Silence of the store after which upstreams' entries may have lapsed: shorter than the three
-/// heartbeats of 1.2 s after which the platform removes one, and longer than it holds a call.
-pub(crate) const OUTAGE: Duration = Duration::from_millis(3200);
-/// Characters of an error that are logged.
+/// Time between the first read of a table and the first call for its changes. By then the host
+/// knows how many others there are, and whether it is one that watches the store.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(1000);
+/// Time without a response of the store after which entries of upstreams may have expired: shorter
+/// than the three heartbeats of 1.2 s after which the platform removes one, and longer than the
+/// store holds a call.
+pub(crate) const OUTAGE_THRESHOLD: Duration = Duration::from_millis(3200);
+/// Maximum length of a logged error, in characters.
 const MAX_ERROR_CHARS: usize = 200;
-/// Time between two looks whether this host is to follow the store.
+/// Interval for checking whether this host is to watch the store now.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
-/// Time between two looks for entries that did not come back.
+/// Interval for removing expired entries.
 const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Starts the tasks.
-pub(crate) fn start(host: &Arc<Host>, verdicts: Receiver<RequestKey>) {
+/// Starts the tasks that read from and write to the store.
+pub(crate) fn start(host: &Arc<Host>, pending_writes: Receiver<RequestKey>) {
     let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = WatchedTable {
         table: store::OPERATOR_TABLE,
-        what: CachedState::Config,
+        knowledge: CachedState::Config,
         interval: OPERATOR_INTERVAL,
-        take: apply_operator_rows,
+        apply: apply_operator_rows,
     };
     let upstreams = WatchedTable {
         table: store::UPSTREAMS_TABLE,
-        what: CachedState::Upstreams,
+        knowledge: CachedState::Upstreams,
         interval: LIST_INTERVAL,
-        take: apply_upstream_rows,
+        apply: apply_upstream_rows,
     };
     host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), operator).run());
     host.rt.spawn(TableWatcher::new(host.clone(), store.clone(), upstreams).run());
-    host.rt.spawn(quarantine_store::run_writer(host.clone(), store.clone(), verdicts));
+    host.rt.spawn(quarantine_store::run_writer(host.clone(), store.clone(), pending_writes));
     host.rt.spawn(host_discovery::run(host.clone(), store));
     host.rt.spawn(run_expiry(host.clone()));
 }
 
-/// A table that is followed.
+/// A table to follow.
 #[derive(Debug, Clone, Copy)]
 struct WatchedTable {
     table: &'static str,
-    what: CachedState,
-    /// Least time between the beginnings of two calls.
+    knowledge: CachedState,
+    /// Minimum time between the starts of two calls.
     interval: Duration,
-    take: fn(&Arc<Host>, TableUpdate),
+    apply: fn(&Arc<Host>, TableUpdate),
 }
 
-/// What came from the store.
+/// Rows read from the store.
 #[derive(Debug)]
 struct TableUpdate {
     rows: Vec<Row>,
-    reading: TableRead,
+    table_read: TableRead,
 }
 
-/// A table as this host follows it.
+/// Follows one table.
 struct TableWatcher {
     host: Arc<Host>,
     store: Store,
-    followed: WatchedTable,
-    /// Changes after this version are news; `None` where the whole table is to be read.
+    watched: WatchedTable,
+    /// Version after which changes are requested; `None` to read the whole table.
     version: Option<StoreVersion>,
-    /// The era of the last answer that was taken.
+    /// Era of the last response that was applied.
     era: Option<u64>,
     pause: Duration,
-    heard: Duration,
-    /// When the store last answered again after an outage.
-    returned: Option<Duration>,
-    is_lost: bool,
-    pace: Duration,
+    last_response: Duration,
+    /// When the store last responded again after an outage.
+    recovered: Option<Duration>,
+    is_unreachable: bool,
+    next_interval: Duration,
 }
 
 impl TableWatcher {
-    fn new(host: Arc<Host>, store: Store, followed: WatchedTable) -> Self {
+    fn new(host: Arc<Host>, store: Store, watched: WatchedTable) -> Self {
         Self {
             host,
             store,
-            followed,
+            watched,
             version: None,
             era: None,
-            pause: PAUSE,
-            heard: clock::now(),
-            returned: None,
-            is_lost: false,
-            pace: SETTLE,
+            pause: INITIAL_PAUSE,
+            last_response: clock::now(),
+            recovered: None,
+            is_unreachable: false,
+            next_interval: FIRST_READ_DELAY,
         }
     }
 
-    /// Follows the table for ever.
+    /// Follows the table forever.
     async fn run(mut self) {
         loop {
-            if self.version.is_some() && !self.host.is_store_reader() {
-                // What changed meanwhile is told from this version on, or read anew.
+            if self.version.is_some() && !self.host.is_store_watcher() {
+                // Missed changes are read from this version on, or with the whole table.
                 clock::sleep(IDLE_PERIOD).await;
-                self.heard = clock::now();
+                self.last_response = clock::now();
                 continue;
             }
-            let asked = clock::now();
+            let sent = clock::now();
             match self.read_next().await {
                 Ok(it) if it.version.era < self.host.store_era() => {
                     let era = it.version.era;
-                    log::warn!(table = self.followed.table, era; "answer of an earlier store passed over");
+                    log::warn!(table = self.watched.table, era; "response of an earlier store era ignored");
                     self.back_off().await;
                 }
                 Ok(it) if self.version.is_some_and(|last| last.era != it.version.era) => {
-                    // The same number may be of another change now: only the whole table tells.
+                    // In a new era the same version number may stand for another change: read the
+                    // whole table.
                     self.host.update_store_era(it.version.era, "store");
                     self.version = None;
                 }
-                Ok(it) => self.apply(asked, it).await,
+                Ok(it) => self.apply(sent, it).await,
                 Err(err) => self.handle_error(&err).await,
             }
         }
     }
 
     async fn read_next(&self) -> Result<Rows, Error> {
-        let table = self.followed.table;
+        let table = self.watched.table;
         match self.version {
             None => self.store.read(table).await,
-            // A host that stood still does not wait for the next change to know the last one.
+            // After a suspension, the current changes are needed at once: do not wait for the next
+            // one.
             Some(it) if !self.host.has_fresh_state() => {
                 self.store.poll_changes(table, it, Duration::ZERO).await
             }
-            Some(it) => self.store.poll_changes(table, it, self.host.settings().pace.hold).await,
+            Some(it) => {
+                self.store.poll_changes(table, it, self.host.settings().store_timeouts.hold).await
+            }
         }
     }
 
-    async fn apply(&mut self, asked: Duration, Rows { rows, version }: Rows) {
-        let (now, table) = (clock::now(), self.followed.table);
-        let silent = now - self.heard;
-        if std::mem::take(&mut self.is_lost) {
-            log::info!(table, silent_ms = silent.as_millis() as u64; "store regained");
+    async fn apply(&mut self, sent: Duration, Rows { rows, version }: Rows) {
+        let (now, table) = (clock::now(), self.watched.table);
+        let silent = now - self.last_response;
+        if std::mem::take(&mut self.is_unreachable) {
+            log::info!(table, silent_ms = silent.as_millis() as u64; "store available again");
         }
-        // Where others heard the store all the while, only the way to it was cut: what it lacks is gone.
-        if OUTAGE < silent && !self.host.peers_reached_store(self.heard) {
-            self.returned = Some(now);
+        // If other hosts reached the store all the time, only this host was cut off, and missing
+        // entries were really deleted.
+        if OUTAGE_THRESHOLD < silent && !self.host.peers_reached_store(self.last_response) {
+            self.recovered = Some(now);
         }
-        self.heard = now;
-        // A host that has only looked once follows nothing yet: others that do must not stop
-        // for it.
+        self.last_response = now;
+        // After a first read only, this host does not follow the table yet, and must not look like
+        // a watcher of the store to the others.
         if self.version.is_some() {
             self.host.record_store_response();
         }
-        self.pause = PAUSE;
+        self.pause = INITIAL_PAUSE;
         let scope = match (self.version, self.era) {
             (Some(_), _) => ReadScope::Changes,
             (None, Some(era)) if era < version.era => ReadScope::Restored,
             (None, _) => ReadScope::Full,
         };
         if scope == ReadScope::Restored {
-            self.returned = Some(now);
+            self.recovered = Some(now);
         }
         self.host.update_store_era(version.era, "store");
-        let recent = self.returned.filter(|it| now < *it + REGISTRATION_GRACE);
+        let recent = self.recovered.filter(|it| now < *it + REGISTRATION_GRACE);
         let source = match recent {
-            Some(returned) => MissingRows::MayReturn { restored_at: returned },
+            Some(recovered) => MissingRows::MayReturn { restored_at: recovered },
             None => MissingRows::Deleted,
         };
-        let gap = std::mem::replace(&mut self.pace, self.followed.interval);
+        let gap = std::mem::replace(&mut self.next_interval, self.watched.interval);
         (self.version, self.era) = (Some(version), Some(version.era));
-        let news = TableUpdate { rows, reading: TableRead { version, scope, source } };
-        (self.followed.take)(&self.host, news);
-        self.host.suspension().confirm_from_store(asked, self.followed.what);
-        clock::sleep((asked + gap).saturating_sub(now)).await;
+        let update = TableUpdate { rows, table_read: TableRead { version, scope, source } };
+        (self.watched.apply)(&self.host, update);
+        self.host.suspend_detector().confirm_from_store(sent, self.watched.knowledge);
+        clock::sleep((sent + gap).saturating_sub(now)).await;
     }
 
     async fn handle_error(&mut self, err: &Error) {
-        let table = self.followed.table;
+        let table = self.watched.table;
         if store::is_history_gone(err) {
             let after = self.version.unwrap_or_default();
-            log::info!(table, after:% = after; "history gone, reading the whole table");
+            log::info!(table, after:% = after; "change history expired, reading the whole table");
             self.version = None;
             return;
         }
         self.host.metrics.count(&format!("store_failed{{table=\"{table}\"}}"));
-        if !std::mem::replace(&mut self.is_lost, true) {
-            log::warn!(table, err:% = truncate_error(err); "store lost");
+        if !std::mem::replace(&mut self.is_unreachable, true) {
+            log::warn!(table, err:% = truncate_error(err); "store unavailable");
         }
         self.back_off().await;
     }
@@ -214,32 +220,32 @@
     }
 }
 
-/// Writes an error shortened: an answer's body may be long.
+/// Formats an error, truncated: it may contain a long response body.
 pub(crate) fn truncate_error(err: &Error) -> String {
     err.to_string().chars().take(MAX_ERROR_CHARS).collect()
 }
 
-fn apply_operator_rows(host: &Arc<Host>, news: TableUpdate) {
-    evacuations::apply_rows(host, &news.rows, &news.reading);
-    let row = news.rows.into_iter().rev().find(|it| it.key == store::CONFIG_KEY);
+fn apply_operator_rows(host: &Arc<Host>, update: TableUpdate) {
+    evacuations::apply_rows(host, &update.rows, &update.table_read);
+    let row = update.rows.into_iter().rev().find(|it| it.key == store::CONFIG_KEY);
     if let Some(bytes) = row.and_then(|it| it.value) {
         host.apply_config(Bytes::from(bytes), "store");
     }
 }
 
-fn apply_upstream_rows(host: &Arc<Host>, news: TableUpdate) {
-    if news.rows.is_empty() && news.reading.scope == ReadScope::Changes {
+fn apply_upstream_rows(host: &Arc<Host>, update: TableUpdate) {
+    if update.rows.is_empty() && update.table_read.scope == ReadScope::Changes {
         return;
     }
     let row = |it: Row| ListRow { id: it.key, entry: it.value, version: it.version };
-    let rows = news.rows.into_iter().map(row).collect();
-    host.update_list(|it| apply_list(it, rows, &news.reading));
+    let rows = update.rows.into_iter().map(row).collect();
+    host.update_list(|it| apply_list(it, rows, &update.table_read));
 }
 
 async fn run_expiry(host: Arc<Host>) {
     loop {
         clock::sleep(EXPIRE_PERIOD).await;
-        host.pool.sweep();
+        host.pool.remove_expired();
         upstream_signals::log_expired_backoffs(&host);
         let now = clock::now();
         evacuations::expire(&host, now);
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -1,4 +1,4 @@
-//! Whether this host stood still, and trusts what it knows of the fleet.
+//! Detection of suspensions of this host, and whether its state is fresh after one.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use crate::state::Host;
 
 impl Host {
-    /// Looks at the clock: whether this host stood still, and for how long if it has just gone on.
+    /// Checks the clock for a suspension; returns its length if the host has just resumed.
     ///
-    /// Called often, and before anything that relies on what the host knows.
+    /// Called often, and before any use of state that a suspension makes outdated.
     pub(crate) fn check_suspension(&self) -> Option<Duration> {
-        let still = self.suspension().tick(clock::now())?;
-        log::warn!(still_ms = still.as_millis() as u64, active = self.n_active(); "host stood still");
+        let length = self.suspend_detector().tick(clock::now())?;
+        log::warn!(still_ms = length.as_millis() as u64, active = self.n_active(); "host was suspended");
         self.metrics.count("stood_still");
         clock::woke();
-        self.balancer().record_pause(still);
+        self.balancer().record_suspension(length);
         self.peers().clear_forwards();
-        Some(still)
+        Some(length)
     }
 
-    /// Returns whether what this host knows of the fleet may be used.
+    /// Returns whether this host's state of the fleet is fresh enough to be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
-        self.suspension().is_state_usable(clock::now())
+        self.suspend_detector().is_state_usable(clock::now())
     }
 
-    /// Returns when this host last went on after it had stood still, if it ever did.
+    /// Returns when this host last resumed from a suspension, if ever.
     pub(crate) fn resumed_at(&self) -> Option<Duration> {
         self.check_suspension();
-        self.suspension().resumed_at()
+        self.suspend_detector().resumed_at()
     }
 }
