--- a/crates/portfield-router/src/admin.rs
+++ b/crates/portfield-router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port: readiness, counters, records of requests.
+//! Admin endpoint: readiness, counters and records of requests.
 
 use std::sync::atomic::Ordering;
 
@@ -8,7 +8,7 @@
 
 use crate::app::App;
 
-/// Answers a request of the admin port.
+/// Handles a request to the admin endpoint.
 pub(crate) fn answer(app: &App, request: &Request) -> Response {
     match request.url().path() {
         "/ready" => {
--- a/crates/portfield-router/src/app.rs
+++ b/crates/portfield-router/src/app.rs
@@ -1,4 +1,4 @@
-//! The router's decision state behind a lock, and the processes around it.
+//! State shared by the tasks of the router process, and the driver of its decision logic.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -25,42 +25,42 @@
 
 use crate::{session, settings::Settings, ticket::Ticket, writes::TableWriter};
 
-/// Longest sleep between two ticks.
+/// Longest sleep between two checks of the timers.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
-/// Shortest sleep between two ticks.
+/// Shortest sleep between two checks of the timers.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
-/// Records remembered for operators.
+/// Largest number of records kept for operators.
 const MAX_RECORDS: usize = 16_384;
-/// Time that the last reports to schedulers get at the end.
+/// Time at shutdown for the last reports to schedulers to be sent.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
-/// Time between two sets of metrics.
+/// Period of the metrics.
 const METRICS_PERIOD: Duration = Duration::from_secs(5);
-/// Time in which the platform answers.
+/// Timeout for a response of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of a ticket.
+/// Result of waiting for a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GrantResult {
-    /// Send the request to this upstream.
+    /// The request may be sent to this upstream.
     Granted(UpstreamId),
-    /// Give up; come back after the time given.
+    /// The request is rejected, with the time after which the caller may retry.
     Rejected(RejectReason, Duration),
 }
 
-/// One step of a request, for operators.
+/// One event in the life of a request, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Record {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// Milliseconds since the router's start.
+    /// Time since the start of the router, in milliseconds.
     pub at_ms: u64,
-    /// The ticket concerned, zero before there is one.
+    /// Id of the ticket concerned, zero if there is none.
     pub ticket: TicketId,
     /// What happened.
     pub text: String,
 }
 
-/// Counters of one router.
+/// Counters of the process; all but `connections`, the number of open ones, only rise.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub accepted: AtomicU64,
@@ -86,7 +86,7 @@
     first_byte_times: BTreeMap<ServiceId, Histogram<u64>>,
 }
 
-/// One router process.
+/// State of the router process, shared by its tasks.
 #[derive(Debug)]
 pub(crate) struct App {
     pub rt: Runtime,
@@ -103,7 +103,7 @@
 }
 
 impl App {
-    /// Builds the state; `address` is the one it is bound to.
+    /// Builds the state and starts its background tasks; `address` is the bound address for callers.
     pub(crate) fn new(rt: Runtime, settings: Settings, address: SocketAddr) -> Arc<Self> {
         let incarnation = clock::life();
         let mut router =
@@ -139,13 +139,13 @@
         res
     }
 
-    /// Returns the id for a new request: the host, the router's life, a number.
+    /// Returns the id of a new request: the host, the process's incarnation and a counter.
     pub(crate) fn next_id(&self) -> String {
         let n = self.n_requests.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{n:x}", self.address.ip(), self.incarnation)
     }
 
-    /// Changes the decision state and carries out what it asks for.
+    /// Runs `f` on the decision logic and performs the actions that result.
     pub(crate) fn update<T>(self: &Arc<Self>, f: impl FnOnce(&mut Router) -> T) -> T {
         let mut inner = self.lock();
         let res = f(&mut inner.router);
@@ -157,29 +157,34 @@
         res
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the current configuration.
     pub(crate) fn fleet(&self) -> Arc<Fleet> {
         self.lock().router.fleet().clone()
     }
 
-    /// Returns how many requests wait and how many run.
+    /// Returns the numbers of waiting and of running requests.
     pub(crate) fn load(&self) -> (usize, usize) {
         self.lock().router.load()
     }
 
-    /// Returns whether the router can serve: configuration and schedulers are known.
+    /// Returns whether the router can serve requests: it has a configuration and a session with a
+    /// scheduler, and is not shutting down.
     pub(crate) fn is_ready(&self) -> bool {
         let inner = self.lock();
         let connected = inner.router.is_connected() && 0 < inner.router.fleet().revision;
         connected && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Turns readiness off.
+    /// Starts the shutdown: the router is no longer ready.
     pub(crate) fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Registers a request; the ticket tells what comes of it.
+    /// Submits a request and returns the ticket to wait for its grant.
+    ///
+    /// # Errors
+    ///
+    /// [`QueueFull`] if the queue of its workspace is full.
     pub(crate) fn submit(self: &Arc<Self>, request: Request) -> Result<Ticket, QueueFull> {
         let (sender, receiver) = async_channel::bounded(1);
         let mut inner = self.lock();
@@ -190,22 +195,22 @@
         Ok(Ticket::new(self.clone(), id, receiver))
     }
 
-    /// Forgets the waiting end of a ticket.
+    /// Removes the channel on which a ticket waits for its result.
     pub(crate) fn remove_waiter(&self, id: TicketId) {
         self.lock().waiters.remove(&id);
     }
 
-    /// Pays for a retry, if the budget allows it.
+    /// Withdraws a retry from the retry budget; returns whether the balance covered it.
     pub(crate) fn withdraw_retry(&self) -> bool {
         self.lock().budget.withdraw()
     }
 
-    /// Counts a request towards the retry budget.
+    /// Adds the deposit of one request to the retry budget.
     pub(crate) fn deposit_retry(&self) {
         self.lock().budget.deposit();
     }
 
-    /// Remembers one step of a request.
+    /// Keeps a record of a request.
     pub(crate) fn record(&self, request: &str, ticket: TicketId, text: impl Into<String>) {
         let at_ms = clock::now().as_millis() as u64;
         let record = Record { request: request.to_owned(), at_ms, ticket, text: text.into() };
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Counts a request that ended against its service's objectives.
+    /// Records the sample of an ended request for the objectives of its service.
     pub(crate) fn observe(&self, workspace: WorkspaceId, service: &Service, sample: Sample) {
         let mut inner = self.lock();
         inner.windows.record(clock::now(), workspace, service, sample);
@@ -228,7 +233,8 @@
         self.metrics.time("first_byte_ms", millis);
     }
 
-    /// Returns what the burn report reads.
+    /// Returns the data of the burn report: requests per workspace and service, and histograms of
+    /// the time to first byte per service.
     pub(crate) fn burn_report(&self) -> Value {
         let inner = self.lock();
         let fleet = inner.router.fleet();
@@ -253,13 +259,13 @@
         json!({ "rows": rows, "firsts": first_byte_times })
     }
 
-    /// Returns the remembered steps of a request.
+    /// Returns the records of a request.
     pub(crate) fn records(&self, request: &str) -> Vec<Record> {
         let inner = self.lock();
         inner.records.iter().filter(|it| it.request == request).cloned().collect()
     }
 
-    /// Ticks whenever something is due.
+    /// Runs the timers of the decision logic.
     pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
             let next = self.lock().router.next_tick().unwrap_or(Duration::MAX);
@@ -271,7 +277,7 @@
         }
     }
 
-    /// Sends metrics now and then.
+    /// Sends metrics periodically.
     pub(crate) async fn report_metrics(self: Arc<Self>) {
         loop {
             clock::sleep(METRICS_PERIOD).await;
@@ -296,12 +302,12 @@
         }
     }
 
-    /// Gives the last reports time to go out.
+    /// Waits for the last reports to be sent.
     pub(crate) async fn flush(&self) {
         clock::sleep(FLUSH_TIME).await;
     }
 
-    /// Puts a session in the place of any earlier one and returns its number.
+    /// Replaces the session with a host, if any, by a new one and returns its number.
     pub(crate) fn open_session(&self, host: HostId, sender: Sender<wire::RouterFrame>) -> u64 {
         let mut inner = self.lock();
         inner.n_sessions += 1;
@@ -310,12 +316,12 @@
         number
     }
 
-    /// Returns whether a session is the newest of its host.
+    /// Returns whether a session is the newest with its host.
     pub(crate) fn is_current(&self, host: HostId, number: u64) -> bool {
         self.lock().sessions.get(&host).is_some_and(|it| it.0 == number)
     }
 
-    /// Ends a session, unless a newer one has taken its place.
+    /// Ends a session, unless a newer one has replaced it.
     pub(crate) fn close_session(self: &Arc<Self>, host: HostId, number: u64) {
         if !self.is_current(host, number) {
             return;
@@ -347,7 +353,9 @@
     }
 }
 
-/// Milliseconds to two digits, up to an hour; the bounds are constants that are accepted.
+/// Returns a histogram of up to one hour, in milliseconds with two significant digits.
+///
+/// Building it cannot fail because these constant bounds are valid.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000, 2).unwrap_or_else(|_| unreachable!())
 }
--- a/crates/portfield-router/src/call.rs
+++ b/crates/portfield-router/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked.
+//! Validation of a caller's request.
 
 use std::{
     sync::{Arc, atomic::AtomicBool},
@@ -15,26 +15,26 @@
 
 use crate::response::Rejection;
 
-/// Header with the expected cost in tokens.
+/// Header with the expected cost, in tokens.
 const HINT: &str = "x-portfield-hint";
-/// Header that says `interactive` or `batch`.
+/// Header with the class of the request: `interactive` or `batch`.
 const CLASS: &str = "x-portfield-class";
-/// Header with the longest wait in milliseconds.
+/// Header with the longest wait for a grant, in milliseconds.
 const WAIT: &str = "x-portfield-wait-ms";
-/// Header that says `never` if the request must not be repeated.
+/// Header that is `never` if the request must not be sent again once it may have run.
 const REPEAT: &str = "x-portfield-repeat";
-/// Header that names a request for at-most-once execution.
+/// Header with the idempotency key, for at-most-once execution.
 const KEY: &str = "idempotency-key";
-/// Largest hint in tokens.
+/// Largest expected cost, in tokens.
 const MAX_HINT: u32 = 1 << 20;
-/// Longest idempotency key in bytes.
+/// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
-/// Bytes of a prompt that make its prefix.
+/// Length of a prompt's prefix, in bytes.
 const PREFIX_BYTES: usize = 256;
-/// Bytes of a prompt that cost as much as one token that is generated.
+/// Bytes of a prompt that cost as much as one generated token.
 const BYTES_PER_TOKEN: usize = 64;
 
-/// A caller's request.
+/// A validated request of a caller.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub id: String,
@@ -51,16 +51,16 @@
     pub wait_limit: Duration,
     pub repeatable: bool,
     pub idempotency_key: Option<String>,
-    /// Some attempt may have run.
+    /// Whether an attempt may have run.
     pub may_have_run: Arc<AtomicBool>,
 }
 
 impl Call {
-    /// Checks a request's head.
+    /// Validates a request's head.
     ///
     /// # Errors
     ///
-    /// The answer that says which field is wrong.
+    /// The rejection, which names the invalid part of the request.
     pub(crate) fn parse(id: &str, fleet: &Fleet, parts: Parts) -> Result<Self, Rejection> {
         let workspace = find_workspace(fleet, &parts.headers)?;
         let (service, path) = find_service(fleet, &parts.uri)?;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Returns the hash of the prompt's prefix, zero for none.
+    /// Returns the hash of the prompt's prefix, zero if there is none.
     pub(crate) fn prefix_hash(&self) -> u32 {
         if self.service.kind == Kind::Plain || self.body.is_empty() {
             return 0;
@@ -94,17 +94,17 @@
         (xxh3_64(&self.body[..len]) as u32).max(1)
     }
 
-    /// Returns what the prompt costs, in tokens.
+    /// Returns the cost of the prompt, in tokens.
     pub(crate) fn prompt_cost(&self) -> u32 {
         1 + (self.body.len() / BYTES_PER_TOKEN) as u32
     }
 }
 
-/// Reads a body up to a limit.
+/// Reads a body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// The answer where it is too long or is cut short.
+/// The rejection if the body is too long, incomplete or malformed.
 pub(crate) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Rejection> {
     let res = Limited::new(body, limit).collect().await;
     res.map(|it| it.to_bytes()).map_err(|err| {
@@ -135,6 +135,7 @@
     Ok((service, format!("/{rest}{query}")))
 }
 
+/// Returns the number in a header, from `min` to `max`, if the header is present.
 fn header_number(
     headers: &HeaderMap,
     name: &'static str,
@@ -149,7 +150,7 @@
     })
 }
 
-/// Returns which of the words a header has.
+/// Returns the index of a header's value in `values`, if the header is present.
 fn header_choice(
     headers: &HeaderMap,
     name: &'static str,
--- a/crates/portfield-router/src/dispatch.rs
+++ b/crates/portfield-router/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The way of one request: ticket, grant, upstream, answer; again where that is allowed.
+//! Serves a request: waits for a grant, sends the request upstream and relays the response, with
+//! retries where these are allowed.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -21,10 +22,10 @@
     upstream::{self, AttemptError, Endpoint},
 };
 
-/// Most attempts at one request.
+/// Largest number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Serves a call to its end.
+/// Serves a call, and returns the response for the caller.
 pub(crate) async fn serve(app: Arc<App>, call: Call) -> Response<Body> {
     app.counters.accepted.fetch_add(1, Ordering::Relaxed);
     app.deposit_retry();
@@ -39,7 +40,8 @@
                 Outcome::Unknown => &app.counters.unknown,
             };
             counter.fetch_add(1, Ordering::Relaxed);
-            // Who floods or repeats a key is refused by rule: the fleet did not fail it.
+            // A request rejected for a full queue or a reused key is not a failure of the fleet,
+            // so it does not count against the objectives.
             if it.status.is_server_error() {
                 app.observe(
                     workspace,
@@ -54,7 +56,7 @@
     }
 }
 
-/// Goes on with a stream, or claims the request's key, if it has one, before it is sent.
+/// Resumes a stream, or sends the request, after its idempotency key is claimed if it has one.
 async fn serve_idempotent(app: &Arc<App>, call: Call) -> Result<Response<Body>, Rejection> {
     if let Some(token) = call.headers.get(RESUME).and_then(|it| it.to_str().ok()) {
         return resume::resume(app, &call, token).await;
@@ -68,7 +70,7 @@
         }
     };
     app.record(&call.id, 0, "key claimed");
-    // Dropped with this future where the caller hangs up.
+    // Dropped with this future if the caller disconnects.
     let mut guard = idempotency::ClaimGuard::new(app.clone(), claim, call.may_have_run.clone());
     match send_with_retries(app, call).await {
         Ok(res) => Ok(idempotency::store_response(app, guard.take(), res).await),
@@ -82,6 +84,9 @@
     }
 }
 
+/// Sends a request until an attempt succeeds or no further attempt is allowed.
+///
+/// A request that may have run is only sent again if it is repeatable and has no idempotency key.
 async fn send_with_retries(app: &Arc<App>, call: Call) -> Result<Response<Body>, Rejection> {
     let deadline = clock::now() + call.wait_limit;
     let mut n_ambiguous = 0;
@@ -108,6 +113,7 @@
     }
 }
 
+/// Registers a ticket for one attempt.
 fn register(
     app: &Arc<App>,
     call: &Call,
@@ -131,6 +137,9 @@
     Ok(ticket)
 }
 
+/// Waits for the ticket's grant and sends the request to the granted upstream.
+///
+/// The outer error ends the request; the inner one may be retried.
 async fn attempt(
     app: &Arc<App>,
     call: &Call,
--- a/crates/portfield-router/src/idempotency.rs
+++ b/crates/portfield-router/src/idempotency.rs
@@ -1,5 +1,5 @@
-//! Requests with an idempotency key: claimed before they are sent, answered from the key
-//! when they are repeated.
+//! Requests with an idempotency key: the key is claimed before the request is sent, and a repeated
+//! request gets the stored response.
 
 use std::sync::{
     Arc,
@@ -22,14 +22,14 @@
     writes::Written,
 };
 
-/// Header that marks the kept answer of an earlier request.
+/// Header that marks the stored response to an earlier request.
 const REPLAYED: &str = "x-portfield-replayed";
-/// When to come back if the table service doesn't answer.
+/// Time after which the caller may retry if the table service does not respond.
 const STORE_RETRY: std::time::Duration = std::time::Duration::from_secs(5);
-/// Attempts to write a claim over a row that changes.
+/// Largest number of attempts to claim a row that others change at the same time.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A claim that this request holds.
+/// A claim held by a request, with the key and version of its row.
 #[derive(Debug, Clone)]
 pub(crate) struct HeldClaim {
     key: String,
@@ -37,8 +37,8 @@
     claim: Claim,
 }
 
-/// Gives a claim back if the request that holds it ends without having been sent, as when
-/// its caller hangs up.
+/// Releases a claim on drop, if the request that holds it ends without having been sent, for
+/// example because its caller disconnects.
 pub(crate) struct ClaimGuard {
     app: Arc<App>,
     claim: HeldClaim,
@@ -51,7 +51,7 @@
         Self { app, claim, may_have_run, taken: false }
     }
 
-    /// Takes the claim: what becomes of it is decided elsewhere.
+    /// Takes the claim, so that it is no longer released on drop.
     pub(crate) fn take(&mut self) -> HeldClaim {
         self.taken = true;
         self.claim.clone()
@@ -68,11 +68,11 @@
     }
 }
 
-/// What follows from a request's key.
+/// Result of claiming a request's key.
 pub(crate) enum ClaimResult {
-    /// It may be sent, by this request only.
+    /// The key is claimed, and only this request may be sent.
     Acquired(HeldClaim),
-    /// It ran before; with its kept answer.
+    /// An earlier request with the key completed; its stored response.
     Replayed(Response<Body>),
 }
 
@@ -80,7 +80,8 @@
 ///
 /// # Errors
 ///
-/// The answer where the key is taken, stands for something else, or can't be claimed.
+/// The rejection if the key is claimed by another request, was used for a different request, or
+/// cannot be claimed.
 pub(crate) async fn claim(app: &App, call: &Call, key: &str) -> Result<ClaimResult, Rejection> {
     let row = claim_key(call.workspace.id, call.service.id, key);
     let content: [&[u8]; 3] = [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body];
@@ -96,7 +97,7 @@
                 }));
             }
             Written::Conflict(found) => found,
-            // A claim that arrives late only keeps the key from being used: nothing was sent.
+            // If the write is still applied later, it only blocks the key: nothing was sent.
             Written::Refused | Written::Unclear => return Err(store_unavailable()),
         };
         match decide(Claim::from_row(&found.value).as_ref(), &own_claim) {
@@ -113,12 +114,12 @@
     Err(key_taken())
 }
 
-/// Gives the key up: the request certainly did not run.
+/// Releases a claim whose request certainly did not run, so that the key can be used again.
 pub(crate) async fn release(app: &App, claim: HeldClaim) {
     update_claim(app, claim, ClaimState::Free).await;
 }
 
-/// Keeps the answer with the key, as far as it is short text, and returns it.
+/// Stores a response with its key, the body only if it is short text, and returns the response.
 pub(crate) async fn store_response(
     app: &App,
     claim: HeldClaim,
@@ -143,12 +144,13 @@
     Response::from_parts(parts, full_body(bytes))
 }
 
+/// Writes the state of a claim to its row.
 async fn update_claim(app: &App, claim: HeldClaim, state: ClaimState) {
     let HeldClaim { key, version, claim } = claim;
     let claim = Claim { state, ..claim };
     let written = app.table.write(&key, version, claim.to_row()).await;
     if written != Written::Applied {
-        log::warn!(request = claim.request; "the key's row was not updated: {written:?}");
+        log::warn!(request = claim.request; "the row of the idempotency key was not updated: {written:?}");
     }
 }
 
--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -1,5 +1,5 @@
-//! `portfield-router`: takes callers' requests, waits for a grant, sends them upstream and
-//! relays the answers.
+//! `portfield-router`: accepts callers' requests, waits for a grant, sends them upstream and relays
+//! the responses.
 
 mod admin;
 mod app;
@@ -21,7 +21,7 @@
 
 use crate::{app::App, settings::Settings};
 
-/// Threads beside the main one.
+/// Number of threads in addition to the main thread.
 const N_THREADS: usize = 1;
 
 fn main() -> eyre::Result<()> {
--- a/crates/portfield-router/src/relay.rs
+++ b/crates/portfield-router/src/relay.rs
@@ -1,4 +1,4 @@
-//! An upstream's answer on its way to the caller, counted as it passes.
+//! Relays an upstream's response to the caller, and counts its tokens.
 
 use std::{
     io,
@@ -29,12 +29,12 @@
     upstream::{self, Endpoint},
 };
 
-/// Header by which an engine names a stream that can be resumed.
+/// Header with which an engine gives the id of a stream that can be resumed.
 const STREAM_ID: &str = "x-stream-id";
-/// Most attempts to resume one stream in a row.
+/// Largest number of consecutive attempts to resume a stream.
 const MAX_RESUMES: u32 = 5;
 
-/// Starts to relay an answer.
+/// Builds the response that relays an upstream's response to the caller.
 pub(crate) fn start(
     app: &Arc<App>,
     call: &Call,
@@ -85,16 +85,17 @@
     value.is_some_and(|it| it.starts_with(prefix))
 }
 
+/// State of the relay of one response.
 struct Relay {
     app: Arc<App>,
     id: String,
     workspace: WorkspaceId,
     service: Service,
-    /// Cost so far in tokens, the prompt's included.
+    /// Cost so far in tokens, including the prompt's.
     cost: u32,
     ticket: Option<Ticket>,
     endpoint: Endpoint,
-    /// Name of a stream that can be resumed.
+    /// Id of the stream, if it can be resumed.
     stream_id: Option<String>,
     events: Events,
     is_event_stream: bool,
@@ -105,7 +106,7 @@
 }
 
 impl Relay {
-    /// Returns the next piece of the answer, `None` at its end.
+    /// Returns the next chunk of the response's body, `None` at its end.
     async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let Some(body) = &mut self.body else { return Ok(None) };
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Counts each event as a token, and reports the cost so far.
     fn record_events(&mut self) {
         self.first_byte.get_or_insert_with(clock::now);
         if self.service.kind == Kind::Plain || !self.is_event_stream {
@@ -140,6 +142,7 @@
         }
     }
 
+    /// Records the end of a complete response; returns the rest of its body.
     fn finish(&mut self) -> Option<Bytes> {
         self.body = None;
         let now = clock::now();
@@ -155,7 +158,7 @@
             first_byte: Some(first_byte.saturating_sub(self.arrived_at)),
             token_gap: mean_gap,
         });
-        // An event that came without its end is passed on: the answer was whole.
+        // The response is complete, so an event without its terminator is passed on.
         let rest = self.events.take_partial();
         (!rest.is_empty()).then_some(rest)
     }
@@ -164,7 +167,7 @@
         self.app.observe(self.workspace, &self.service, sample);
     }
 
-    /// Goes on with a stream that broke, after the last event that was relayed.
+    /// Resumes a broken stream after the last event that was relayed.
     async fn resume_stream(&mut self, cause: &str) -> io::Result<()> {
         self.events.take_partial();
         self.app.record(&self.id, 0, format!("answer broke: {cause}"));
@@ -190,7 +193,7 @@
         self.app.counters.unknown.fetch_add(1, Ordering::Relaxed);
         self.observe(Sample { first_byte: None, token_gap: Duration::ZERO });
         self.app.record(&self.id, 0, "answer cut short: outcome unknown");
-        log::warn!(request = self.id; "answer cut short: {cause}");
+        log::warn!(request = self.id; "response incomplete: {cause}");
         Err(io::Error::other("the upstream's answer was cut short"))
     }
 }
--- a/crates/portfield-router/src/response.rs
+++ b/crates/portfield-router/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers that the router gives by itself.
+//! Responses that the router generates itself.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 use portfield::route::Outcome;
 use serde_json::json;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub(crate) type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Header with the request's id.
+/// Header with the id of the request.
 pub(crate) const REQUEST_ID: &str = "x-portfield-request-id";
-/// Header that says whether a refused request ran.
+/// Header that says whether a failed request ran: `not-run` or `unknown`.
 pub(crate) const OUTCOME: &str = "x-portfield-outcome";
 
-/// A request that the router doesn't pass on, and why.
+/// A request that the router does not forward, or gives up, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Rejection {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// The header, path segment or body that is wrong; empty if none is.
+    /// Invalid part of the request, such as a header; empty if there is none.
     pub field: &'static str,
-    /// What is wrong and what to do.
+    /// What is wrong, and what to do about it.
     pub text: String,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// Builds the rejection of a bad request.
+    /// Builds the rejection of an invalid request, which did not run.
     pub(crate) fn invalid(
         status: StatusCode,
         field: &'static str,
@@ -41,7 +41,7 @@
         Self { status, field, text: text.into(), outcome: Outcome::NotRun, retry_after: None }
     }
 
-    /// Builds the final answer of a request that is given up on.
+    /// Builds the rejection of a valid request that failed.
     pub(crate) fn failed(
         status: StatusCode,
         outcome: Outcome,
@@ -51,7 +51,7 @@
         Self { status, field: "", text: text.into(), outcome, retry_after }
     }
 
-    /// Returns the JSON body.
+    /// Returns the JSON body of the response to the request `id`.
     pub(crate) fn json_body(&self, id: &str) -> Vec<u8> {
         let value = json!({
             "error": self.text,
@@ -62,7 +62,7 @@
         serde_json::to_vec(&value).unwrap_or_default()
     }
 
-    /// Builds the answer.
+    /// Builds the response to the request `id`.
     pub(crate) fn to_response(&self, id: &str) -> Response<Body> {
         let body = Full::new(Bytes::from(self.json_body(id)));
         let mut res = Response::new(body.map_err(|it| match it {}).boxed_unsync());
@@ -79,7 +79,7 @@
     }
 }
 
-/// Builds a header value; what can't stand in one is left out.
+/// Returns a header value, empty if `text` is not valid in a header.
 pub(crate) fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""))
 }
--- a/crates/portfield-router/src/resume.rs
+++ b/crates/portfield-router/src/resume.rs
@@ -1,4 +1,4 @@
-//! A caller that comes with the token of a stream that another router held.
+//! Resumes a stream for a caller that sends its resume token, also if another router served it.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
     upstream::{self, Endpoint},
 };
 
-/// Header with a stream's token, on its answer and on a request to go on with it.
+/// Header with a stream's resume token, in its response and in a request to resume it.
 pub(crate) const RESUME: &str = "x-portfield-resume";
 
-/// Goes on with a stream after the event that the caller names.
+/// Resumes a stream after the event in the caller's `last-event-id` header.
 pub(crate) async fn resume(
     app: &Arc<App>,
     call: &Call,
--- a/crates/portfield-router/src/server.rs
+++ b/crates/portfield-router/src/server.rs
@@ -1,7 +1,7 @@
-//! The side towards callers: HTTP/1.1 over hyper.
+//! HTTP/1.1 server for callers, built on hyper.
 //!
-//! NOTE: the house style names `async-h1`; docs/design/http.md says what it lets through
-//! that breaks a promise, and why its nearest kin stands here.
+//! **NOTE:** The project's style guide prescribes `async-h1`; docs/design/http.md says which
+//! requests that accepts although they break a guarantee, and why hyper is used here.
 
 use std::{
     convert::Infallible,
@@ -29,14 +29,14 @@
     response::{Body, REQUEST_ID, Rejection},
 };
 
-/// Most headers of a request.
+/// Largest number of headers in a request.
 const MAX_HEADERS: usize = 64;
-/// Most bytes of a request's head.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Start of an answer that hyper gives by itself to a malformed head.
+/// Start of the response that hyper generates for a malformed head.
 const HYPER_ERROR_PREFIX: &[u8] = b"HTTP/1.1 4";
 
-/// Serves callers until `stop` closes, then until every connection has ended.
+/// Accepts connections until `stop` closes, then waits until every connection has ended.
 pub(crate) async fn serve(app: Arc<App>, listener: TcpListener, stop: Receiver<()>) {
     let (open, all_closed) = async_channel::bounded::<()>(1);
     loop {
@@ -47,7 +47,7 @@
         };
         match future::or(stopped, accept).await {
             None => break,
-            Some(Err(err)) => log::warn!(err:%; "accept"),
+            Some(Err(err)) => log::warn!(err:%; "accepting a connection failed"),
             Some(Ok((stream, _))) => {
                 let (app, stop, open) = (app.clone(), stop.clone(), open.clone());
                 app.clone().rt.spawn(async move {
@@ -116,6 +116,7 @@
     }
 }
 
+/// Reads and validates a request.
 async fn read_call(
     app: &App,
     id: &str,
@@ -139,7 +140,7 @@
     Ok(call)
 }
 
-/// Answers a malformed head with what is wrong with it.
+/// Responds to a malformed, too large or late head with the reason.
 async fn write_rejection(
     app: &App,
     mut stream: TcpStream,
@@ -170,18 +171,18 @@
     let _ = stream.write_all(&body).await;
 }
 
-/// Holds back the bare answer that hyper gives by itself to a malformed head, so that
-/// [`explain`] can give one with a body.
+/// A caller's connection that suppresses hyper's own response to a malformed head, which has no
+/// body, so that [`write_rejection`] can send one with a body.
 struct CallerStream {
     stream: TcpStream,
     has_suppressed: Arc<AtomicBool>,
     head_buffer: HeadBuffer,
 }
 
-/// The bytes of a connection since its last request was read, up to the longest head.
+/// The bytes received since the last request was read, up to the largest head.
 ///
-/// hyper leaves a Content-Length out that comes after Transfer-Encoding; a request with both
-/// is to be refused (RFC 9112, section 6.1), in whichever order.
+/// A request with Transfer-Encoding and Content-Length must be rejected (RFC 9112, section 6.1).
+/// hyper drops the Content-Length if it comes second, so the head is checked here.
 #[derive(Debug, Clone, Default)]
 struct HeadBuffer {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -198,7 +199,7 @@
         self.lock().clear();
     }
 
-    /// Returns whether the head has a Content-Length.
+    /// Returns whether the head contains a Content-Length.
     fn has_content_length(&self) -> bool {
         let bytes = self.lock();
         let text = String::from_utf8_lossy(&bytes).to_lowercase();
--- a/crates/portfield-router/src/session.rs
+++ b/crates/portfield-router/src/session.rs
@@ -7,10 +7,10 @@
 
 use crate::app::App;
 
-/// Time in which a scheduler takes a session or answers a call.
+/// Timeout for opening a session and for other calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens a session and relays its frames until it ends.
+/// Opens a session with a scheduler and handles its frames until it ends.
 pub(crate) async fn run(app: Arc<App>, host: HostId, address: SocketAddr) {
     let (sender, receiver) = async_channel::unbounded();
     let hello = wire::RouterFrame { host: app.address.ip().to_string(), reports: Vec::new() };
@@ -25,7 +25,7 @@
         return;
     };
     let number = app.open_session(host, sender);
-    log::info!(host:% = host, session = number; "scheduler up");
+    log::info!(host:% = host, session = number; "session with scheduler opened");
     app.update(|it| it.session_opened(clock::now(), host));
     while let Ok(Some(frame)) = frames.message().await {
         if !app.is_current(host, number) {
@@ -34,7 +34,7 @@
         app.update(|it| it.handle_frame(clock::now(), host, &frame));
     }
     drop(channel);
-    log::info!(host:% = host, session = number; "scheduler down");
+    log::info!(host:% = host, session = number; "session with scheduler closed");
     app.close_session(host, number);
 }
 
@@ -51,7 +51,7 @@
     let Ok(fleet) = serde_json::from_str::<Fleet>(&reply.into_inner().fleet) else { return };
     let revision = fleet.revision;
     app.update(|it| it.update_fleet(fleet));
-    log::info!(revision; "configuration offered");
+    log::info!(revision; "configuration fetched");
 }
 
 async fn connect(app: &App, address: SocketAddr) -> Option<Channel> {
--- a/crates/portfield-router/src/settings.rs
+++ b/crates/portfield-router/src/settings.rs
@@ -7,37 +7,37 @@
     settings::{Error, Reader},
 };
 
-/// What a router is told at its start.
+/// Settings of a router, read at its start.
 #[derive(Debug, Clone)]
 pub(crate) struct Settings {
-    /// Address for callers; its IP number names the host.
+    /// Address for callers; its IP address identifies the host.
     pub listen: SocketAddr,
-    /// Address for operators.
+    /// Address of the admin endpoint.
     pub admin: SocketAddr,
     /// Name of the data centre.
     pub data_centre: String,
-    /// Schedulers of the data centre to learn the membership from, this host's first.
+    /// Schedulers of the data centre from which the membership is learned, this host's first.
     pub schedulers: Vec<SocketAddr>,
     /// Address of the platform's services.
     pub platform: SocketAddr,
-    /// Relays towards other data centres.
+    /// Relays to other data centres, by name.
     pub links: Links,
-    /// Largest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub body_limit: usize,
-    /// Time for a request's head to arrive.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Duration,
-    /// Time for an upstream's answer to begin.
+    /// Timeout for an upstream's response head.
     pub answer_timeout: Duration,
-    /// Time between two pieces of an upstream's answer.
+    /// Timeout between two chunks of an upstream's response body.
     pub stall_timeout: Duration,
-    /// Time between readiness going off and the end of new connections.
+    /// Time between the end of readiness at shutdown and the end of accepting connections.
     pub drain: Duration,
-    /// Where metrics go.
+    /// Address that metrics are sent to.
     pub statsd: Option<SocketAddr>,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         let mut it = Reader::open(path);
         let res = Self {
--- a/crates/portfield-router/src/ticket.rs
+++ b/crates/portfield-router/src/ticket.rs
@@ -1,4 +1,4 @@
-//! A ticket in the hands of the task that serves its request.
+//! Handle to a ticket, held by the task that serves its request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::app::{App, GrantResult};
 
-/// A registered request. Dropping it withdraws the request.
+/// Handle to the ticket of a registered request. Dropping it before its end cancels the request.
 #[derive(Debug)]
 pub(crate) struct Ticket {
     app: Arc<App>,
@@ -21,28 +21,28 @@
         Self { app, id, result, ended: false }
     }
 
-    /// Returns its number.
+    /// Returns the ticket's id.
     pub(crate) fn id(&self) -> TicketId {
         self.id
     }
 
-    /// Waits for a grant or a refusal.
+    /// Waits for a grant or a rejection.
     pub(crate) async fn wait(&self) -> Option<GrantResult> {
         self.result.recv().await.ok()
     }
 
-    /// Counts what the request has cost so far.
+    /// Records what the request has cost so far, in tokens.
     pub(crate) fn record_progress(&self, cost: u32) {
         self.app.update(|it| it.record_progress(self.id, cost));
     }
 
-    /// Ends a request that was answered.
+    /// Ends a completed request, with its cost in tokens and the mean time between its tokens.
     pub(crate) fn finish(&mut self, cost: u32, token_gap: Duration) {
         self.ended = true;
         self.app.update(|it| it.finish(self.id, cost, token_gap));
     }
 
-    /// Ends a request that its upstream failed.
+    /// Ends a request that failed at its upstream, with its cost in tokens.
     pub(crate) fn fail(&mut self, cost: u32) {
         self.ended = true;
         self.app.update(|it| it.fail(self.id, cost));
--- a/crates/portfield-router/src/upstream.rs
+++ b/crates/portfield-router/src/upstream.rs
@@ -1,5 +1,7 @@
-//! One exchange with an upstream: a fresh connection each, so that no answer can be taken
-//! for another request's.
+//! HTTP client for upstreams.
+//!
+//! Every request uses a new connection, so that a response can never be attributed to another
+//! request.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,7 +18,8 @@
     response::{OUTCOME, REQUEST_ID, header_value},
 };
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), or the router.
+/// Headers that are not forwarded: those of a single connection (RFC 9110, section 7.6.1) and those
+/// for the router.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -29,7 +32,7 @@
     "authorization",
 ];
 
-/// An attempt that got no answer, and how far it came.
+/// An attempt that got no response, and the phase in which it failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AttemptError {
     pub phase: AttemptPhase,
@@ -42,7 +45,7 @@
     }
 }
 
-/// Where an upstream is.
+/// Location of an upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct Endpoint {
     pub id: UpstreamId,
@@ -51,12 +54,12 @@
 }
 
 impl Endpoint {
-    /// Finds an upstream; none where it is gone or gets no new work.
+    /// Finds an upstream for a new request; `None` if it is removed or leaving.
     pub(crate) fn find_active(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
         Self::find(fleet, id).filter(|_| fleet.upstream(id).is_some_and(|it| !it.leaving))
     }
 
-    /// Finds an upstream for what runs there already.
+    /// Finds an upstream, also if it is leaving, for requests that already run there.
     pub(crate) fn find(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
         let it = fleet.upstream(id)?;
         let data_centre = fleet.data_centre_name(it.data_centre).to_owned();
@@ -64,7 +67,7 @@
     }
 }
 
-/// Sends a call to an upstream and returns the head of its answer.
+/// Sends a call to an upstream and returns the response once its head has arrived.
 pub(crate) async fn send(
     app: &Arc<App>,
     endpoint: &Endpoint,
@@ -83,7 +86,7 @@
     Ok(response)
 }
 
-/// Asks an engine for the rest of a stream, after the last event that was relayed.
+/// Requests the rest of a stream from an engine, after the event `last_id`.
 pub(crate) async fn resume(
     app: &Arc<App>,
     endpoint: &Endpoint,
@@ -97,16 +100,18 @@
     exchange(app, endpoint, request).await
 }
 
-/// Tells an engine that nobody reads a stream any more.
+/// Cancels a stream at an engine.
 pub(crate) async fn cancel(app: Arc<App>, endpoint: Endpoint, stream_id: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
     *request.uri_mut() = format!("/streams/{stream_id}").parse().unwrap_or_default();
     if let Err(err) = exchange(&app, &endpoint, request).await {
-        log::debug!("cancel: {}", err.text);
+        log::debug!("cancelling a stream failed: {}", err.text);
     }
 }
 
+/// Sends a request over a new connection, through a relay if the upstream is in another data
+/// centre, and waits for the response's head.
 async fn exchange(
     app: &Arc<App>,
     endpoint: &Endpoint,
@@ -134,7 +139,7 @@
     clock::timeout(app.settings.answer_timeout, response).await.unwrap_or_else(timed_out)
 }
 
-/// Returns a message's headers without those of the connection it came by.
+/// Returns a message's headers without those in [`HOP_BY_HOP_HEADERS`].
 pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut res = headers.clone();
     for it in HOP_BY_HOP_HEADERS {
--- a/crates/portfield-router/src/writes.rs
+++ b/crates/portfield-router/src/writes.rs
@@ -1,7 +1,7 @@
-//! Writes to the table service, several in one transaction.
+//! Batched writes to the table service.
 //!
-//! The table service takes a few hundred writes a second. Writes that come while one
-//! transaction is under way go together in the next.
+//! The table service handles a few hundred writes per second. Writes that arrive during a
+//! transaction are batched into the next one.
 
 use std::time::Duration;
 
@@ -13,27 +13,27 @@
     rt::Runtime,
 };
 
-/// Most writes in one transaction.
+/// Largest number of writes in one transaction.
 const MAX_BATCH: usize = 64;
-/// Attempts to learn what became of a transaction whose answer was lost.
+/// Largest number of attempts to determine the outcome of a transaction whose response was lost.
 const MAX_ATTEMPTS: u32 = 3;
-/// Pause between them.
+/// Pause before each of these attempts.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Written {
-    /// It was applied.
+    /// The write was applied.
     Applied,
-    /// The row has another version; as it is.
+    /// The row has another version; the current row.
     Conflict(Row),
-    /// It certainly was not applied and will not be.
+    /// The write certainly was not applied and will not be.
     Refused,
-    /// It may have been applied, or may be yet.
+    /// The write may have been applied, or may still be.
     Unclear,
 }
 
-/// A row to write if it still has a version.
+/// A conditional write of a row, and the channel for its outcome.
 #[derive(Debug, Clone)]
 struct PendingWrite {
     check: Check,
@@ -42,21 +42,21 @@
     attempts: u32,
 }
 
-/// The way to the table service.
+/// Handle to the task that writes to the table service.
 #[derive(Debug, Clone)]
 pub(crate) struct TableWriter {
     sender: Sender<PendingWrite>,
 }
 
 impl TableWriter {
-    /// Starts the task that writes.
+    /// Starts the task.
     pub(crate) fn start(rt: &Runtime, platform: Platform) -> Self {
         let (sender, receiver) = async_channel::unbounded();
         rt.spawn(run(platform, receiver));
         Self { sender }
     }
 
-    /// Writes a row if it has the version given.
+    /// Writes a row if its version is still `version`.
     pub(crate) async fn write(&self, key: &str, version: u64, value: String) -> Written {
         let (reply, written) = async_channel::bounded(1);
         let check = Check { key: key.to_owned(), version };
@@ -84,7 +84,7 @@
     }
 }
 
-/// Puts off writes to a row that the batch writes already.
+/// Splits writes into a batch with at most one write per row, and the rest.
 fn split_conflicting(all: Vec<PendingWrite>) -> (Vec<PendingWrite>, Vec<PendingWrite>) {
     let mut batch: Vec<PendingWrite> = Vec::new();
     let mut deferred = Vec::new();
@@ -95,7 +95,7 @@
     (batch, deferred)
 }
 
-/// Commits a batch, answers what is decided and returns the rest.
+/// Commits a batch, reports the writes whose outcome is known and returns the others.
 async fn commit(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     let transaction = Transaction {
         checks: batch.iter().map(|it| it.check.clone()).collect(),
@@ -105,7 +105,7 @@
         Ok(Committed::Applied) => reply_all(batch, &Written::Applied),
         Ok(Committed::Conflict(rows)) => resolve_conflict(batch, &rows),
         Err(Error::Unclear(_)) => read_back(platform, batch).await,
-        // One that was unclear before may still be applied.
+        // A write whose outcome was unclear before may still be applied.
         Err(_) => {
             for it in batch {
                 let is_first = it.attempts == 0;
@@ -121,7 +121,7 @@
     Vec::new()
 }
 
-/// Answers the writes whose rows differ, and returns the others: nothing was applied.
+/// Reports the writes whose rows conflicted and returns the others; nothing was applied.
 fn resolve_conflict(batch: Vec<PendingWrite>, rows: &[Row]) -> Vec<PendingWrite> {
     let mut rest = Vec::new();
     for it in batch {
@@ -134,8 +134,9 @@
     rest
 }
 
-/// Learns from the rows what became of a batch; returns the writes to send again, which is
-/// safe: they are bound to a version.
+/// Determines the outcome of a batch from its rows, and returns the writes to send again.
+///
+/// Sending them again is safe because they are bound to a version.
 async fn read_back(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     clock::sleep(READ_BACK_PAUSE).await;
     let keys: Vec<_> = batch.iter().map(|it| it.check.key.clone()).collect();
