--- a/crates/portfield/src/member/membership.rs
+++ b/crates/portfield/src/member/membership.rs
@@ -97,7 +97,7 @@
         self.local_host
     }
 
-    /// Returns a number that rises whenever a member is added, removed or changes its state.
+    /// Returns a number that rises whenever a member is added or removed, or changes its state or address.
     pub fn version(&self) -> u64 {
         self.version
     }
