--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -1,17 +1,17 @@
-//! `portfield-router`: takes callers' requests, waits for a grant, sends them upstream and
-//! relays the answers.
+//! `portfield-router`: accepts callers' requests, waits for a grant, sends them upstream and relays
+//! the responses.
 
 mod admin;
-mod answer;
+mod app;
 mod call;
-mod exchange;
-mod front;
-mod once;
+mod dispatch;
+mod idempotency;
 mod relay;
+mod response;
 mod resume;
+mod server;
 mod session;
 mod settings;
-mod shell;
 mod ticket;
 mod upstream;
 mod writes;
@@ -19,9 +19,9 @@
 use eyre::WrapErr;
 use portfield_net::{clock, daemon, http1, rt::Runtime};
 
-use crate::{settings::Settings, shell::Shell};
+use crate::{app::App, settings::Settings};
 
-/// Threads beside the main one.
+/// Number of threads in addition to the main thread.
 const N_THREADS: usize = 1;
 
 fn main() -> eyre::Result<()> {
@@ -32,25 +32,25 @@
     let (listener, address) = http1::bind(settings.listen).await.wrap_err("listen")?;
     let (admin, admin_address) = http1::bind(settings.admin).await.wrap_err("admin")?;
     let drain = settings.drain;
-    let shell = Shell::new(rt.clone(), settings, address);
+    let app = App::new(rt.clone(), settings, address);
     log::info!(address:% = address, admin:% = admin_address; "started");
-    let state = shell.clone();
+    let state = app.clone();
     rt.spawn(http1::serve(
         rt.clone(),
         admin,
         http1::sync_handler(move |it| admin::answer(&state, it)),
     ));
-    rt.spawn(shell.clone().keep_time());
-    rt.spawn(shell.clone().send_metrics());
+    rt.spawn(app.clone().run_timers());
+    rt.spawn(app.clone().report_metrics());
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.spawn_cancellable(front::serve(shell.clone(), listener, stopped));
+    let front = rt.spawn_cancellable(server::serve(app.clone(), listener, stopped));
     daemon::shutdown_signal().await?;
     log::info!("draining");
-    shell.drain();
+    app.drain();
     clock::sleep(drain).await;
     drop(stop);
     front.await;
-    shell.flush().await;
+    app.flush().await;
     log::info!("stopped");
     Ok(())
 }
--- a/crates/portfield-router/src/ticket.rs
+++ b/crates/portfield-router/src/ticket.rs
@@ -1,59 +1,59 @@
-//! A ticket in the hands of the task that serves its request.
+//! Handle to a ticket, held by the task that serves its request.
 
 use std::{sync::Arc, time::Duration};
 
 use async_channel::Receiver;
 use portfield::ids::TicketId;
 
-use crate::shell::{Shell, Verdict};
+use crate::app::{App, GrantResult};
 
-/// A registered request. Dropping it withdraws the request.
+/// Handle to the ticket of a registered request. Dropping it before its end cancels the request.
 #[derive(Debug)]
 pub(crate) struct Ticket {
-    shell: Arc<Shell>,
+    app: Arc<App>,
     id: TicketId,
-    verdict: Receiver<Verdict>,
+    result: Receiver<GrantResult>,
     ended: bool,
 }
 
 impl Ticket {
-    pub(crate) fn new(shell: Arc<Shell>, id: TicketId, verdict: Receiver<Verdict>) -> Self {
-        Self { shell, id, verdict, ended: false }
+    pub(crate) fn new(app: Arc<App>, id: TicketId, result: Receiver<GrantResult>) -> Self {
+        Self { app, id, result, ended: false }
     }
 
-    /// Returns its number.
+    /// Returns the ticket's id.
     pub(crate) fn id(&self) -> TicketId {
         self.id
     }
 
-    /// Waits for a grant or a refusal.
-    pub(crate) async fn wait(&self) -> Option<Verdict> {
-        self.verdict.recv().await.ok()
+    /// Waits for a grant or a rejection.
+    pub(crate) async fn wait(&self) -> Option<GrantResult> {
+        self.result.recv().await.ok()
     }
 
-    /// Counts what the request has cost so far.
-    pub(crate) fn progress(&self, cost: u32) {
-        self.shell.with(|it| it.record_progress(self.id, cost));
+    /// Records what the request has cost so far, in tokens.
+    pub(crate) fn record_progress(&self, cost: u32) {
+        self.app.update(|it| it.record_progress(self.id, cost));
     }
 
-    /// Ends a request that was answered.
-    pub(crate) fn finish(&mut self, cost: u32, pace: Duration) {
+    /// Ends a completed request, with its cost in tokens and the mean time between its tokens.
+    pub(crate) fn finish(&mut self, cost: u32, token_gap: Duration) {
         self.ended = true;
-        self.shell.with(|it| it.finish(self.id, cost, pace));
+        self.app.update(|it| it.finish(self.id, cost, token_gap));
     }
 
-    /// Ends a request that its upstream failed.
+    /// Ends a request that failed at its upstream, with its cost in tokens.
     pub(crate) fn fail(&mut self, cost: u32) {
         self.ended = true;
-        self.shell.with(|it| it.fail(self.id, cost));
+        self.app.update(|it| it.fail(self.id, cost));
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.shell.forget(self.id);
+        self.app.remove_waiter(self.id);
         if !self.ended {
-            self.shell.with(|it| it.cancel(self.id));
+            self.app.update(|it| it.cancel(self.id));
         }
     }
 }
--- a/crates/portfield-router/src/writes.rs
+++ b/crates/portfield-router/src/writes.rs
@@ -1,7 +1,7 @@
-//! Writes to the table service, several in one transaction.
+//! Batched writes to the table service.
 //!
-//! The table service takes a few hundred writes a second. Writes that come while one
-//! transaction is under way go together in the next.
+//! The table service handles a few hundred writes per second. Writes that arrive during a
+//! transaction are batched into the next one.
 
 use std::time::Duration;
 
@@ -13,61 +13,61 @@
     rt::Runtime,
 };
 
-/// Most writes in one transaction.
+/// Largest number of writes in one transaction.
 const MAX_BATCH: usize = 64;
-/// Attempts to learn what became of a transaction whose answer was lost.
+/// Largest number of attempts to determine the outcome of a transaction whose response was lost.
 const MAX_ATTEMPTS: u32 = 3;
-/// Pause between them.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause before each of these attempts.
+const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Written {
-    /// It was applied.
+    /// The write was applied.
     Applied,
-    /// The row has another version; as it is.
+    /// The row has another version; the current row.
     Conflict(Row),
-    /// It certainly was not applied and will not be.
+    /// The write certainly was not applied and will not be.
     Refused,
-    /// It may have been applied, or may be yet.
+    /// The write may have been applied, or may still be.
     Unclear,
 }
 
-/// A row to write if it still has a version.
+/// A conditional write of a row, and the channel for its outcome.
 #[derive(Debug, Clone)]
-struct Write {
+struct PendingWrite {
     check: Check,
     put: Put,
     reply: Sender<Written>,
     attempts: u32,
 }
 
-/// The way to the table service.
+/// Handle to the task that writes to the table service.
 #[derive(Debug, Clone)]
-pub(crate) struct Writes {
-    sender: Sender<Write>,
+pub(crate) struct TableWriter {
+    sender: Sender<PendingWrite>,
 }
 
-impl Writes {
-    /// Starts the task that writes.
+impl TableWriter {
+    /// Starts the task.
     pub(crate) fn start(rt: &Runtime, platform: PlatformClient) -> Self {
         let (sender, receiver) = async_channel::unbounded();
         rt.spawn(run(platform, receiver));
         Self { sender }
     }
 
-    /// Writes a row if it has the version given.
+    /// Writes a row if its version is still `version`.
     pub(crate) async fn write(&self, key: &str, version: u64, value: String) -> Written {
         let (reply, written) = async_channel::bounded(1);
         let check = Check { key: key.to_owned(), version };
         let put = Put { key: key.to_owned(), value };
-        let _ = self.sender.send(Write { check, put, reply, attempts: 0 }).await;
+        let _ = self.sender.send(PendingWrite { check, put, reply, attempts: 0 }).await;
         written.recv().await.unwrap_or(Written::Unclear)
     }
 }
 
-async fn run(platform: PlatformClient, receiver: Receiver<Write>) {
-    let mut pending: Vec<Write> = Vec::new();
+async fn run(platform: PlatformClient, receiver: Receiver<PendingWrite>) {
+    let mut pending: Vec<PendingWrite> = Vec::new();
     loop {
         if pending.is_empty() {
             let Ok(it) = receiver.recv().await else { return };
@@ -78,85 +78,86 @@
         {
             pending.push(it);
         }
-        let (batch, later) = split(std::mem::take(&mut pending));
-        pending = later;
+        let (batch, deferred) = split_conflicting(std::mem::take(&mut pending));
+        pending = deferred;
         pending.extend(commit(&platform, batch).await);
     }
 }
 
-/// Puts off writes to a row that the batch writes already.
-fn split(all: Vec<Write>) -> (Vec<Write>, Vec<Write>) {
-    let mut batch: Vec<Write> = Vec::new();
-    let mut later = Vec::new();
+/// Splits writes into a batch with at most one write per row, and the rest.
+fn split_conflicting(all: Vec<PendingWrite>) -> (Vec<PendingWrite>, Vec<PendingWrite>) {
+    let mut batch: Vec<PendingWrite> = Vec::new();
+    let mut deferred = Vec::new();
     for it in all {
-        let known = batch.iter().any(|old| old.check.key == it.check.key);
-        if known { later.push(it) } else { batch.push(it) }
+        let is_duplicate = batch.iter().any(|old| old.check.key == it.check.key);
+        if is_duplicate { deferred.push(it) } else { batch.push(it) }
     }
-    (batch, later)
+    (batch, deferred)
 }
 
-/// Commits a batch, answers what is decided and returns the rest.
-async fn commit(platform: &PlatformClient, batch: Vec<Write>) -> Vec<Write> {
+/// Commits a batch, reports the writes whose outcome is known and returns the others.
+async fn commit(platform: &PlatformClient, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     let transaction = Transaction {
         checks: batch.iter().map(|it| it.check.clone()).collect(),
         puts: batch.iter().map(|it| it.put.clone()).collect(),
     };
     match platform.commit(&transaction).await {
-        Ok(CommitOutcome::Applied) => answer_all(batch, &Written::Applied),
-        Ok(CommitOutcome::Conflict(rows)) => settle(batch, &rows),
+        Ok(CommitOutcome::Applied) => reply_all(batch, &Written::Applied),
+        Ok(CommitOutcome::Conflict(rows)) => resolve_conflict(batch, &rows),
         Err(Error::OutcomeUnknown(_)) => read_back(platform, batch).await,
-        // One that was unclear before may still be applied.
+        // A write whose outcome was unclear before may still be applied.
         Err(_) => {
             for it in batch {
                 let is_first = it.attempts == 0;
-                it.answer(if is_first { Written::Refused } else { Written::Unclear });
+                it.reply_with(if is_first { Written::Refused } else { Written::Unclear });
             }
             Vec::new()
         }
     }
 }
 
-fn answer_all(batch: Vec<Write>, written: &Written) -> Vec<Write> {
-    batch.into_iter().for_each(|it| it.answer(written.clone()));
+fn reply_all(batch: Vec<PendingWrite>, written: &Written) -> Vec<PendingWrite> {
+    batch.into_iter().for_each(|it| it.reply_with(written.clone()));
     Vec::new()
 }
 
-/// Answers the writes whose rows differ, and returns the others: nothing was applied.
-fn settle(batch: Vec<Write>, rows: &[Row]) -> Vec<Write> {
+/// Reports the writes whose rows conflicted and returns the others; nothing was applied.
+fn resolve_conflict(batch: Vec<PendingWrite>, rows: &[Row]) -> Vec<PendingWrite> {
     let mut rest = Vec::new();
     for it in batch {
         match rows.iter().find(|row| row.key == it.check.key) {
-            Some(row) if row.value == it.put.value => it.answer(Written::Applied),
-            Some(row) => it.answer(Written::Conflict(row.clone())),
+            Some(row) if row.value == it.put.value => it.reply_with(Written::Applied),
+            Some(row) => it.reply_with(Written::Conflict(row.clone())),
             None => rest.push(it),
         }
     }
     rest
 }
 
-/// Learns from the rows what became of a batch; returns the writes to send again, which is
-/// safe: they are bound to a version.
-async fn read_back(platform: &PlatformClient, batch: Vec<Write>) -> Vec<Write> {
-    clock::sleep(PAUSE).await;
+/// Determines the outcome of a batch from its rows, and returns the writes to send again.
+///
+/// Sending them again is safe because they are bound to a version.
+async fn read_back(platform: &PlatformClient, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
+    clock::sleep(READ_BACK_PAUSE).await;
     let keys: Vec<_> = batch.iter().map(|it| it.check.key.clone()).collect();
     let rows = platform.read_rows(&keys).await.unwrap_or_default();
     let mut rest = Vec::new();
     for mut it in batch {
         it.attempts += 1;
         match rows.iter().find(|row| row.key == it.check.key) {
-            Some(row) if row.value == it.put.value => it.answer(Written::Applied),
+            Some(row) if row.value == it.put.value => it.reply_with(Written::Applied),
             Some(row) if row.version != it.check.version => {
-                it.answer(Written::Conflict(row.clone()));
+                it.reply_with(Written::Conflict(row.clone()));
             }
-            _ if MAX_ATTEMPTS <= it.attempts => it.answer(Written::Unclear),
+            _ if MAX_ATTEMPTS <= it.attempts => it.reply_with(Written::Unclear),
             _ => rest.push(it),
         }
     }
     rest
 }
 
-impl Write {
-    fn answer(self, written: Written) {
+impl PendingWrite {
+    fn reply_with(self, written: Written) {
         let _ = self.reply.try_send(written);
     }
 }
