--- a/crates/portfield-standins/src/main.rs
+++ b/crates/portfield-standins/src/main.rs
@@ -78,14 +78,14 @@
 async fn run(rt: Runtime, role: Role) -> eyre::Result<()> {
     match role {
         Role::Upstream { listen, token_ms, call_ms } => {
-            let pace = upstream::Pace {
-                token: Duration::from_millis(token_ms),
-                call: Duration::from_millis(call_ms),
+            let timing = upstream::Timing {
+                token_interval: Duration::from_millis(token_ms),
+                call_latency: Duration::from_millis(call_ms),
             };
             for address in listen {
                 let (listener, address) = http1::bind(address).await?;
                 log::info!(address:% = address; "started");
-                rt.spawn(upstream::serve(rt.clone(), listener, pace));
+                rt.spawn(upstream::serve(rt.clone(), listener, timing));
             }
         }
         Role::Platform { listen, hosts } => {
--- a/crates/portfield-standins/src/upstream.rs
+++ b/crates/portfield-standins/src/upstream.rs
@@ -27,11 +27,11 @@
 
 /// How fast an upstream is.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct Timing {
     /// Time between two tokens, alone on the engine.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Time that a plain call takes.
-    pub call: Duration,
+    pub call_latency: Duration,
 }
 
 /// How an upstream misbehaves.
@@ -63,10 +63,10 @@
     BreakStream,
 }
 
-/// Switches of an upstream.
+/// Settings of an upstream.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Switches {
+pub struct Settings {
     /// How it misbehaves.
     pub fault: Fault,
     /// How many more times; zero is always.
@@ -89,7 +89,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    switches: Switches,
+    switches: Settings,
     running: u32,
     most_running: u32,
     reported: (Duration, u32),
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone)]
 struct Upstream {
     rt: Runtime,
-    pace: Pace,
+    timing: Timing,
     state: Arc<Mutex<State>>,
 }
 
@@ -120,8 +120,8 @@
 const PEEK_PERIOD: Duration = Duration::from_millis(1);
 
 /// Serves an upstream until the process ends.
-pub async fn serve(rt: Runtime, listener: TcpListener, pace: Pace) {
-    let upstream = Upstream { rt: rt.clone(), pace, state: Arc::default() };
+pub async fn serve(rt: Runtime, listener: TcpListener, timing: Timing) {
+    let upstream = Upstream { rt: rt.clone(), timing, state: Arc::default() };
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let upstream = upstream.clone();
@@ -198,7 +198,7 @@
 
     async fn call(&self, stream: &mut TcpStream, echo: String) -> io::Result<()> {
         self.enter();
-        clock::sleep(self.pace.call * self.slowdown()).await;
+        clock::sleep(self.timing.call_latency * self.slowdown()).await;
         self.leave();
         let body = json!({ "echo": echo }).to_string();
         if self.takes_fault(Fault::Interim) {
@@ -241,7 +241,7 @@
     async fn produce(self, id: String) {
         loop {
             let load = f64::from(self.lock().running);
-            let token = self.pace.token * self.slowdown();
+            let token = self.timing.token_interval * self.slowdown();
             clock::sleep(token.mul_f64(1.0 + BATCH_COST * load)).await;
             let mut state = self.lock();
             state.n_tokens += 1;
@@ -297,7 +297,7 @@
             if cancelled {
                 return Ok(());
             }
-            clock::sleep(self.pace.token / 4).await;
+            clock::sleep(self.timing.token_interval / 4).await;
         }
     }
 
