--- a/crates/portfield-standins/src/main.rs
+++ b/crates/portfield-standins/src/main.rs
@@ -9,18 +9,18 @@
 use portfield_standins::{platform, relay, upstream};
 
 /// Threads beside the main one.
-const N_THREADS: usize = 1;
+const N_WORKERS: usize = 1;
 
 /// Stand-ins for upstreams, the platform and links.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
     #[command(subcommand)]
-    role: Role,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum Role {
+enum Command {
     /// An engine or a plain service, told apart by what a request asks for.
     Upstream {
         /// Addresses to listen on, one upstream each.
@@ -72,12 +72,12 @@
     let args = Args::parse();
     logs::init();
     let rt = Runtime::default();
-    rt.block_on(N_THREADS, run(rt.clone(), args.role))
+    rt.block_on(N_WORKERS, run(rt.clone(), args.command))
 }
 
-async fn run(rt: Runtime, role: Role) -> eyre::Result<()> {
-    match role {
-        Role::Upstream { listen, token_ms, call_ms } => {
+async fn run(rt: Runtime, command: Command) -> eyre::Result<()> {
+    match command {
+        Command::Upstream { listen, token_ms, call_ms } => {
             let timing = upstream::Timing {
                 token_interval: Duration::from_millis(token_ms),
                 call_latency: Duration::from_millis(call_ms),
@@ -88,23 +88,24 @@
                 rt.spawn(upstream::serve(rt.clone(), listener, timing));
             }
         }
-        Role::Platform { listen, hosts } => {
+        Command::Platform { listen, hosts } => {
             let (listener, address) = http1::bind(listen).await?;
             log::info!(address:% = address; "started");
-            let text = hosts.map_or(Ok("[]".to_owned()), fs::read_to_string)?;
-            let hosts = serde_json::from_str(&text)?;
+            let json = hosts.map_or(Ok("[]".to_owned()), fs::read_to_string)?;
+            let hosts = serde_json::from_str(&json)?;
             rt.spawn(platform::serve(rt.clone(), listener, hosts));
         }
-        Role::Call { address, path, body } => {
+        Command::Call { address, path, body } => {
             let method = if body.is_some() { Method::Post } else { Method::Get };
-            let target = http1::Client::direct(address);
-            let text = target.send(method, &path, body.unwrap_or_default().into_bytes()).await?;
-            writeln!(std::io::stdout(), "{text}")?;
+            let client = http1::Client::direct(address);
+            let response =
+                client.send(method, &path, body.unwrap_or_default().into_bytes()).await?;
+            writeln!(std::io::stdout(), "{response}")?;
             return Ok(());
         }
-        Role::Relay { admin, from, centres, delay_us } => {
+        Command::Relay { admin, from, centres, delay_us } => {
             let mut listeners = HashMap::new();
-            for (name, address) in pairs(&from)? {
+            for (name, address) in parse_pairs(&from)? {
                 let (listener, address) = http1::bind(address.parse()?).await?;
                 log::info!(address:% = address, centre = name; "started");
                 listeners.insert(name, listener);
@@ -112,16 +113,16 @@
             let (admin, address) = http1::bind(admin).await?;
             log::info!(address:% = address, centre = ""; "started");
             let delay = Duration::from_micros(delay_us);
-            relay::start(&rt, admin, listeners, pairs(&centres)?, delay);
+            relay::start(&rt, admin, listeners, parse_pairs(&centres)?, delay);
         }
     }
     std::future::pending().await
 }
 
-fn pairs(list: &[String]) -> eyre::Result<Vec<(String, String)>> {
-    let split = |it: &String| {
+fn parse_pairs(args: &[String]) -> eyre::Result<Vec<(String, String)>> {
+    let parse = |it: &String| {
         let (name, value) = it.split_once('=').ok_or_else(|| eyre!("`{it}`: write NAME=VALUE"))?;
         Ok((name.to_owned(), value.to_owned()))
     };
-    list.iter().map(split).collect()
+    args.iter().map(parse).collect()
 }
--- a/crates/portfield-standins/src/platform.rs
+++ b/crates/portfield-standins/src/platform.rs
@@ -39,7 +39,7 @@
     rows: HashMap<String, (u64, String)>,
     objects: HashMap<String, Vec<u8>>,
     hosts: Vec<Host>,
-    shown: Vec<Host>,
+    listed_hosts: Vec<Host>,
     faults: Faults,
     n_reads: u64,
     n_commits: u64,
@@ -55,11 +55,11 @@
 pub async fn serve(rt: Runtime, listener: TcpListener, hosts: Vec<Host>) {
     let platform = Platform::default();
     platform.lock().hosts = hosts;
-    let handler = move |request| answer(platform.clone(), request);
+    let handler = move |request| handle_request(platform.clone(), request);
     http1::serve(rt, listener, handler).await;
 }
 
-async fn answer(platform: Platform, mut request: Request) -> Response {
+async fn handle_request(platform: Platform, mut request: Request) -> Response {
     let path = request.url().path().to_owned();
     if path == "/faults" {
         return set_faults(&platform, &mut request).await;
@@ -69,7 +69,7 @@
         return json_response(200, &json!({ "reads": state.n_reads, "commits": state.n_commits }));
     }
     if path == "/hosts" && request.method() != Method::Get {
-        return change_hosts(&platform, &mut request).await;
+        return update_hosts(&platform, &mut request).await;
     }
     let faults = platform.lock().faults.clone();
     clock::sleep(Duration::from_millis(faults.slow_ms)).await;
@@ -82,10 +82,10 @@
             Err(res) => res,
         },
         (Method::Post, "/commit") => match read_json::<Transaction>(&mut request).await {
-            Ok(it) => commit(&platform, &it).await,
+            Ok(transaction) => commit(&platform, &transaction).await,
             Err(res) => res,
         },
-        (Method::Get, "/hosts") => list(&platform, &request),
+        (Method::Get, "/hosts") => list_hosts(&platform, &request),
         (Method::Put, _) => {
             let body = request.body_bytes().await.unwrap_or_default();
             platform.lock().objects.insert(path, body);
@@ -116,7 +116,7 @@
 }
 
 /// Adds, changes or removes hosts; the list that is read follows unless it is frozen.
-async fn change_hosts(platform: &Platform, request: &mut Request) -> Response {
+async fn update_hosts(platform: &Platform, request: &mut Request) -> Response {
     let method = request.method();
     let host = match read_json::<Host>(request).await {
         Ok(it) => it,
@@ -131,31 +131,31 @@
 }
 
 /// Answers with the host list, or that it is still the one that the caller has.
-fn list(platform: &Platform, request: &Request) -> Response {
-    let hosts = platform.list();
+fn list_hosts(platform: &Platform, request: &Request) -> Response {
+    let hosts = platform.listed_hosts();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
-    let tag = format!("\"{:x}\"", xxh3_64(text.as_bytes()));
-    let known = request.header("if-none-match").is_some_and(|it| it.as_str() == tag);
-    let mut res = if known { Response::new(304) } else { json_response(200, &hosts) };
-    res.insert_header("etag", tag);
+    let etag = format!("\"{:x}\"", xxh3_64(text.as_bytes()));
+    let is_unchanged = request.header("if-none-match").is_some_and(|it| it.as_str() == etag);
+    let mut res = if is_unchanged { Response::new(304) } else { json_response(200, &hosts) };
+    res.insert_header("etag", etag);
     res
 }
 
 async fn commit(platform: &Platform, transaction: &Transaction) -> Response {
-    if take_one(&mut platform.lock().faults.lose_requests) {
+    if consume_fault(&mut platform.lock().faults.lose_requests) {
         return hang().await;
     }
     let res = platform.commit(transaction);
-    if take_one(&mut platform.lock().faults.lose_answers) {
+    if consume_fault(&mut platform.lock().faults.lose_answers) {
         return hang().await;
     }
     json_response(200, &res)
 }
 
-fn take_one(n: &mut u32) -> bool {
-    let any = 0 < *n;
-    *n = n.saturating_sub(1);
-    any
+fn consume_fault(n_left: &mut u32) -> bool {
+    let is_set = 0 < *n_left;
+    *n_left = n_left.saturating_sub(1);
+    is_set
 }
 
 impl Platform {
@@ -166,15 +166,15 @@
     fn read(&self, keys: &[String]) -> Vec<Row> {
         let mut state = self.lock();
         state.n_reads += 1;
-        keys.iter().map(|it| row(&state, it)).collect()
+        keys.iter().map(|it| find_row(&state, it)).collect()
     }
 
-    fn list(&self) -> Vec<Host> {
+    fn listed_hosts(&self) -> Vec<Host> {
         let mut state = self.lock();
         if !state.faults.frozen_list {
-            state.shown = state.hosts.clone();
+            state.listed_hosts = state.hosts.clone();
         }
-        state.shown.clone()
+        state.listed_hosts.clone()
     }
 
     fn commit(&self, transaction: &Transaction) -> CommitOutcome {
@@ -183,7 +183,7 @@
         let conflicts: Vec<_> = transaction
             .checks
             .iter()
-            .map(|it| (it.version, row(&state, &it.key)))
+            .map(|it| (it.version, find_row(&state, &it.key)))
             .filter(|(version, row)| *version != row.version)
             .map(|(_, row)| row)
             .collect();
@@ -198,7 +198,7 @@
     }
 }
 
-fn row(state: &State, key: &str) -> Row {
+fn find_row(state: &State, key: &str) -> Row {
     let found = state.rows.get(key).cloned();
     let (version, value) = found.unwrap_or((ABSENT_VERSION, String::new()));
     Row { key: key.to_owned(), version, value }
--- a/crates/portfield-standins/src/relay.rs
+++ b/crates/portfield-standins/src/relay.rs
@@ -19,13 +19,13 @@
 use serde_json::json;
 
 /// Bytes read at once.
-const CHUNK: usize = 16 << 10;
+const BUFFER_SIZE: usize = 16 << 10;
 /// Time between two looks at a link that is cut.
-const CUT_POLL: Duration = Duration::from_millis(20);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A switch: what one direction between two data centres does.
 #[derive(Debug, Clone, Deserialize)]
-struct Switch {
+struct LinkUpdate {
     from: String,
     to: String,
     #[serde(default)]
@@ -36,7 +36,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Link {
-    cut: bool,
+    is_cut: bool,
     delay: Duration,
 }
 
@@ -44,7 +44,7 @@
 struct State {
     links: Mutex<HashMap<(String, String), Link>>,
     centres: Vec<(String, String)>,
-    default: Link,
+    default_link: Link,
 }
 
 /// Starts the relay: a listener for each data centre, and one for the switches.
@@ -55,56 +55,60 @@
     centres: Vec<(String, String)>,
     delay: Duration,
 ) {
-    let default = Link { cut: false, delay };
-    let state = Arc::new(State { links: Mutex::default(), centres, default });
+    let default_link = Link { is_cut: false, delay };
+    let state = Arc::new(State { links: Mutex::default(), centres, default_link });
     for (from, listener) in listeners {
-        rt.spawn(accept(rt.clone(), state.clone(), from, listener));
+        rt.spawn(accept_connections(rt.clone(), state.clone(), from, listener));
     }
-    let handler = move |request| switch(state.clone(), request);
+    let handler = move |request| set_link(state.clone(), request);
     rt.spawn(http1::serve(rt.clone(), admin, handler));
 }
 
-async fn switch(state: Arc<State>, mut request: Request) -> Response {
-    let it = match read_json::<Switch>(&mut request).await {
+async fn set_link(state: Arc<State>, mut request: Request) -> Response {
+    let update = match read_json::<LinkUpdate>(&mut request).await {
         Ok(it) => it,
         Err(res) => return res,
     };
-    let delay = it.delay_us.map_or(state.default.delay, Duration::from_micros);
-    state.lock().insert((it.from, it.to), Link { cut: it.cut, delay });
+    let delay = update.delay_us.map_or(state.default_link.delay, Duration::from_micros);
+    state.lock().insert((update.from, update.to), Link { is_cut: update.cut, delay });
     json_response(200, &json!({}))
 }
 
-async fn accept(rt: Runtime, state: Arc<State>, from: String, listener: TcpListener) {
+async fn accept_connections(rt: Runtime, state: Arc<State>, from: String, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let (state, from) = (state.clone(), from.clone());
         rt.spawn(async move {
-            if let Err(err) = connect(state, from, stream).await {
+            if let Err(err) = handle_connection(state, from, stream).await {
                 log::debug!(err:%; "relay");
             }
         });
     }
 }
 
-async fn connect(state: Arc<State>, from: String, mut inner: TcpStream) -> io::Result<()> {
-    inner.set_nodelay(true)?;
-    let address = read_connect(&mut inner).await?;
-    let to = state.centre(&address);
-    state.pass(&from, &to).await;
-    let mut outer = TcpStream::connect(&address).await?;
-    outer.set_nodelay(true)?;
-    state.pass(&to, &from).await;
-    inner.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await?;
-    let there = copy(&state, (&from, &to), inner.clone(), outer.clone());
-    let back = copy(&state, (&to, &from), outer.clone(), inner.clone());
+async fn handle_connection(
+    state: Arc<State>,
+    from: String,
+    mut client: TcpStream,
+) -> io::Result<()> {
+    client.set_nodelay(true)?;
+    let address = read_connect_target(&mut client).await?;
+    let to = state.data_centre_of(&address);
+    state.wait_while_cut(&from, &to).await;
+    let mut server = TcpStream::connect(&address).await?;
+    server.set_nodelay(true)?;
+    state.wait_while_cut(&to, &from).await;
+    client.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await?;
+    let requests = forward(&state, (&from, &to), client.clone(), server.clone());
+    let responses = forward(&state, (&to, &from), server.clone(), client.clone());
     // One side's end ends the other: an exchange here has no half-closed state to keep.
-    let res = future::or(there, back).await;
-    let _ = inner.close().await;
-    let _ = outer.close().await;
+    let res = future::or(requests, responses).await;
+    let _ = client.close().await;
+    let _ = server.close().await;
     res
 }
 
-async fn read_connect(stream: &mut TcpStream) -> io::Result<String> {
+async fn read_connect_target(stream: &mut TcpStream) -> io::Result<String> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -117,7 +121,7 @@
 }
 
 /// Copies one direction: pieces arrive after the link's delay, and wait while it is cut.
-async fn copy(
+async fn forward(
     state: &State,
     (from, to): (&str, &str),
     mut source: TcpStream,
@@ -125,7 +129,7 @@
 ) -> io::Result<()> {
     let (sender, receiver) = async_channel::bounded::<(Instant, Vec<u8>)>(64);
     let read = async move {
-        let mut buf = vec![0; CHUNK];
+        let mut buf = vec![0; BUFFER_SIZE];
         loop {
             let n = source.read(&mut buf).await?;
             if n == 0 {
@@ -137,9 +141,9 @@
         }
     };
     let write = async {
-        while let Ok((at, bytes)) = receiver.recv().await {
-            state.pass(from, to).await;
-            async_io::Timer::at(at + state.link(from, to).delay).await;
+        while let Ok((received_at, bytes)) = receiver.recv().await {
+            state.wait_while_cut(from, to).await;
+            async_io::Timer::at(received_at + state.link(from, to).delay).await;
             target.write_all(&bytes).await?;
         }
         Ok(())
@@ -155,17 +159,17 @@
 
     fn link(&self, from: &str, to: &str) -> Link {
         let key = (from.to_owned(), to.to_owned());
-        self.lock().get(&key).copied().unwrap_or(self.default)
+        self.lock().get(&key).copied().unwrap_or(self.default_link)
     }
 
     /// Waits while a direction is cut.
-    async fn pass(&self, from: &str, to: &str) {
-        while self.link(from, to).cut {
-            clock::sleep(CUT_POLL).await;
+    async fn wait_while_cut(&self, from: &str, to: &str) {
+        while self.link(from, to).is_cut {
+            clock::sleep(CUT_POLL_INTERVAL).await;
         }
     }
 
-    fn centre(&self, address: &str) -> String {
+    fn data_centre_of(&self, address: &str) -> String {
         let found = self.centres.iter().find(|(_, prefix)| address.starts_with(prefix));
         found.map(|(name, _)| name.clone()).unwrap_or_default()
     }
