--- a/crates/portfield-standins/src/lib.rs
+++ b/crates/portfield-standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what portfield meets: upstreams, the platform, links between data centres.
+//! Stand-ins for the systems around a router fleet: upstreams, the platform and the links
+//! between data centres.
 //!
-//! For tests and the demo only. They are small: each has the behaviour that the router
-//! fleet depends on and switches for the faults that it must survive.
+//! For tests and the demo only. Each implements the behaviour that the fleet depends on, and
+//! injects faults that the fleet must survive.
 
 pub mod platform;
 pub mod relay;
--- a/crates/portfield-standins/src/main.rs
+++ b/crates/portfield-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfield-standins`: stand-ins for tests and the demo.
+//! `portfield-standins`: runs stand-ins for upstreams, the platform and links.
 
 use std::{collections::HashMap, fs, io::Write, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,10 +8,10 @@
 use portfield_net::{http1, logs, rt::Runtime};
 use portfield_standins::{platform, relay, upstream};
 
-/// Threads beside the main one.
+/// Number of worker threads besides the main thread.
 const N_WORKERS: usize = 1;
 
-/// Stand-ins for upstreams, the platform and links.
+/// Stand-ins for upstreams, the platform and links, for tests and the demo.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
@@ -21,48 +21,48 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// An engine or a plain service, told apart by what a request asks for.
+    /// Runs upstreams that serve generations, as an engine, and plain calls.
     Upstream {
-        /// Addresses to listen on, one upstream each.
+        /// Listen address; one upstream is started for each.
         #[arg(long, required = true)]
         listen: Vec<SocketAddr>,
-        /// Time between two tokens, in milliseconds, alone on the engine.
+        /// Interval between tokens of a generation that runs alone, in milliseconds.
         #[arg(long, default_value_t = 20)]
         token_ms: u64,
-        /// Time that a plain call takes, in milliseconds.
+        /// Latency of a plain call, in milliseconds.
         #[arg(long, default_value_t = 5)]
         call_ms: u64,
     },
-    /// The table service, the object store and the host list.
+    /// Runs the platform: the table service, the object store and the host list.
     Platform {
-        /// Address to listen on.
+        /// Listen address.
         #[arg(long)]
         listen: SocketAddr,
-        /// File with the host list (JSON).
+        /// JSON file with the initial host list; empty by default.
         #[arg(long)]
         hosts: Option<PathBuf>,
     },
-    /// Sends one call to a stand-in or an admin port and prints the answer.
+    /// Sends a request to a stand-in or an admin port and prints the response body.
     Call {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// Path and query.
+        /// Request path with query.
         path: String,
-        /// JSON body; makes it a POST.
+        /// JSON body; the request is a POST if given, a GET otherwise.
         body: Option<String>,
     },
-    /// Relays between data centres, with delay and cuts.
+    /// Relays connections between data centres, with a delay, and can cut links.
     Relay {
-        /// Address of the switches.
+        /// Listen address for requests that change links.
         #[arg(long)]
         admin: SocketAddr,
-        /// `NAME=ADDRESS`: where hosts of a data centre reach the others.
+        /// `NAME=ADDRESS`: listen address for connections from a data centre's hosts.
         #[arg(long = "from", required = true)]
         from: Vec<String>,
-        /// `NAME=PREFIX`: start of the IP numbers of a data centre.
+        /// `NAME=PREFIX`: common prefix of the IP addresses of a data centre.
         #[arg(long = "centre", required = true)]
         centres: Vec<String>,
-        /// One-way delay in microseconds.
+        /// One-way delay of a link, in microseconds.
         #[arg(long, default_value_t = 500)]
         delay_us: u64,
     },
@@ -119,9 +119,11 @@
     std::future::pending().await
 }
 
+/// Parses arguments of the form `NAME=VALUE`.
 fn parse_pairs(args: &[String]) -> eyre::Result<Vec<(String, String)>> {
     let parse = |it: &String| {
-        let (name, value) = it.split_once('=').ok_or_else(|| eyre!("`{it}`: write NAME=VALUE"))?;
+        let (name, value) =
+            it.split_once('=').ok_or_else(|| eyre!("`{it}` is not of the form NAME=VALUE"))?;
         Ok((name.to_owned(), value.to_owned()))
     };
     args.iter().map(parse).collect()
--- a/crates/portfield-standins/src/platform.rs
+++ b/crates/portfield-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: a transactional table, an object store and a host list.
+//! Stand-in for the platform: a transactional table, an object store and a host list.
 
 use std::{
     collections::HashMap,
@@ -18,40 +18,42 @@
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Switches for faults.
+/// Faults to inject, set by POST `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Nothing is answered.
+    /// Responds 503 after 30 s.
     pub down: bool,
-    /// Everything takes this much longer, in milliseconds.
+    /// Delay added to every response, in milliseconds.
     pub slow_ms: u64,
-    /// So many further commits take effect but their answers are lost.
+    /// Number of commits, from the next one on, that are applied but get no response in time.
     pub lose_answers: u32,
-    /// So many further commits are lost before they take effect.
+    /// Number of commits, from the next one on, that are neither applied nor responded to in time.
     pub lose_requests: u32,
-    /// The host list stays as it was.
+    /// Keeps serving the host list as it was last read.
     pub frozen_list: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
+    /// Version and value by key.
     rows: HashMap<String, (u64, String)>,
     objects: HashMap<String, Vec<u8>>,
     hosts: Vec<Host>,
+    /// Host list as last read; falls behind `hosts` while the list is frozen.
     listed_hosts: Vec<Host>,
     faults: Faults,
     n_reads: u64,
     n_commits: u64,
 }
 
-/// The platform's state, shared by its connections.
+/// Handle of the platform's state, shared by all connections.
 #[derive(Debug, Clone, Default)]
 struct Platform {
     state: Arc<Mutex<State>>,
 }
 
-/// Serves the platform until the process ends.
+/// Serves the platform with an initial host list until the process ends.
 pub async fn serve(rt: Runtime, listener: TcpListener, hosts: Vec<Host>) {
     let platform = Platform::default();
     platform.lock().hosts = hosts;
@@ -99,7 +101,7 @@
     }
 }
 
-/// Never answers, as a service that is down behind its address.
+/// Responds 503 after 30 s, like a service that is down but still accepts connections.
 async fn hang() -> Response {
     clock::sleep(Duration::from_secs(30)).await;
     json_response(503, &json!({ "error": "down" }))
@@ -115,7 +117,7 @@
     }
 }
 
-/// Adds, changes or removes hosts; the list that is read follows unless it is frozen.
+/// Adds, replaces or removes a host, identified by its scheduler's address.
 async fn update_hosts(platform: &Platform, request: &mut Request) -> Response {
     let method = request.method();
     let host = match read_json::<Host>(request).await {
@@ -130,7 +132,7 @@
     json_response(200, &json!({}))
 }
 
-/// Answers with the host list, or that it is still the one that the caller has.
+/// Responds with the host list, or 304 if the caller's `if-none-match` is still current.
 fn list_hosts(platform: &Platform, request: &Request) -> Response {
     let hosts = platform.listed_hosts();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
@@ -141,6 +143,7 @@
     res
 }
 
+/// Commits a transaction, unless a fault drops the request or the response.
 async fn commit(platform: &Platform, transaction: &Transaction) -> Response {
     if consume_fault(&mut platform.lock().faults.lose_requests) {
         return hang().await;
@@ -152,6 +155,7 @@
     json_response(200, &res)
 }
 
+/// Returns whether a fault is set to occur, and counts this occurrence down.
 fn consume_fault(n_left: &mut u32) -> bool {
     let is_set = 0 < *n_left;
     *n_left = n_left.saturating_sub(1);
@@ -163,12 +167,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the rows of `keys`, and counts the read.
     fn read(&self, keys: &[String]) -> Vec<Row> {
         let mut state = self.lock();
         state.n_reads += 1;
         keys.iter().map(|it| find_row(&state, it)).collect()
     }
 
+    /// Returns the host list, updated first unless it is frozen.
     fn listed_hosts(&self) -> Vec<Host> {
         let mut state = self.lock();
         if !state.faults.frozen_list {
@@ -177,6 +183,7 @@
         state.listed_hosts.clone()
     }
 
+    /// Applies all writes if every check holds; otherwise returns the rows whose versions differ.
     fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         let mut state = self.lock();
         state.n_commits += 1;
@@ -198,6 +205,7 @@
     }
 }
 
+/// Returns the row of `key`; an absent one has [`ABSENT_VERSION`] and an empty value.
 fn find_row(state: &State, key: &str) -> Row {
     let found = state.rows.get(key).cloned();
     let (version, value) = found.unwrap_or((ABSENT_VERSION, String::new()));
--- a/crates/portfield-standins/src/relay.rs
+++ b/crates/portfield-standins/src/relay.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the links between data centres: a relay with delay and cuts.
+//! Stand-in for the links between data centres: an HTTP CONNECT proxy that delays bytes and can
+//! cut each direction of a link.
 
 use std::{
     collections::HashMap,
@@ -18,22 +19,24 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// Bytes read at once.
+/// Size of the read buffer, in bytes.
 const BUFFER_SIZE: usize = 16 << 10;
-/// Time between two looks at a link that is cut.
+/// Interval at which a connection on a cut link checks whether the link is restored.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A switch: what one direction between two data centres does.
+/// Request body that sets the state of one direction of a link.
 #[derive(Debug, Clone, Deserialize)]
 struct LinkUpdate {
     from: String,
     to: String,
     #[serde(default)]
     cut: bool,
+    /// One-way delay; `None` sets the default delay.
     #[serde(default)]
     delay_us: Option<u64>,
 }
 
+/// State of one direction between two data centres.
 #[derive(Debug, Clone, Copy)]
 struct Link {
     is_cut: bool,
@@ -42,12 +45,19 @@
 
 #[derive(Debug)]
 struct State {
+    /// Links that were set, by source and target data centre.
     links: Mutex<HashMap<(String, String), Link>>,
+    /// Name and IP address prefix of each data centre.
     centres: Vec<(String, String)>,
+    /// State of links that were never set.
     default_link: Link,
 }
 
-/// Starts the relay: a listener for each data centre, and one for the switches.
+/// Starts the relay.
+///
+/// Connections accepted by `listeners` come from the hosts of the named data centre. The IP address
+/// prefixes in `centres` tell to which data centre they go. Requests to `admin` change links; until
+/// then their one-way delay is `delay`.
 pub fn start(
     rt: &Runtime,
     admin: TcpListener,
@@ -64,6 +74,7 @@
     rt.spawn(http1::serve(rt.clone(), admin, handler));
 }
 
+/// Handles a request to set one direction of a link.
 async fn set_link(state: Arc<State>, mut request: Request) -> Response {
     let update = match read_json::<LinkUpdate>(&mut request).await {
         Ok(it) => it,
@@ -80,12 +91,13 @@
         let (state, from) = (state.clone(), from.clone());
         rt.spawn(async move {
             if let Err(err) = handle_connection(state, from, stream).await {
-                log::debug!(err:%; "relay");
+                log::debug!(err:%; "relayed connection failed");
             }
         });
     }
 }
 
+/// Relays a connection to the address of its CONNECT request until either side closes it.
 async fn handle_connection(
     state: Arc<State>,
     from: String,
@@ -101,13 +113,14 @@
     client.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await?;
     let requests = forward(&state, (&from, &to), client.clone(), server.clone());
     let responses = forward(&state, (&to, &from), server.clone(), client.clone());
-    // One side's end ends the other: an exchange here has no half-closed state to keep.
+    // Closing either direction closes both: no protocol relayed here half-closes.
     let res = future::or(requests, responses).await;
     let _ = client.close().await;
     let _ = server.close().await;
     res
 }
 
+/// Reads the head of a CONNECT request and returns the address that it asks for.
 async fn read_connect_target(stream: &mut TcpStream) -> io::Result<String> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -117,10 +130,12 @@
     }
     let text = String::from_utf8_lossy(&head);
     let address = text.strip_prefix("CONNECT ").and_then(|it| it.split(' ').next());
-    address.map(str::to_owned).ok_or_else(|| io::Error::other("not CONNECT"))
+    address.map(str::to_owned).ok_or_else(|| io::Error::other("expected a CONNECT request"))
 }
 
-/// Copies one direction: pieces arrive after the link's delay, and wait while it is cut.
+/// Copies bytes in one direction after the link's delay, held back while the link is cut.
+///
+/// Reading and writing run concurrently so that the delay doesn't limit the throughput.
 async fn forward(
     state: &State,
     (from, to): (&str, &str),
@@ -157,18 +172,20 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the state of a link's direction.
     fn link(&self, from: &str, to: &str) -> Link {
         let key = (from.to_owned(), to.to_owned());
         self.lock().get(&key).copied().unwrap_or(self.default_link)
     }
 
-    /// Waits while a direction is cut.
+    /// Waits while a link's direction is cut.
     async fn wait_while_cut(&self, from: &str, to: &str) {
         while self.link(from, to).is_cut {
             clock::sleep(CUT_POLL_INTERVAL).await;
         }
     }
 
+    /// Returns the data centre of an address, or an empty string if no prefix matches.
     fn data_centre_of(&self, address: &str) -> String {
         let found = self.centres.iter().find(|(_, prefix)| address.starts_with(prefix));
         found.map(|(name, _)| name.clone()).unwrap_or_default()
--- a/crates/portfield-standins/src/upstream.rs
+++ b/crates/portfield-standins/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Stand-in of an upstream: an engine that streams tokens, or a plain service.
+//! Stand-in for an upstream: an engine that streams tokens, or a plain service.
 //!
-//! A body with `max_tokens` is a generation, anything else a plain call. Every run is
-//! counted by the request's id and by the body's `order`, so that tests can hold what
-//! callers were told against what really ran.
+//! A request whose body has `max_tokens` is a generation, any other a plain call. Executions are
+//! counted by request ID and by the body's `order`, so that tests can compare the outcomes that
+//! callers were given with what was executed.
 
 use std::{
     collections::HashMap,
@@ -18,65 +18,66 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// A generation without a reader is cancelled after this time.
+/// Time without a reader after which a generation is cancelled.
 const ORPHAN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The load that is reported is this old.
+/// Interval at which the reported load is updated.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Each running generation makes the others' tokens later by this part of a token time.
+/// Increase of the token interval for each running request, as a fraction of the interval.
 const BATCH_SLOWDOWN: f64 = 0.02;
 
-/// How fast an upstream is.
+/// Response times of an upstream without load.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Time between two tokens, alone on the engine.
+    /// Interval between tokens of a generation that runs alone.
     pub token_interval: Duration,
-    /// Time that a plain call takes.
+    /// Latency of a plain call.
     pub call_latency: Duration,
 }
 
-/// How an upstream misbehaves.
+/// Fault that an upstream injects into a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It closes before it reads the request.
+    /// Closes the connection before it reads the request.
     CloseUnread,
-    /// It reads the request, doesn't run it, and closes.
+    /// Reads the request and closes the connection without executing it.
     CloseUnrun,
-    /// It runs the request and closes before it answers.
+    /// Executes the request and closes the connection without a response.
     CloseRun,
-    /// It closes within the head of its answer.
+    /// Executes the request and closes the connection within the response head.
     CloseHead,
-    /// It closes within the body of its answer.
+    /// Executes a plain call and closes the connection within the response body.
     CloseBody,
-    /// Its body is longer than it says.
+    /// Sends a second response after that of a plain call.
     ExtraBytes,
-    /// It sends an interim answer first.
+    /// Sends an interim response before that of a plain call.
     Interim,
-    /// It refuses before it runs the request.
+    /// Refuses the request without executing it.
     Decline,
-    /// It runs the request and never answers.
+    /// Executes the request and never responds.
     Hang,
-    /// It breaks a stream after a few events; the stream can be resumed.
+    /// Closes the connection within the fourth event of a stream; the stream can be resumed.
     BreakStream,
 }
 
-/// Settings of an upstream.
+/// Settings that tests change at run time by POST `/switches`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// How it misbehaves.
+    /// Fault to inject.
     pub fault: Fault,
-    /// How many more times; zero is always.
+    /// Number of times left to inject the fault; 0 for no limit.
     pub times: u32,
-    /// It says that it leaves.
+    /// Whether the health response announces that the upstream is leaving.
     pub leaving: bool,
-    /// Everything takes so many times as long; zero is once.
+    /// Factor by which all requests take longer; 0 counts as 1.
     pub slowdown: u32,
 }
 
+/// Generation with its progress; it goes on while nobody reads it.
 #[derive(Debug, Default)]
 struct TokenStream {
     n_produced: u32,
@@ -84,23 +85,34 @@
     echo: String,
     is_cancelled: bool,
     n_readers: u32,
+    /// Time at which the last reader left, or of the start, by the monotonic clock.
     last_read: Duration,
 }
 
 #[derive(Debug, Default)]
 struct State {
     settings: Settings,
+    /// Number of requests in execution.
     n_running: u32,
+    /// Largest `n_running` so far.
     max_running: u32,
+    /// Time and value of the load in the health response.
     last_report: (Duration, u32),
+    /// Number of executions by request ID.
     request_runs: HashMap<String, u32>,
+    /// Number of executions by `order` of the body.
     order_runs: HashMap<String, u32>,
+    /// Streams by ID.
     streams: HashMap<String, TokenStream>,
+    /// Number of streams started.
     n_streams: u64,
+    /// Number of streams cancelled, by a caller or for lack of a reader.
     n_cancelled: u32,
+    /// Number of tokens produced by all streams.
     n_tokens: u64,
 }
 
+/// Handle of an upstream; clones share the same state.
 #[derive(Debug, Clone)]
 struct Upstream {
     rt: Runtime,
@@ -108,15 +120,19 @@
     state: Arc<Mutex<State>>,
 }
 
+/// Body of a generation or a plain call.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct WorkloadBody {
+    /// Number of tokens to generate; `None` for a plain call.
     max_tokens: Option<u32>,
+    /// Text to repeat in the response.
     echo: String,
+    /// Name under which executions are counted.
     order: Option<String>,
 }
 
-/// Time between two looks at a request that has not come far enough.
+/// Interval at which [`is_workload_request`] checks for more bytes.
 const PEEK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Serves an upstream until the process ends.
@@ -126,13 +142,16 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         let upstream = upstream.clone();
         rt.spawn(async move {
+            // Injected faults break connections, so errors are expected.
             let _ = upstream.handle_connection(stream).await;
         });
     }
 }
 
-/// Looks, without reading, whether a request asks for work: questions for health and runs, and
-/// switches, take no fault.
+/// Returns whether a request is a generation or a plain call, without consuming its bytes.
+///
+/// [`Fault::CloseUnread`] applies only to these: requests for health, runs and settings don't
+/// use it up.
 async fn is_workload_request(stream: &TcpStream) -> io::Result<bool> {
     let mut start = [0; b"POST /switches".len()];
     loop {
@@ -145,6 +164,7 @@
 }
 
 impl Upstream {
+    /// Serves one request.
     async fn handle_connection(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         if is_workload_request(&stream).await? && self.consume_fault(Fault::CloseUnread) {
@@ -170,6 +190,7 @@
         }
     }
 
+    /// Executes a generation or a plain call, with faults injected on the way.
     async fn handle_workload(
         &self,
         stream: &mut TcpStream,
@@ -201,6 +222,7 @@
         }
     }
 
+    /// Responds to a plain call.
     async fn handle_call(&self, stream: &mut TcpStream, echo: String) -> io::Result<()> {
         self.begin_execution();
         clock::sleep(self.timing.call_latency * self.slowdown_factor()).await;
@@ -221,6 +243,7 @@
         Ok(())
     }
 
+    /// Starts a stream and sends its events.
     async fn handle_generation(
         &self,
         stream: &mut TcpStream,
@@ -241,6 +264,7 @@
         self.send_stream(stream, &id, 0).await
     }
 
+    /// Sends a stream's events after `last_event`, or 404 if the stream doesn't exist.
     async fn resume_stream(
         &self,
         stream: &mut TcpStream,
@@ -253,7 +277,8 @@
         self.send_stream(stream, id, last_event).await
     }
 
-    /// Makes a stream's tokens, whether or not somebody reads them.
+    /// Produces a stream's tokens until it is complete or cancelled, with or without a reader;
+    /// without one it is cancelled after [`ORPHAN_TIMEOUT`].
     async fn produce_tokens(self, id: String) {
         loop {
             let n_running = f64::from(self.lock().n_running);
@@ -276,6 +301,7 @@
         self.end_execution();
     }
 
+    /// Sends a response with a stream's events after `last_event`, and counts itself as a reader.
     async fn send_stream(
         &self,
         stream: &mut TcpStream,
@@ -296,6 +322,7 @@
         res
     }
 
+    /// Sends a stream's events after `last_event` as they are produced.
     async fn send_events(
         &self,
         stream: &mut TcpStream,
@@ -312,7 +339,7 @@
                 sent += 1;
                 let event = format!("id: {sent}\ndata: {echo} {sent}\n\n");
                 if is_broken && last_event + 3 < sent {
-                    // Half of an event goes out, then the connection ends.
+                    // The connection ends within an event, not between two.
                     let half = &event[..event.len() / 2];
                     stream.write_all(encode_chunk(half).as_bytes()).await?;
                     return Ok(());
@@ -329,12 +356,14 @@
         }
     }
 
+    /// Returns the produced tokens, total tokens, cancellation and echo of a stream.
     fn stream_progress(&self, id: &str) -> Option<(u32, u32, bool, String)> {
         let state = self.lock();
         let it = state.streams.get(id)?;
         Some((it.n_produced, it.n_total, it.is_cancelled, it.echo.clone()))
     }
 
+    /// Updates a stream, if it exists.
     fn update_stream(&self, id: &str, f: impl FnOnce(&mut TokenStream)) {
         if let Some(it) = self.lock().streams.get_mut(id) {
             f(it);
@@ -384,6 +413,7 @@
         }
     }
 
+    /// Counts an execution of a request.
     fn record_run(&self, request: &Request, body: &WorkloadBody) {
         let mut state = self.lock();
         let id = header_value(request, "x-portfield-request-id");
@@ -393,6 +423,7 @@
         }
     }
 
+    /// Returns whether to inject `fault` now, and counts this injection down.
     fn consume_fault(&self, fault: Fault) -> bool {
         let mut state = self.lock();
         let settings = &mut state.settings;
@@ -425,14 +456,17 @@
     }
 }
 
+/// Returns the value of a header, or an empty string.
 fn header_value(request: &Request, name: &str) -> String {
     request.header(name).map(|it| it.as_str().to_owned()).unwrap_or_default()
 }
 
+/// Encodes text as a chunk of a chunked body.
 fn encode_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// Sends a response with a JSON body.
 async fn send_response(stream: &mut TcpStream, status: u16, body: &str) -> io::Result<()> {
     let head = format!(
         "HTTP/1.1 {status} Answer\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
