--- a/crates/portfield-standins/tests/burn.rs
+++ b/crates/portfield-standins/tests/burn.rs
@@ -4,38 +4,38 @@
 
 use serde_json::Value;
 
-use crate::fleet::{Fleet, Shape, generation, run};
+use crate::fleet::{Fleet, FleetOptions, generation_body, run_program};
 
-fn report(fleet: &Fleet) -> Value {
+fn burn_report(fleet: &Fleet) -> Value {
     let platform = fleet.platform.address.to_string();
     let page = fleet.dir.join("burn.html");
     let args = ["--platform", &platform, "--json", "--html", page.to_str().unwrap()];
-    let (ok, text) = run("portfield-burn", &args);
-    assert!(ok, "{text}");
+    let (is_ok, text) = run_program("portfield-burn", &args);
+    assert!(is_ok, "{text}");
     assert!(std::fs::read_to_string(page).unwrap().contains("</html>"));
     serde_json::from_str(&text).unwrap()
 }
 
 /// Requests that are not answered burn the budget, and a router that is gone is named.
 #[test]
-fn the_report_shows_what_failed_and_who_is_silent() {
-    let mut fleet = Fleet::start(Shape::default());
+fn burn_report_shows_failed_requests_and_unreachable_routers() {
+    let mut fleet = Fleet::start(FleetOptions::default());
     for idx in 0..4 {
-        let res = fleet.call(idx % 2, "small", "/scribe/run", &generation("ok", 3), "");
+        let res = fleet.send(idx % 2, "small", "/scribe/run", &generation_body("ok", 3), "");
         assert_eq!(res.status, 200);
     }
-    let rows = report(&fleet)["rows"].clone();
+    let rows = burn_report(&fleet)["rows"].clone();
     assert_eq!((&rows[0]["workspace"], &rows[0]["alert"]), (&"small".into(), &"none".into()));
     assert_eq!(rows[0]["tallies"][0]["total"], 4);
     fleet.engines[0].kill();
     for _ in 0..4 {
         let wait = "x-portfield-wait-ms: 100\r\n";
-        let res = fleet.call(0, "large", "/scribe/run", &generation("no", 3), wait);
+        let res = fleet.send(0, "large", "/scribe/run", &generation_body("no", 3), wait);
         assert!(500 <= res.status, "{res:?}");
     }
-    let rows = report(&fleet)["rows"].clone();
+    let rows = burn_report(&fleet)["rows"].clone();
     assert_eq!((&rows[0]["workspace"], &rows[0]["alert"]), (&"large".into(), &"fast".into()));
     assert_eq!(rows[0]["tallies"][0]["failed"], 4);
     fleet.hosts[1].router.kill();
-    assert_eq!(report(&fleet)["silent"][0], "127.0.1.2");
+    assert_eq!(burn_report(&fleet)["silent"][0], "127.0.1.2");
 }
--- a/crates/portfield-standins/tests/fleet/mod.rs
+++ b/crates/portfield-standins/tests/fleet/mod.rs
@@ -20,7 +20,7 @@
 use serde_json::{Value, json};
 
 /// Longest wait for a condition; far above what any takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 static N_FLEETS: AtomicU32 = AtomicU32::new(0);
 
@@ -28,36 +28,36 @@
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
-    pub others: Vec<(String, SocketAddr)>,
+    pub addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
     /// Starts a program of this workspace and reads the addresses it logs.
     pub fn start(program: &str, args: &[String], n_addresses: usize) -> Self {
-        let mut child = Command::new(binary(program))
+        let mut child = Command::new(binary_path(program))
             .args(args)
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap_or_else(|err| panic!("{program}: {err}; run `cargo build --workspace --bins`"));
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let mut found = Vec::new();
-        while found.len() < n_addresses {
+        let mut addresses = Vec::new();
+        while addresses.len() < n_addresses {
             let line = lines.next().expect("the process ended at its start").unwrap();
-            let Ok(it) = serde_json::from_str::<Value>(&line) else { continue };
-            if it["message"] != "started" {
+            let Ok(entry) = serde_json::from_str::<Value>(&line) else { continue };
+            if entry["message"] != "started" {
                 continue;
             }
-            let kvs = &it["kvs"];
+            let kvs = &entry["kvs"];
             for key in ["address", "admin"] {
                 if let Some(address) = kvs[key].as_str() {
                     let name = kvs["centre"].as_str().unwrap_or(key).to_owned();
-                    found.push((name, address.parse().unwrap()));
+                    addresses.push((name, address.parse().unwrap()));
                 }
             }
         }
         thread::spawn(move || lines.for_each(drop));
-        Self { child, address: found[0].1, others: found }
+        Self { child, address: addresses[0].1, addresses }
     }
 
     pub fn signal(&self, name: &str) {
@@ -66,9 +66,9 @@
     }
 
     /// Waits for the process to end by itself and returns its exit code.
-    pub fn exit_code(&mut self) -> Option<i32> {
-        let end = Instant::now() + PATIENCE;
-        while Instant::now() < end {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(it) = self.child.try_wait().unwrap() {
                 return it.code();
             }
@@ -89,15 +89,15 @@
     }
 }
 
-fn binary(name: &str) -> PathBuf {
-    let test = env::current_exe().unwrap();
-    test.parent().and_then(|it| it.parent()).unwrap().join(name)
+fn binary_path(name: &str) -> PathBuf {
+    let test_binary = env::current_exe().unwrap();
+    test_binary.parent().and_then(|it| it.parent()).unwrap().join(name)
 }
 
 /// One entry host.
 pub struct Host {
     pub ip: String,
-    pub centre: String,
+    pub data_centre: String,
     pub scheduler: Process,
     pub router: Process,
 }
@@ -108,61 +108,69 @@
     pub platform: Process,
     pub relay: Process,
     pub engines: Vec<Process>,
-    pub plains: Vec<Process>,
+    pub plain_services: Vec<Process>,
     pub hosts: Vec<Host>,
     pub intent: String,
 }
 
-/// Shape of a fleet: hosts, engines and plain services of each data centre.
-pub struct Shape {
-    pub hosts: Vec<usize>,
-    pub engines: Vec<usize>,
-    pub plains: Vec<usize>,
+/// FleetOptions of a fleet: hosts, engines and plain services of each data centre.
+pub struct FleetOptions {
+    pub n_hosts: Vec<usize>,
+    pub n_engines: Vec<usize>,
+    pub n_plain: Vec<usize>,
     pub slots: u32,
     /// Queue of each workspace at a router.
-    pub queue: u32,
+    pub queue_limit: u32,
     /// Settings added to every router's.
-    pub router: &'static str,
+    pub router_settings: &'static str,
 }
 
-impl Default for Shape {
+impl Default for FleetOptions {
     fn default() -> Self {
-        Self { hosts: vec![2], engines: vec![1], plains: vec![1], slots: 4, queue: 256, router: "" }
+        Self {
+            n_hosts: vec![2],
+            n_engines: vec![1],
+            n_plain: vec![1],
+            slots: 4,
+            queue_limit: 256,
+            router_settings: "",
+        }
     }
 }
 
-fn text(it: &str) -> String {
+fn string(it: &str) -> String {
     it.to_owned()
 }
 
-fn centre(idx: usize) -> String {
+fn data_centre_name(idx: usize) -> String {
     format!("centre-{idx}")
 }
 
 impl Fleet {
     /// Starts a fleet, puts a configuration in force and waits until every router is ready.
-    pub fn start(shape: Shape) -> Self {
-        let mut fleet = Self::start_unconfigured(&shape);
-        fleet.intent = fleet.write_intent(&shape);
+    pub fn start(options: FleetOptions) -> Self {
+        let mut fleet = Self::start_unconfigured(&options);
+        fleet.intent = fleet.intent_toml(&options);
         let intent = fleet.intent.clone();
         fleet.apply(&intent);
         for host in &fleet.hosts {
-            let admin = host.router.others[1].1;
-            until("ready", || get(admin, "/ready").status == 200);
+            let admin = host.router.addresses[1].1;
+            wait_until("ready", || get(admin, "/ready").status == 200);
         }
-        let slots = u64::from(shape.slots) * (fleet.engines.len() + fleet.plains.len()) as u64;
-        until("all upstreams known", || fleet.n_slots() == slots);
+        let slots =
+            u64::from(options.slots) * (fleet.engines.len() + fleet.plain_services.len()) as u64;
+        wait_until("all upstreams known", || fleet.n_slots() == slots);
         fleet
     }
 
-    fn start_unconfigured(shape: &Shape) -> Self {
+    fn start_unconfigured(options: &FleetOptions) -> Self {
         let number = N_FLEETS.fetch_add(1, Ordering::Relaxed);
         let dir = env::temp_dir().join(format!("portfield-{}-{number}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
-        let args = [text("platform"), text("--listen"), text("127.0.0.1:0")];
+        let args = [string("platform"), string("--listen"), string("127.0.0.1:0")];
         let platform = Process::start("portfield-standins", &args, 1);
-        let relay = start_relay(shape.hosts.len());
-        let upstreams = |n: usize, centre: usize| -> Vec<Process> {
+        let relay = start_relay(options.n_hosts.len());
+        let start_upstreams = |n: usize, centre: usize| -> Vec<Process> {
             (0..n).map(|_| start_upstream(centre)).collect()
         };
         let mut res = Self {
@@ -170,34 +178,34 @@
             platform,
             relay,
             engines: Vec::new(),
-            plains: Vec::new(),
+            plain_services: Vec::new(),
             hosts: Vec::new(),
             intent: String::new(),
         };
-        for (idx, n) in shape.engines.iter().enumerate() {
-            res.engines.extend(upstreams(*n, idx));
+        for (idx, n) in options.n_engines.iter().enumerate() {
+            res.engines.extend(start_upstreams(*n, idx));
         }
-        for (idx, n) in shape.plains.iter().enumerate() {
-            res.plains.extend(upstreams(*n, idx));
+        for (idx, n) in options.n_plain.iter().enumerate() {
+            res.plain_services.extend(start_upstreams(*n, idx));
         }
-        for (idx, n) in shape.hosts.iter().enumerate() {
+        for (idx, n) in options.n_hosts.iter().enumerate() {
             for host in 0..*n {
-                let it = res.start_host(idx, host, shape);
+                let it = res.start_host(idx, host, options);
                 res.hosts.push(it);
             }
         }
         for it in &res.hosts {
-            post(res.platform.address, "/hosts", &it.entry());
+            post(res.platform.address, "/hosts", &it.list_entry());
         }
         res
     }
 
-    fn start_host(&self, idx: usize, host: usize, shape: &Shape) -> Host {
+    fn start_host(&self, idx: usize, host: usize, options: &FleetOptions) -> Host {
         let ip = format!("127.0.{}.{}", idx + 1, host + 1);
-        let name = centre(idx);
+        let name = data_centre_name(idx);
         let scheduler = self.start_scheduler(&ip, &name, "");
-        let router = self.start_router(&ip, &name, scheduler.address, shape.router);
-        Host { ip, centre: name, scheduler, router }
+        let router = self.start_router(&ip, &name, scheduler.address, options.router_settings);
+        Host { ip, data_centre: name, scheduler, router }
     }
 
     /// Starts a scheduler.
@@ -205,9 +213,9 @@
         let settings = format!(
             "listen = '{ip}:0'\nadmin = '{ip}:0'\nlist_period_ms = 200\nconfig_period_ms = 500\n\
              report_period_ms = 100\n{extra}\n{}",
-            self.common(centre)
+            self.common_settings(centre)
         );
-        self.start_with("portfield-scheduler", ip, &settings)
+        self.start_with_settings("portfield-scheduler", ip, &settings)
     }
 
     /// Starts a scheduler at an address that it had before.
@@ -215,9 +223,9 @@
         let settings = format!(
             "listen = '{address}'\nadmin = '{ip}:0'\nlist_period_ms = 200\n\
              config_period_ms = 500\nreport_period_ms = 100\n{}",
-            self.common(centre)
+            self.common_settings(centre)
         );
-        self.start_with("portfield-scheduler", ip, &settings)
+        self.start_with_settings("portfield-scheduler", ip, &settings)
     }
 
     /// Starts a router.
@@ -231,9 +239,9 @@
         let settings = format!(
             "listen = '{ip}:0'\nadmin = '{ip}:0'\nschedulers = ['{scheduler}']\n\
              drain_ms = 200\n{extra}\n{}",
-            self.common(centre)
+            self.common_settings(centre)
         );
-        self.start_with("portfield-router", ip, &settings)
+        self.start_with_settings("portfield-router", ip, &settings)
     }
 
     /// Starts a router at an address that it had before.
@@ -247,28 +255,28 @@
         let settings = format!(
             "listen = '{address}'\nadmin = '{ip}:0'\nschedulers = ['{scheduler}']\n\
              drain_ms = 200\nstall_timeout_ms = 2000\nanswer_timeout_ms = 2000\n{}",
-            self.common(centre)
+            self.common_settings(centre)
         );
-        self.start_with("portfield-router", ip, &settings)
+        self.start_with_settings("portfield-router", ip, &settings)
     }
 
-    fn common(&self, name: &str) -> String {
-        let relay = self.relay.others.iter().find(|(it, _)| it == name).unwrap().1;
-        let others = self.relay.others.iter().filter(|(it, _)| !it.is_empty() && it != name);
+    fn common_settings(&self, name: &str) -> String {
+        let relay = self.relay.addresses.iter().find(|(it, _)| it == name).unwrap().1;
+        let others = self.relay.addresses.iter().filter(|(it, _)| !it.is_empty() && it != name);
         let links: String = others.map(|(it, _)| format!("{it} = '{relay}'\n")).collect();
         let platform = self.platform.address;
         format!("data_centre = '{name}'\nplatform = '{platform}'\n[links]\n{links}")
     }
 
-    fn start_with(&self, program: &str, ip: &str, settings: &str) -> Process {
+    fn start_with_settings(&self, program: &str, ip: &str, settings: &str) -> Process {
         let file = self.dir.join(format!("{program}-{ip}.toml"));
         fs::write(&file, settings).unwrap();
-        let args = [text("--settings"), file.to_str().unwrap().to_owned()];
+        let args = [string("--settings"), file.to_str().unwrap().to_owned()];
         Process::start(program, &args, 2)
     }
 
-    fn write_intent(&self, shape: &Shape) -> String {
-        let names: Vec<_> = (0..shape.hosts.len()).map(centre).collect();
+    fn intent_toml(&self, options: &FleetOptions) -> String {
+        let names: Vec<_> = (0..options.n_hosts.len()).map(data_centre_name).collect();
         let mut res = format!("data_centres = {names:?}\n");
         res += "[[service]]\nname = 'scribe'\nkind = 'engine'\nrepeatable = true\n";
         res += "[[service]]\nname = 'ledger'\nkind = 'plain'\nwait_limit_ms = 10000\n";
@@ -277,38 +285,41 @@
             let hash = hash_token(&format!("token-{name}"));
             res += &format!(
                 "[[workspace]]\nname = '{name}'\nshare = {share}\nqueue = {}\ntoken_sha256 = '{hash}'\n",
-                shape.queue
+                options.queue_limit
             );
         }
-        let mut add = |list: &[Process], shape: &[usize], service: &str, slots: u32| {
-            let mut all = list.iter();
-            for (idx, n) in shape.iter().enumerate() {
-                for it in all.by_ref().take(*n) {
+        let mut add_upstreams = |upstreams: &[Process],
+                                 n_upstreams: &[usize],
+                                 service: &str,
+                                 slots: u32| {
+            let mut upstreams = upstreams.iter();
+            for (idx, n) in n_upstreams.iter().enumerate() {
+                for it in upstreams.by_ref().take(*n) {
                     res += &format!(
                         "[[upstream]]\naddress = '{}'\nservice = '{service}'\ndata_centre = '{}'\nslots = {slots}\n",
                         it.address,
-                        centre(idx)
+                        data_centre_name(idx)
                     );
                 }
             }
         };
-        add(&self.engines, &shape.engines, "scribe", shape.slots);
-        add(&self.plains, &shape.plains, "ledger", shape.slots);
+        add_upstreams(&self.engines, &options.n_engines, "scribe", options.slots);
+        add_upstreams(&self.plain_services, &options.n_plain, "ledger", options.slots);
         res
     }
 
     /// Runs `portfieldctl` and returns whether it succeeded and what it printed.
-    pub fn ctl(&self, args: &[&str]) -> (bool, String) {
+    pub fn portfieldctl(&self, args: &[&str]) -> (bool, String) {
         let platform = self.platform.address.to_string();
-        run("portfieldctl", &[&["--platform", platform.as_str()], args].concat())
+        run_program("portfieldctl", &[&["--platform", platform.as_str()], args].concat())
     }
 
     /// Plans an intent and returns the plan's id.
     pub fn plan(&self, intent: &str) -> String {
         let file = self.dir.join("intent.toml");
         fs::write(&file, intent).unwrap();
-        let (ok, text) = self.ctl(&["plan", file.to_str().unwrap()]);
-        assert!(ok, "{text}");
+        let (is_ok, text) = self.portfieldctl(&["plan", file.to_str().unwrap()]);
+        assert!(is_ok, "{text}");
         let line = text.lines().find_map(|it| it.strip_prefix("plan ")).expect("a plan");
         line.split(' ').next().unwrap().to_owned()
     }
@@ -316,15 +327,15 @@
     /// Plans and confirms an intent.
     pub fn apply(&self, intent: &str) {
         let id = self.plan(intent);
-        let (ok, text) = self.ctl(&["confirm", &id]);
-        assert!(ok, "{text}");
+        let (is_ok, text) = self.portfieldctl(&["confirm", &id]);
+        assert!(is_ok, "{text}");
     }
 
     /// Returns the revision in force at each process.
     pub fn revisions(&self) -> Vec<u64> {
         let admins = self.hosts.iter().flat_map(|it| [&it.router, &it.scheduler]);
         admins
-            .map(|it| get(it.others[1].1, "/status").json()["revision"].as_u64().unwrap())
+            .map(|it| get(it.addresses[1].1, "/status").json()["revision"].as_u64().unwrap())
             .collect()
     }
 
@@ -332,7 +343,7 @@
     pub fn shards(&self) -> Vec<(usize, Value)> {
         let mut res = Vec::new();
         for (idx, host) in self.hosts.iter().enumerate() {
-            let Some(it) = try_get(host.scheduler.others[1].1, "/status") else { continue };
+            let Some(it) = try_get(host.scheduler.addresses[1].1, "/status") else { continue };
             let shards = it.json()["shards"].as_array().cloned().unwrap_or_default();
             res.extend(shards.into_iter().map(|it| (idx, it)));
         }
@@ -340,7 +351,7 @@
     }
 
     /// Returns the number of the host that owns the shard with the most slots of a service.
-    pub fn owner_of(&self, prefix: &str) -> usize {
+    pub fn shard_owner(&self, prefix: &str) -> usize {
         let shards = self.shards();
         let it = shards.iter().find(|(_, it)| it["shard"].as_str().unwrap().starts_with(prefix));
         it.map(|it| it.0).expect("an owner")
@@ -351,27 +362,31 @@
     }
 
     /// Sets faults of the platform.
-    pub fn platform_faults(&self, faults: &Value) {
+    pub fn set_platform_faults(&self, faults: &Value) {
         post(self.platform.address, "/faults", faults);
     }
 
     /// Cuts or heals the link from one data centre to another.
-    pub fn link(&self, from: usize, to: usize, cut: bool) {
-        let admin = self.relay.others.iter().find(|(name, _)| name.is_empty()).unwrap().1;
-        post(admin, "/", &json!({ "from": centre(from), "to": centre(to), "cut": cut }));
+    pub fn set_link(&self, from: usize, to: usize, is_cut: bool) {
+        let admin = self.relay.addresses.iter().find(|(name, _)| name.is_empty()).unwrap().1;
+        post(
+            admin,
+            "/",
+            &json!({ "from": data_centre_name(from), "to": data_centre_name(to), "cut": is_cut }),
+        );
     }
 
     /// Sends a call of a workspace to the router of a host.
-    pub fn call(
+    pub fn send(
         &self,
         host: usize,
         workspace: &str,
         path: &str,
         body: &str,
         headers: &str,
-    ) -> Answer {
+    ) -> Response {
         let address = self.hosts[host].router.address;
-        send(address, &request(workspace, path, body, headers))
+        send_request(address, &request(workspace, path, body, headers))
     }
 }
 
@@ -382,13 +397,13 @@
 }
 
 impl Host {
-    pub fn entry(&self) -> Value {
+    pub fn list_entry(&self) -> Value {
         json!({
             "scheduler": self.scheduler.address,
-            "scheduler_admin": self.scheduler.others[1].1,
+            "scheduler_admin": self.scheduler.addresses[1].1,
             "router": self.router.address,
-            "router_admin": self.router.others[1].1,
-            "data_centre": self.centre,
+            "router_admin": self.router.addresses[1].1,
+            "data_centre": self.data_centre,
             "leaving": false,
         })
     }
@@ -396,22 +411,22 @@
 
 fn start_upstream(centre: usize) -> Process {
     let listen = format!("127.0.{}.200:0", centre + 1);
-    let args = ["upstream", "--listen", &listen, "--token-ms", "10"].map(text);
+    let args = ["upstream", "--listen", &listen, "--token-ms", "10"].map(string);
     Process::start("portfield-standins", &args, 1)
 }
 
 fn start_relay(n_centres: usize) -> Process {
-    let mut args = ["relay", "--admin", "127.0.0.1:0", "--delay-us", "500"].map(text).to_vec();
+    let mut args = ["relay", "--admin", "127.0.0.1:0", "--delay-us", "500"].map(string).to_vec();
     for idx in 0..n_centres {
-        args.extend([text("--from"), format!("{}=127.0.0.1:0", centre(idx))]);
-        args.extend([text("--centre"), format!("{}=127.0.{}.", centre(idx), idx + 1)]);
+        args.extend([string("--from"), format!("{}=127.0.0.1:0", data_centre_name(idx))]);
+        args.extend([string("--centre"), format!("{}=127.0.{}.", data_centre_name(idx), idx + 1)]);
     }
     Process::start("portfield-standins", &args, n_centres + 1)
 }
 
 /// Runs a program to its end; returns whether it succeeded and what it printed.
-pub fn run(program: &str, args: &[&str]) -> (bool, String) {
-    let mut command = Command::new(binary(program));
+pub fn run_program(program: &str, args: &[&str]) -> (bool, String) {
+    let mut command = Command::new(binary_path(program));
     let out = command.env("RUST_BACKTRACE", "0").args(args).output().unwrap();
     let text = [out.stdout, out.stderr].concat();
     (out.status.success(), String::from_utf8(text).unwrap())
@@ -419,16 +434,16 @@
 
 /// An answer as it came over the wire.
 #[derive(Debug, Clone, Default)]
-pub struct Answer {
+pub struct Response {
     /// Zero where there was none.
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: String,
     /// The body ended as its head said it would.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -452,62 +467,62 @@
 }
 
 /// Sends bytes and reads the answer.
-pub fn send(address: SocketAddr, bytes: &str) -> Answer {
-    let Ok(mut stream) = TcpStream::connect(address) else { return Answer::default() };
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+pub fn send_request(address: SocketAddr, bytes: &str) -> Response {
+    let Ok(mut stream) = TcpStream::connect(address) else { return Response::default() };
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     if stream.write_all(bytes.as_bytes()).is_err() {
-        return Answer::default();
+        return Response::default();
     }
-    read_answer(&mut stream)
+    read_response(&mut stream)
 }
 
 /// Reads an answer to the connection's end.
-pub fn read_answer(stream: &mut TcpStream) -> Answer {
+pub fn read_response(stream: &mut TcpStream) -> Response {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    let Some((head, rest)) = text.split_once("\r\n\r\n") else { return Answer::default() };
+    let Some((head, rest)) = text.split_once("\r\n\r\n") else { return Response::default() };
     let mut lines = head.lines();
     let status = lines.next().and_then(|it| it.split(' ').nth(1)).and_then(|it| it.parse().ok());
     let headers: HashMap<_, _> = lines
         .filter_map(|it| it.split_once(':'))
         .map(|(name, value)| (name.to_lowercase(), value.trim().to_owned()))
         .collect();
-    let (body, whole) = if headers.contains_key("transfer-encoding") {
-        unchunk(rest)
+    let (body, is_complete) = if headers.contains_key("transfer-encoding") {
+        decode_chunked(rest)
     } else {
         let length = headers.get("content-length").and_then(|it| it.parse().ok());
         (rest.to_owned(), length == Some(rest.len()))
     };
-    Answer { status: status.unwrap_or(0), headers, body, whole }
+    Response { status: status.unwrap_or(0), headers, body, is_complete }
 }
 
-fn unchunk(mut rest: &str) -> (String, bool) {
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size, 16) else { break };
         if size == 0 {
             return (body, true);
         }
-        let Some(piece) = tail.get(..size) else { break };
-        body += piece;
+        let Some(chunk) = tail.get(..size) else { break };
+        body += chunk;
         rest = tail.get(size + 2..).unwrap_or("");
     }
     (body, false)
 }
 
-pub fn get(address: SocketAddr, path: &str) -> Answer {
-    send(address, &format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"))
+pub fn get(address: SocketAddr, path: &str) -> Response {
+    send_request(address, &format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"))
 }
 
 /// Like [`get`], but `None` where nobody answers.
-pub fn try_get(address: SocketAddr, path: &str) -> Option<Answer> {
+pub fn try_get(address: SocketAddr, path: &str) -> Option<Response> {
     Some(get(address, path)).filter(|it| it.status == 200)
 }
 
-pub fn post(address: SocketAddr, path: &str, body: &Value) -> Answer {
+pub fn post(address: SocketAddr, path: &str, body: &Value) -> Response {
     let body = body.to_string();
-    let res = send(
+    let res = send_request(
         address,
         &format!(
             "POST {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
@@ -519,36 +534,36 @@
 }
 
 /// Waits for a condition.
-pub fn until(what: &str, mut f: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, mut f: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !f() {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < deadline, "never came: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Returns the events that a generation of `n` tokens must give.
-pub fn events(echo: &str, n: u32) -> String {
+pub fn expected_events(echo: &str, n: u32) -> String {
     (1..=n).map(|it| format!("id: {it}\ndata: {echo} {it}\n\n")).collect()
 }
 
 /// Returns the body of a generation.
-pub fn generation(echo: &str, n: u32) -> String {
+pub fn generation_body(echo: &str, n: u32) -> String {
     json!({ "echo": echo, "max_tokens": n }).to_string()
 }
 
 /// Returns how often each order ran at an upstream.
-pub fn orders(upstream: &Process) -> HashMap<String, u64> {
+pub fn order_runs(upstream: &Process) -> HashMap<String, u64> {
     let it = get(upstream.address, "/runs").json();
     serde_json::from_value(it["orders"].clone()).unwrap()
 }
 
 /// Returns the body of an order.
-pub fn order(name: &str) -> String {
+pub fn order_body(name: &str) -> String {
     json!({ "echo": name, "order": name }).to_string()
 }
 
 /// Sets an upstream's switches.
-pub fn switch(upstream: &Process, switches: &Value) {
+pub fn update_settings(upstream: &Process, switches: &Value) {
     post(upstream.address, "/switches", switches);
 }
