--- a/crates/portfield-standins/tests/burn.rs
+++ b/crates/portfield-standins/tests/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report over a running fleet.
+//! Burn reports of a running fleet.
 
 mod fleet;
 
@@ -6,6 +6,7 @@
 
 use crate::fleet::{Fleet, FleetOptions, generation_body, run_program};
 
+/// Runs `portfield-burn` and returns its JSON report.
 fn burn_report(fleet: &Fleet) -> Value {
     let platform = fleet.platform.address.to_string();
     let page = fleet.dir.join("burn.html");
@@ -16,7 +17,7 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// Requests that are not answered burn the budget, and a router that is gone is named.
+/// Failed requests count against the error budget, and a dead router is listed as silent.
 #[test]
 fn burn_report_shows_failed_requests_and_unreachable_routers() {
     let mut fleet = Fleet::start(FleetOptions::default());
--- a/crates/portfield-standins/tests/config.rs
+++ b/crates/portfield-standins/tests/config.rs
@@ -1,4 +1,5 @@
-//! Configuration: in force everywhere, never reverting, whatever operators and the store do.
+//! Configuration changes: they reach every process and are never reverted, under concurrent
+//! operators and store faults.
 
 mod fleet;
 
@@ -20,10 +21,10 @@
         let both: Vec<_> = both.collect();
         both.into_iter().map(|it| it.join().unwrap()).collect()
     });
-    let refused = results.iter().find(|it| !it.0).expect("one is refused");
+    let refused = results.iter().find(|it| !it.0).expect("no confirmation was refused");
     assert!(refused.1.contains("workspace large"), "{}", refused.1);
     assert_eq!(results.iter().filter(|it| it.0).count(), 1);
-    wait_until("in force", || fleet.revisions().iter().all(|it| *it == 2));
+    wait_until("new revision in force everywhere", || fleet.revisions().iter().all(|it| *it == 2));
 }
 
 #[test]
@@ -45,17 +46,17 @@
     fleet.set_platform_faults(&json!({ "lose_answers": 1 }));
     let (is_ok, text) = fleet.portfieldctl(&["confirm", &id]);
     assert!(is_ok && text.contains("revision 2"), "{text}");
-    // Confirming once more is the same, not another revision.
+    // Repeating the confirmation creates no further revision.
     let (is_ok, text) = fleet.portfieldctl(&["confirm", &id]);
     assert!(is_ok && text.contains("revision 2"), "{text}");
-    wait_until("in force", || fleet.revisions().iter().all(|it| *it == 2));
+    wait_until("new revision in force everywhere", || fleet.revisions().iter().all(|it| *it == 2));
 }
 
 #[test]
 fn processes_started_while_the_store_is_down_get_the_configuration_from_a_peer() {
     let mut fleet = Fleet::start(FleetOptions::default());
     fleet.apply(&fleet.intent.replace("share = 4", "share = 5"));
-    wait_until("in force", || fleet.revisions().iter().all(|it| *it == 2));
+    wait_until("new revision in force everywhere", || fleet.revisions().iter().all(|it| *it == 2));
     fleet.set_platform_faults(&json!({ "down": true }));
     fleet.hosts[0].scheduler.kill();
     fleet.hosts[0].router.kill();
@@ -65,13 +66,13 @@
     let router = fleet.start_router(&ip, &centre, scheduler.address, "");
     fleet.hosts[0].scheduler = scheduler;
     fleet.hosts[0].router = router;
-    wait_until("in force", || fleet.revisions().iter().all(|it| *it == 2));
-    wait_until("serves", || {
+    wait_until("new revision in force everywhere", || fleet.revisions().iter().all(|it| *it == 2));
+    wait_until("the restarted host serves a request", || {
         fleet.send(0, "small", "/scribe/run", &fleet::generation_body("cold", 3), "").status == 200
     });
 }
 
-/// The revision at every process, looked at all the while, only ever rises.
+/// Polls the revision of every process during changes, some of them in a partition.
 #[test]
 fn revisions_never_decrease() {
     let fleet = Fleet::start(FleetOptions {
@@ -91,7 +92,7 @@
             fleet.set_link(1, 0, false);
         }
         fleet.apply(&fleet.intent.replace("share = 4", &format!("share = {share}")));
-        wait_until("in force", || {
+        wait_until("new revision in force everywhere", || {
             let now = fleet.revisions();
             assert!(now.iter().zip(&last).all(|(now, last)| last <= now), "{last:?} {now:?}");
             last = now;
--- a/crates/portfield-standins/tests/faults.rs
+++ b/crates/portfield-standins/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Cuts, outages and floods.
+//! Network partitions, outages of the platform and schedulers, and overload.
 
 mod fleet;
 
@@ -8,6 +8,7 @@
 
 use crate::fleet::{Fleet, FleetOptions, expected_events, generation_body, get, wait_until};
 
+/// Returns whether a generation sent to a host gets a complete response of its own.
 fn is_served(fleet: &Fleet, host: usize, echo: &str) -> bool {
     let res = fleet.send(host, "small", "/scribe/run", &generation_body(echo, 4), "");
     res.status == 200 && res.is_complete && res.body == expected_events(echo, 4)
@@ -39,10 +40,12 @@
     fleet.set_platform_faults(&json!({}));
     let (is_ok, _) = fleet.portfieldctl(&["status"]);
     assert!(is_ok);
-    wait_until("all alive again", || fleet.portfieldctl(&["status"]).1.contains("0 wrong"));
+    wait_until("no host reported wrong after the partition", || {
+        fleet.portfieldctl(&["status"]).1.contains("0 wrong")
+    });
 }
 
-/// The only engines stand in the other data centre: slots are lent across.
+/// All engines are in the other data centre, which lends slots of them.
 #[test]
 fn data_centre_without_engines_borrows_slots() {
     let fleet = Fleet::start(FleetOptions {
@@ -57,7 +60,7 @@
             scope.spawn(move || assert!(is_served(fleet, 1, &format!("far-{idx}"))));
         }
     });
-    wait_until("every slot is back", || fleet.shards().iter().all(|(_, it)| it["used"] == 0));
+    wait_until("all slots are returned", || fleet.shards().iter().all(|(_, it)| it["used"] == 0));
 }
 
 #[test]
@@ -71,7 +74,7 @@
             thread::spawn(move || fleet::send_request(address, &call))
         })
         .collect();
-    wait_until("it floods", || {
+    wait_until("requests are refused", || {
         let it = get(fleet.hosts[0].router.addresses[1].1, "/status").json();
         0 < it["not_run"].as_u64().unwrap()
     });
@@ -92,7 +95,9 @@
     let address = fleet.hosts[0].router.address;
     let long = fleet::request("large", "/scribe/run", &generation_body("long", 400), "");
     let running = thread::spawn(move || fleet::send_request(address, &long));
-    wait_until("it runs", || get(fleet.engines[0].address, "/runs").json()["running"] == 1);
+    wait_until("the first generation runs", || {
+        get(fleet.engines[0].address, "/runs").json()["running"] == 1
+    });
     let wait = "x-portfield-wait-ms: 200\r\n";
     let res = fleet.send(0, "small", "/scribe/run", &generation_body("late", 4), wait);
     assert_eq!((res.status, res.outcome()), (503, "not-run"), "{res:?}");
@@ -100,7 +105,7 @@
     assert!(running.join().unwrap().is_complete);
 }
 
-/// Both schedulers of a data centre restart with nothing while requests run and wait.
+/// Both schedulers of a data centre lose their state while requests are running and queued.
 #[test]
 fn requests_survive_a_restart_of_all_schedulers() {
     let mut fleet = Fleet::start(FleetOptions { slots: 2, ..FleetOptions::default() });
@@ -115,12 +120,14 @@
             })
         })
         .collect();
-    wait_until("they run", || get(fleet.engines[0].address, "/runs").json()["running"] == 2);
+    wait_until("two generations run", || {
+        get(fleet.engines[0].address, "/runs").json()["running"] == 2
+    });
     for idx in 0..2 {
         let old = fleet.hosts[idx].scheduler.address;
         fleet.hosts[idx].scheduler.kill();
         let (ip, centre) = (fleet.hosts[idx].ip.clone(), fleet.hosts[idx].data_centre.clone());
-        // At its old address, as a service manager would start it.
+        // At the same address, as a service manager restarts it.
         fleet.hosts[idx].scheduler = fleet.restart_scheduler(&ip, &centre, old);
     }
     calls.into_iter().for_each(|it| it.join().unwrap());
--- a/crates/portfield-standins/tests/fleet/mod.rs
+++ b/crates/portfield-standins/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of real processes on loopback addresses, for tests that break it.
+//! Fleet of real processes on loopback addresses, for tests that inject faults.
 //!
-//! Every process binds port 0 and tells its address in its log.
+//! Every process binds port 0 and logs the address that it got.
 
 #![allow(dead_code)]
 
@@ -19,20 +19,24 @@
 use portfield::fleet::hash_token;
 use serde_json::{Value, json};
 
-/// Longest wait for a condition; far above what any takes.
+/// Timeout for conditions and socket reads, well above the time that any of them needs.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Number of fleets started by this process, for unique directory names.
 static N_FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// One process; killed when dropped.
+/// Process with its listen addresses; killed on drop.
 pub struct Process {
     child: Child,
+    /// Address that it logged first.
     pub address: SocketAddr,
+    /// Logged addresses in order, named `address`, `admin` or after a data centre. A router's or
+    /// scheduler's second one is its admin address; a relay's admin address has an empty name.
     pub addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
-    /// Starts a program of this workspace and reads the addresses it logs.
+    /// Starts a program of this Cargo workspace and reads `n_addresses` addresses from its log.
     pub fn start(program: &str, args: &[String], n_addresses: usize) -> Self {
         let mut child = Command::new(binary_path(program))
             .args(args)
@@ -43,7 +47,7 @@
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let mut addresses = Vec::new();
         while addresses.len() < n_addresses {
-            let line = lines.next().expect("the process ended at its start").unwrap();
+            let line = lines.next().expect("the process exited while starting").unwrap();
             let Ok(entry) = serde_json::from_str::<Value>(&line) else { continue };
             if entry["message"] != "started" {
                 continue;
@@ -60,12 +64,13 @@
         Self { child, address: addresses[0].1, addresses }
     }
 
+    /// Sends a signal, named as for `kill`: `-STOP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself and returns its exit code.
+    /// Waits for the process to exit and returns its exit code, or `None` if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
@@ -74,9 +79,10 @@
             }
             thread::sleep(Duration::from_millis(20));
         }
-        panic!("the process did not end");
+        panic!("the process did not exit in {WAIT_TIMEOUT:?}");
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -89,12 +95,13 @@
     }
 }
 
+/// Returns the path of a program that was built along with the test binary.
 fn binary_path(name: &str) -> PathBuf {
     let test_binary = env::current_exe().unwrap();
     test_binary.parent().and_then(|it| it.parent()).unwrap().join(name)
 }
 
-/// One entry host.
+/// Host with a scheduler and a router.
 pub struct Host {
     pub ip: String,
     pub data_centre: String,
@@ -102,7 +109,7 @@
     pub router: Process,
 }
 
-/// A running fleet.
+/// Running fleet: the platform, a relay between data centres, upstreams and hosts.
 pub struct Fleet {
     pub dir: PathBuf,
     pub platform: Process,
@@ -110,18 +117,20 @@
     pub engines: Vec<Process>,
     pub plain_services: Vec<Process>,
     pub hosts: Vec<Host>,
+    /// Configuration that the fleet was started with, as TOML.
     pub intent: String,
 }
 
-/// FleetOptions of a fleet: hosts, engines and plain services of each data centre.
+/// Size and settings of a fleet; the `n_` fields give a number for each data centre.
 pub struct FleetOptions {
     pub n_hosts: Vec<usize>,
     pub n_engines: Vec<usize>,
     pub n_plain: Vec<usize>,
+    /// Slots of each upstream.
     pub slots: u32,
-    /// Queue of each workspace at a router.
+    /// Queue limit of each workspace at a router.
     pub queue_limit: u32,
-    /// Settings added to every router's.
+    /// TOML lines added to every router's settings.
     pub router_settings: &'static str,
 }
 
@@ -147,7 +156,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet, puts a configuration in force and waits until every router is ready.
+    /// Starts a fleet, applies its configuration, and waits until every router is ready and all
+    /// upstreams have slots.
     pub fn start(options: FleetOptions) -> Self {
         let mut fleet = Self::start_unconfigured(&options);
         fleet.intent = fleet.intent_toml(&options);
@@ -163,6 +173,7 @@
         fleet
     }
 
+    /// Starts the processes of a fleet without a configuration.
     fn start_unconfigured(options: &FleetOptions) -> Self {
         let number = N_FLEETS.fetch_add(1, Ordering::Relaxed);
         let dir = env::temp_dir().join(format!("portfield-{}-{number}", std::process::id()));
@@ -200,6 +211,7 @@
         res
     }
 
+    /// Starts host number `host` of data centre number `idx`.
     fn start_host(&self, idx: usize, host: usize, options: &FleetOptions) -> Host {
         let ip = format!("127.0.{}.{}", idx + 1, host + 1);
         let name = data_centre_name(idx);
@@ -208,7 +220,7 @@
         Host { ip, data_centre: name, scheduler, router }
     }
 
-    /// Starts a scheduler.
+    /// Starts a scheduler on a free port; `extra` holds additional TOML settings.
     pub fn start_scheduler(&self, ip: &str, centre: &str, extra: &str) -> Process {
         let settings = format!(
             "listen = '{ip}:0'\nadmin = '{ip}:0'\nlist_period_ms = 200\nconfig_period_ms = 500\n\
@@ -218,7 +230,7 @@
         self.start_with_settings("portfield-scheduler", ip, &settings)
     }
 
-    /// Starts a scheduler at an address that it had before.
+    /// Starts a scheduler at the address of a former one.
     pub fn restart_scheduler(&self, ip: &str, centre: &str, address: SocketAddr) -> Process {
         let settings = format!(
             "listen = '{address}'\nadmin = '{ip}:0'\nlist_period_ms = 200\n\
@@ -228,7 +240,7 @@
         self.start_with_settings("portfield-scheduler", ip, &settings)
     }
 
-    /// Starts a router.
+    /// Starts a router on a free port; `extra` holds additional TOML settings.
     pub fn start_router(
         &self,
         ip: &str,
@@ -244,7 +256,7 @@
         self.start_with_settings("portfield-router", ip, &settings)
     }
 
-    /// Starts a router at an address that it had before.
+    /// Starts a router at the address of a former one.
     pub fn restart_router(
         &self,
         ip: &str,
@@ -260,6 +272,7 @@
         self.start_with_settings("portfield-router", ip, &settings)
     }
 
+    /// Returns the settings that routers and schedulers of a data centre share.
     fn common_settings(&self, name: &str) -> String {
         let relay = self.relay.addresses.iter().find(|(it, _)| it == name).unwrap().1;
         let others = self.relay.addresses.iter().filter(|(it, _)| !it.is_empty() && it != name);
@@ -268,6 +281,7 @@
         format!("data_centre = '{name}'\nplatform = '{platform}'\n[links]\n{links}")
     }
 
+    /// Starts a program with a settings file.
     fn start_with_settings(&self, program: &str, ip: &str, settings: &str) -> Process {
         let file = self.dir.join(format!("{program}-{ip}.toml"));
         fs::write(&file, settings).unwrap();
@@ -275,6 +289,7 @@
         Process::start(program, &args, 2)
     }
 
+    /// Returns the configuration as TOML; workspace `large` has four times the share of `small`.
     fn intent_toml(&self, options: &FleetOptions) -> String {
         let names: Vec<_> = (0..options.n_hosts.len()).map(data_centre_name).collect();
         let mut res = format!("data_centres = {names:?}\n");
@@ -308,30 +323,31 @@
         res
     }
 
-    /// Runs `portfieldctl` and returns whether it succeeded and what it printed.
+    /// Runs `portfieldctl`; returns whether it succeeded, and its output.
     pub fn portfieldctl(&self, args: &[&str]) -> (bool, String) {
         let platform = self.platform.address.to_string();
         run_program("portfieldctl", &[&["--platform", platform.as_str()], args].concat())
     }
 
-    /// Plans an intent and returns the plan's id.
+    /// Plans a configuration and returns the plan's ID.
     pub fn plan(&self, intent: &str) -> String {
         let file = self.dir.join("intent.toml");
         fs::write(&file, intent).unwrap();
         let (is_ok, text) = self.portfieldctl(&["plan", file.to_str().unwrap()]);
         assert!(is_ok, "{text}");
-        let line = text.lines().find_map(|it| it.strip_prefix("plan ")).expect("a plan");
+        let line =
+            text.lines().find_map(|it| it.strip_prefix("plan ")).expect("no plan in the output");
         line.split(' ').next().unwrap().to_owned()
     }
 
-    /// Plans and confirms an intent.
+    /// Plans and confirms a configuration.
     pub fn apply(&self, intent: &str) {
         let id = self.plan(intent);
         let (is_ok, text) = self.portfieldctl(&["confirm", &id]);
         assert!(is_ok, "{text}");
     }
 
-    /// Returns the revision in force at each process.
+    /// Returns the configuration revision of each process, a host's router before its scheduler.
     pub fn revisions(&self) -> Vec<u64> {
         let admins = self.hosts.iter().flat_map(|it| [&it.router, &it.scheduler]);
         admins
@@ -339,7 +355,7 @@
             .collect()
     }
 
-    /// Returns the shards that some scheduler owns, with its host's number.
+    /// Returns the shards owned by any scheduler, with the index of its host.
     pub fn shards(&self) -> Vec<(usize, Value)> {
         let mut res = Vec::new();
         for (idx, host) in self.hosts.iter().enumerate() {
@@ -350,23 +366,25 @@
         res
     }
 
-    /// Returns the number of the host that owns the shard with the most slots of a service.
+    /// Returns the index of the host that owns the first shard whose key starts with `prefix`; a key
+    /// is `SERVICE/DATA_CENTRE/PART`, by their IDs.
     pub fn shard_owner(&self, prefix: &str) -> usize {
         let shards = self.shards();
         let it = shards.iter().find(|(_, it)| it["shard"].as_str().unwrap().starts_with(prefix));
-        it.map(|it| it.0).expect("an owner")
+        it.map(|it| it.0).expect("no owned shard has this prefix")
     }
 
+    /// Returns the number of slots in all owned shards.
     fn n_slots(&self) -> u64 {
         self.shards().iter().map(|(_, it)| it["slots"].as_u64().unwrap()).sum()
     }
 
-    /// Sets faults of the platform.
+    /// Sets the faults that the platform injects.
     pub fn set_platform_faults(&self, faults: &Value) {
         post(self.platform.address, "/faults", faults);
     }
 
-    /// Cuts or heals the link from one data centre to another.
+    /// Cuts or restores the link from one data centre to another, in this direction only.
     pub fn set_link(&self, from: usize, to: usize, is_cut: bool) {
         let admin = self.relay.addresses.iter().find(|(name, _)| name.is_empty()).unwrap().1;
         post(
@@ -376,7 +394,7 @@
         );
     }
 
-    /// Sends a call of a workspace to the router of a host.
+    /// Sends a request of a workspace to a host's router and returns the response.
     pub fn send(
         &self,
         host: usize,
@@ -397,6 +415,7 @@
 }
 
 impl Host {
+    /// Returns the host's entry in the platform's host list.
     pub fn list_entry(&self) -> Value {
         json!({
             "scheduler": self.scheduler.address,
@@ -409,12 +428,14 @@
     }
 }
 
+/// Starts an upstream in data centre number `centre`.
 fn start_upstream(centre: usize) -> Process {
     let listen = format!("127.0.{}.200:0", centre + 1);
     let args = ["upstream", "--listen", &listen, "--token-ms", "10"].map(string);
     Process::start("portfield-standins", &args, 1)
 }
 
+/// Starts a relay between this many data centres.
 fn start_relay(n_centres: usize) -> Process {
     let mut args = ["relay", "--admin", "127.0.0.1:0", "--delay-us", "500"].map(string).to_vec();
     for idx in 0..n_centres {
@@ -424,7 +445,7 @@
     Process::start("portfield-standins", &args, n_centres + 1)
 }
 
-/// Runs a program to its end; returns whether it succeeded and what it printed.
+/// Runs a program until it exits; returns whether it succeeded, and its output.
 pub fn run_program(program: &str, args: &[&str]) -> (bool, String) {
     let mut command = Command::new(binary_path(program));
     let out = command.env("RUST_BACKTRACE", "0").args(args).output().unwrap();
@@ -432,32 +453,36 @@
     (out.status.success(), String::from_utf8(text).unwrap())
 }
 
-/// An answer as it came over the wire.
+/// Response, read to the end of the connection.
 #[derive(Debug, Clone, Default)]
 pub struct Response {
-    /// Zero where there was none.
+    /// Status code, or 0 if the connection ended before the end of the head.
     pub status: u16,
+    /// Header values by name in lower case.
     pub headers: HashMap<String, String>,
     pub body: String,
-    /// The body ended as its head said it would.
+    /// Whether the body has the length, or the final chunk, that the head announces.
     pub is_complete: bool,
 }
 
 impl Response {
+    /// Returns the value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
+    /// Returns the value of `x-portfield-outcome`.
     pub fn outcome(&self) -> &str {
         self.header("x-portfield-outcome")
     }
 
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|err| panic!("{err}: {self:?}"))
     }
 }
 
-/// Builds a call.
+/// Returns the bytes of a POST request; `headers` holds complete lines.
 pub fn request(workspace: &str, path: &str, body: &str, headers: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer token-{workspace}\r\n{headers}\
@@ -466,7 +491,7 @@
     )
 }
 
-/// Sends bytes and reads the answer.
+/// Sends a request on a new connection and reads the response.
 pub fn send_request(address: SocketAddr, bytes: &str) -> Response {
     let Ok(mut stream) = TcpStream::connect(address) else { return Response::default() };
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -476,7 +501,7 @@
     read_response(&mut stream)
 }
 
-/// Reads an answer to the connection's end.
+/// Reads a response until the connection ends.
 pub fn read_response(stream: &mut TcpStream) -> Response {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
@@ -497,6 +522,7 @@
     Response { status: status.unwrap_or(0), headers, body, is_complete }
 }
 
+/// Decodes a chunked body; returns it, and whether it has a final chunk.
 fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
@@ -511,15 +537,17 @@
     (body, false)
 }
 
+/// Sends a GET request and reads the response.
 pub fn get(address: SocketAddr, path: &str) -> Response {
     send_request(address, &format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"))
 }
 
-/// Like [`get`], but `None` where nobody answers.
+/// Like [`get`], but returns `None` unless the status is 200.
 pub fn try_get(address: SocketAddr, path: &str) -> Option<Response> {
     Some(get(address, path)).filter(|it| it.status == 200)
 }
 
+/// Sends a POST request and panics unless the status is 200.
 pub fn post(address: SocketAddr, path: &str, body: &Value) -> Response {
     let body = body.to_string();
     let res = send_request(
@@ -533,37 +561,37 @@
     res
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds, and panics with its description after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut f: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !f() {
-        assert!(Instant::now() < deadline, "never came: {what}");
+        assert!(Instant::now() < deadline, "not reached in {WAIT_TIMEOUT:?}: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Returns the events that a generation of `n` tokens must give.
+/// Returns the server-sent events of a complete generation of `n` tokens.
 pub fn expected_events(echo: &str, n: u32) -> String {
     (1..=n).map(|it| format!("id: {it}\ndata: {echo} {it}\n\n")).collect()
 }
 
-/// Returns the body of a generation.
+/// Returns the request body of a generation of `n` tokens.
 pub fn generation_body(echo: &str, n: u32) -> String {
     json!({ "echo": echo, "max_tokens": n }).to_string()
 }
 
-/// Returns how often each order ran at an upstream.
+/// Returns the number of times that an upstream executed each order.
 pub fn order_runs(upstream: &Process) -> HashMap<String, u64> {
     let it = get(upstream.address, "/runs").json();
     serde_json::from_value(it["orders"].clone()).unwrap()
 }
 
-/// Returns the body of an order.
+/// Returns the request body of an order, which an upstream counts by its name.
 pub fn order_body(name: &str) -> String {
     json!({ "echo": name, "order": name }).to_string()
 }
 
-/// Sets an upstream's switches.
+/// Sets the faults and other settings of an upstream.
 pub fn update_settings(upstream: &Process, switches: &Value) {
     post(upstream.address, "/switches", switches);
 }
--- a/crates/portfield-standins/tests/idempotency.rs
+++ b/crates/portfield-standins/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! At most once: requests with an idempotency key.
+//! Requests with an idempotency key are executed at most once.
 
 mod fleet;
 
@@ -12,6 +12,7 @@
 
 const KEY_HEADER: &str = "idempotency-key: k1\r\n";
 
+/// Sends an order with the same key to a host's router.
 fn send_order(fleet: &Fleet, host: usize, name: &str) -> Response {
     fleet.send(host, "small", "/ledger/order", &order_body(name), KEY_HEADER)
 }
@@ -26,7 +27,7 @@
     assert_eq!(order_runs(&fleet.plain_services[0])["lintel"], 1);
     let other = send_order(&fleet, 0, "sill");
     assert_eq!((other.status, other.outcome()), (422, "not-run"));
-    // Another workspace's key of the same name is another key.
+    // Keys are scoped to a workspace.
     let large = fleet.send(0, "large", "/ledger/order", &order_body("step"), KEY_HEADER);
     assert_eq!((large.status, large.header("x-portfield-replayed")), (200, ""));
 }
@@ -75,7 +76,7 @@
     assert_eq!((res.status, res.outcome()), (503, "not-run"), "{res:?}");
     assert!(!res.header("retry-after").is_empty());
     assert!(!order_runs(&fleet.plain_services[0]).contains_key("quoin"));
-    // Everything else goes on.
+    // Requests without a key need no store.
     let res = fleet.send(0, "small", "/ledger/order", &order_body("plinth"), "");
     assert_eq!(res.status, 200, "{res:?}");
 }
@@ -102,7 +103,7 @@
     assert_eq!(order_runs(&fleet.plain_services[0])["ashlar"], 1);
 }
 
-/// The router dies between the claim and the answer, while the order runs.
+/// The router is killed while the order is executed, after it claimed the key in the store.
 #[test]
 fn key_stays_claimed_when_its_router_is_killed() {
     let mut fleet = Fleet::start(FleetOptions::default());
@@ -110,7 +111,7 @@
     let address = fleet.hosts[0].router.address;
     let call = fleet::request("small", "/ledger/order", &order_body("arch"), KEY_HEADER);
     let waiting = thread::spawn(move || fleet::send_request(address, &call));
-    wait_until("it runs", || order_runs(&fleet.plain_services[0]).contains_key("arch"));
+    wait_until("the order runs", || order_runs(&fleet.plain_services[0]).contains_key("arch"));
     fleet.hosts[0].router.kill();
     assert_eq!(waiting.join().unwrap().status, 0);
     let again = send_order(&fleet, 1, "arch");
@@ -118,7 +119,7 @@
     assert_eq!(order_runs(&fleet.plain_services[0])["arch"], 1);
 }
 
-/// A caller that hangs up while its keyed request waits: nothing ran, so the key is free.
+/// A request that was withdrawn from the queue was never executed, so its key is free for a repeat.
 #[test]
 fn key_of_a_caller_that_disconnects_in_the_queue_is_released() {
     let fleet = Fleet::start(FleetOptions {
@@ -130,14 +131,16 @@
     let address = fleet.hosts[0].router.address;
     let first = fleet::request("small", "/ledger/order", &order_body("first"), "");
     let running = thread::spawn(move || fleet::send_request(address, &first));
-    wait_until("it runs", || order_runs(&fleet.plain_services[0]).contains_key("first"));
+    wait_until("the first order runs", || {
+        order_runs(&fleet.plain_services[0]).contains_key("first")
+    });
     let mut stream = TcpStream::connect(address).unwrap();
     let call = fleet::request("small", "/ledger/order", &order_body("second"), KEY_HEADER);
     stream.write_all(call.as_bytes()).unwrap();
     let status = || get(fleet.hosts[0].router.addresses[1].1, "/status").json();
-    wait_until("it waits", || status()["waiting"] == 1);
+    wait_until("the second order is queued", || status()["waiting"] == 1);
     drop(stream);
-    wait_until("it is withdrawn", || status()["waiting"] == 0);
+    wait_until("the second order leaves the queue", || status()["waiting"] == 0);
     assert_eq!(running.join().unwrap().outcome(), "unknown");
     wait_until("the repeat runs", || send_order(&fleet, 1, "second").status == 200);
     assert_eq!(order_runs(&fleet.plain_services[0])["second"], 1);
--- a/crates/portfield-standins/tests/outcomes.rs
+++ b/crates/portfield-standins/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what a caller is told against what really ran.
+//! Outcomes reported to callers, compared with what upstreams executed.
 
 mod fleet;
 
@@ -10,9 +10,9 @@
     Fleet, FleetOptions, expected_events, generation_body, order_body, order_runs, update_settings,
 };
 
-/// Every point where an exchange with a service that must not be repeated can break.
+/// Breaks an exchange with a service whose requests must not be repeated at every possible point.
 #[test]
-fn outcome_matches_the_execution_for_every_fault() {
+fn outcome_matches_the_execution_wherever_an_exchange_breaks() {
     let fleet = Fleet::start(FleetOptions {
         router_settings: "answer_timeout_ms = 500",
         ..FleetOptions::default()
@@ -33,18 +33,18 @@
         let res = fleet.send(0, "small", "/ledger/order", &order_body(fault), "");
         assert_eq!((res.status, res.outcome()), (status, outcome), "{fault}: {res:?}");
         let n_runs = order_runs(&fleet.plain_services[0]).get(fault).copied().unwrap_or(0);
-        assert!(n_runs <= 1, "{fault} ran {n_runs} times");
+        assert!(n_runs <= 1, "{fault}: executed {n_runs} times");
         if status == 200 {
             assert!(res.is_complete && res.json() == json!({ "echo": fault }), "{res:?}");
             assert_eq!(n_runs, 1, "{fault}");
         }
-        // An upstream that failed is left alone for a moment.
+        // The router sends nothing to an upstream for a moment after a failure.
         thread::sleep(Duration::from_millis(600));
     }
 }
 
-/// A question for health or runs took the fault that was meant for the order: on a busy machine the
-/// order was answered 200 in place of 502.
+/// A health or runs request once consumed the fault set for an order, so that on a busy machine the
+/// order got 200 instead of 502.
 #[test]
 fn monitoring_requests_do_not_consume_a_fault() {
     let fleet = Fleet::start(FleetOptions {
--- a/crates/portfield-standins/tests/soak.rs
+++ b/crates/portfield-standins/tests/soak.rs
@@ -1,6 +1,8 @@
-//! A soak: all faults mixed on real processes for a bounded time, every promise counted.
+//! Soak test: injects random faults into a fleet of real processes for a bounded time, and counts
+//! violated guarantees.
 //!
-//! Not in CI. `SOAK_SECONDS=120 SOAK_SEED=7 cargo test --release -p portfield-standins
+//! Not run in CI; run it by hand:
+//! `SOAK_SECONDS=120 SOAK_SEED=7 cargo test --release -p portfield-standins
 //! --test soak -- --ignored --nocapture` after `cargo build --release --workspace --bins`.
 
 mod fleet;
@@ -25,17 +27,18 @@
     request, send_request, update_settings, wait_until,
 };
 
-/// Callers at once.
+/// Number of concurrent callers.
 const N_CALLERS: usize = 12;
-/// Time between two faults.
+/// Interval between faults.
 const FAULT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What callers saw.
+/// Results of all callers.
 #[derive(Default)]
 struct Observations {
+    /// Number of requests by result, and of injected faults by number.
     counts: Mutex<BTreeMap<String, u64>>,
     violations: Mutex<Vec<String>>,
-    /// Orders that were said not to have run.
+    /// Orders without a key that were reported as not run.
     not_run: Mutex<Vec<String>>,
 }
 
@@ -49,16 +52,18 @@
     }
 }
 
+/// Returns the number in an environment variable, or the default if it is absent or invalid.
 fn env_number(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|it| it.parse().ok()).unwrap_or(default)
 }
 
-/// Sends to a router, unless nothing listens there: the balancer would not send then.
+/// Sends a request unless nothing listens at the address, where a load balancer would send none.
 fn send_if_listening(address: SocketAddr, bytes: &str) -> Option<Response> {
     TcpStream::connect(address).ok()?;
     Some(send_request(address, bytes))
 }
 
+/// Sends a generation and checks that the response has only its own events.
 fn check_generation(
     observed: &Observations,
     address: SocketAddr,
@@ -74,19 +79,20 @@
     };
     match res.status {
         200 if res.is_complete && res.body == expected_events(name, cost) => {
-            observed.count("streams whole")
+            observed.count("streams complete")
         }
         200 if expected_events(name, cost).starts_with(&res.body) => {
-            observed.count("streams visibly broken")
+            observed.count("streams incomplete")
         }
-        200 => observed.record_violation(format!("{name} got another's answer: {res:?}")),
-        // The router stopped between the look and the call.
-        0 => observed.count("streams not taken"),
+        200 => observed.record_violation(format!("{name} got a foreign response: {res:?}")),
+        // The router stopped after the check that it listens.
+        0 => observed.count("streams without response"),
         _ if res.outcome() == "not-run" => observed.count("streams refused"),
-        _ => observed.count("streams unknown"),
+        _ => observed.count("streams of unknown outcome"),
     }
 }
 
+/// Sends an order, with a key or without, and checks that the response is its own.
 fn check_order(
     observed: &Observations,
     addresses: &[SocketAddr],
@@ -95,7 +101,7 @@
 ) {
     let key = format!("idempotency-key: {name}\r\n");
     let headers = if rng.bool() { key.as_str() } else { "" };
-    // With a key a caller may ask again anywhere; without one it must not.
+    // A request with a key may be repeated at any router, one without a key may not.
     let n_tries = if headers.is_empty() { 1 } else { 3 };
     for _ in 0..n_tries {
         let address = addresses[rng.usize(..addresses.len())];
@@ -103,18 +109,18 @@
         let Some(res) = send_if_listening(address, &bytes) else { continue };
         let is_own = res.is_complete && res.json() == json!({ "echo": name });
         match res.status {
-            200 if is_own => observed.count("orders whole"),
-            200 if !res.is_complete => observed.count("orders visibly broken"),
-            200 => observed.record_violation(format!("{name} got another's answer: {res:?}")),
-            0 => observed.count("orders not taken"),
-            409 => observed.count("orders known already"),
+            200 if is_own => observed.count("orders complete"),
+            200 if !res.is_complete => observed.count("orders incomplete"),
+            200 => observed.record_violation(format!("{name} got a foreign response: {res:?}")),
+            0 => observed.count("orders without response"),
+            409 => observed.count("orders refused for their key"),
             _ if res.outcome() == "not-run" => {
                 observed.count("orders refused");
                 if n_tries == 1 {
                     observed.not_run.lock().unwrap().push(name.to_owned());
                 }
             }
-            _ => observed.count("orders unknown"),
+            _ => observed.count("orders of unknown outcome"),
         }
         if res.status == 200 {
             return;
@@ -122,6 +128,7 @@
     }
 }
 
+/// Kills a scheduler and starts it again at its address.
 fn restart_scheduler(fleet: &mut Fleet, idx: usize) {
     let (ip, centre) = (fleet.hosts[idx].ip.clone(), fleet.hosts[idx].data_centre.clone());
     let old = fleet.hosts[idx].scheduler.address;
@@ -129,18 +136,19 @@
     fleet.hosts[idx].scheduler = fleet.restart_scheduler(&ip, &centre, old);
 }
 
-/// Stops a router as planned while it serves, and starts it again at its address.
+/// Shuts a router down while it serves, and starts it again at its address.
 fn restart_router(fleet: &mut Fleet, idx: usize, observed: &Observations) {
     let host = &mut fleet.hosts[idx];
     host.router.signal("-TERM");
     if host.router.wait_for_exit() != Some(0) {
-        observed.record_violation("a planned stop ended badly".to_owned());
+        observed.record_violation("a router did not exit with 0 on SIGTERM".to_owned());
     }
     let (ip, centre) = (host.ip.clone(), host.data_centre.clone());
     let (scheduler, old) = (host.scheduler.address, host.router.address);
     fleet.hosts[idx].router = fleet.restart_router(&ip, &centre, scheduler, old);
 }
 
+/// Injects a random fault, or changes the share of `large`.
 fn inject_fault(
     fleet: &mut Fleet,
     rng: &mut fastrand::Rng,
@@ -167,7 +175,7 @@
         }
         3 => {
             fleet.set_platform_faults(&json!({ "down": true }));
-            // A second fault while the platform is down.
+            // The scheduler restarts while the platform is down.
             restart_scheduler(fleet, idx);
             thread::sleep(Duration::from_millis(rng.u64(500..2000)));
             fleet.set_platform_faults(&json!({}));
@@ -235,12 +243,12 @@
         while Instant::now() < ends_at {
             inject_fault(&mut fleet, &mut rng, &observed, &mut share);
             thread::sleep(FAULT_INTERVAL);
-            // A restarted process begins at none; one that has a revision must not lose it.
+            // A restarted process has revision 0 at first; from any other it must not go back.
             let now = fleet.revisions();
             for (idx, (last, now)) in last.iter().zip(&now).enumerate() {
                 if now < last && *now != 0 {
                     observed.record_violation(format!(
-                        "process {idx} fell from revision {last} to {now}"
+                        "process {idx} went back from revision {last} to {now}"
                     ));
                 }
             }
@@ -254,16 +262,17 @@
         *runs_by_order.entry(it.0).or_default() += it.1;
     }
     for (name, n) in runs_by_order.iter().filter(|it| 1 < *it.1) {
-        observed.record_violation(format!("order {name} ran {n} times"));
+        observed.record_violation(format!("order {name} was executed {n} times"));
     }
     for name in observed.not_run.lock().unwrap().iter().filter(|it| runs_by_order.contains_key(*it))
     {
-        observed.record_violation(format!("order {name} was said not to have run"));
+        observed.record_violation(format!("order {name} was executed but reported as not run"));
     }
-    wait_until("every slot is free again", || fleet.shards().iter().all(|(_, it)| it["used"] == 0));
+    wait_until("all slots are free", || fleet.shards().iter().all(|(_, it)| it["used"] == 0));
     for (idx, it) in fleet.engines.iter().enumerate() {
         let max_running = get(it.address, "/runs").json()["most_running"].clone();
-        observed.count(&format!("most at once on engine {idx} (4 slots): {max_running}"));
+        observed
+            .count(&format!("most concurrent requests on engine {idx} (4 slots): {max_running}"));
     }
     writeln!(std::io::stdout(), "{:#?}", observed.counts.lock().unwrap()).unwrap();
     let violations = observed.violations.lock().unwrap();
--- a/crates/portfield-standins/tests/streams.rs
+++ b/crates/portfield-standins/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: resumed where they broke, cancelled when nobody reads.
+//! Streams: resumed after a break, cancelled when the caller disconnects.
 
 mod fleet;
 
@@ -35,14 +35,14 @@
     let mut bytes = [0; 2048];
     assert!(0 < stream.read(&mut bytes).unwrap());
     let runs = || get(fleet.engines[0].address, "/runs").json();
-    wait_until("it runs", || runs()["running"] == 1);
+    wait_until("the generation runs", || runs()["running"] == 1);
     drop(stream);
-    wait_until("it is cancelled", || runs()["running"] == 0);
-    // An engine gives up an unread stream after 5 s by itself: this must come earlier.
+    wait_until("the generation is cancelled", || runs()["running"] == 0);
+    // The engine itself cancels a stream after 5 s without a reader, so this must be earlier.
     assert_eq!(runs()["cancelled"], 1);
     assert!(runs()["tokens"].as_u64().unwrap() < 300);
     let status = || get(fleet.hosts[0].router.addresses[1].1, "/status").json();
-    wait_until("the slot is free", || status()["running"] == 0);
+    wait_until("the router counts no running request", || status()["running"] == 0);
     assert_eq!(status()["hung_up"], 1);
 }
 
@@ -53,19 +53,19 @@
     let long = fleet::request("large", "/scribe/run", &generation_body("long", 300), "");
     let running = thread::spawn(move || fleet::send_request(address, &long));
     let runs = || get(fleet.engines[0].address, "/runs").json();
-    wait_until("it runs", || runs()["running"] == 1);
+    wait_until("the generation runs", || runs()["running"] == 1);
     let mut stream = TcpStream::connect(address).unwrap();
     let call = fleet::request("small", "/scribe/run", &generation_body("gone", 5), "");
     stream.write_all(call.as_bytes()).unwrap();
     let status = || get(fleet.hosts[0].router.addresses[1].1, "/status").json();
-    wait_until("it waits", || status()["waiting"] == 1);
+    wait_until("the request is queued", || status()["waiting"] == 1);
     drop(stream);
-    wait_until("it is withdrawn", || status()["waiting"] == 0);
+    wait_until("the request leaves the queue", || status()["waiting"] == 0);
     assert!(running.join().unwrap().is_complete);
     assert_eq!(runs()["runs"].as_object().unwrap().len(), 1);
 }
 
-/// An engine that dies in the middle of an answer: the caller can tell.
+/// An engine is killed during a response: the caller can tell that the stream is incomplete.
 #[test]
 fn stream_of_a_dead_engine_ends_incomplete() {
     let mut fleet = Fleet::start(FleetOptions {
@@ -75,7 +75,7 @@
     let address = fleet.hosts[0].router.address;
     let call = fleet::request("small", "/scribe/run", &generation_body("dead", 500), "");
     let waiting = thread::spawn(move || fleet::send_request(address, &call));
-    wait_until("it runs", || {
+    wait_until("the stream has sent events", || {
         get(fleet.engines[0].address, "/runs").json()["tokens"].as_u64() > Some(5)
     });
     fleet.engines[0].kill();
@@ -98,10 +98,10 @@
         assert!(0 < n);
         seen.push_str(&String::from_utf8_lossy(&bytes[..n]));
     }
-    assert!(!seen.contains("flow 60\n"), "the first event came with the last");
+    assert!(!seen.contains("flow 60\n"), "the first event arrived together with the last");
 }
 
-/// The router dies in the middle of a stream; the caller goes on at another with its token.
+/// The router is killed during a stream; the caller resumes it at another with its resume token.
 #[test]
 fn stream_resumes_at_another_router() {
     let mut fleet = Fleet::start(FleetOptions::default());
@@ -119,7 +119,7 @@
     let token = seen.lines().find_map(|it| it.strip_prefix("x-portfield-resume: ")).unwrap();
     fleet.hosts[0].router.kill();
     let headers = format!("x-portfield-resume: {token}\r\nlast-event-id: 20\r\n");
-    // Nobody else may read it, with this token or another.
+    // Another workspace's request and a forged token are refused.
     let other = fleet.send(1, "large", "/scribe/run", "", &headers);
     assert_eq!(other.status, 403, "{other:?}");
     let forged = format!("x-portfield-resume: {}x\r\n", token);
--- a/crates/portfield-standins/tests/validation.rs
+++ b/crates/portfield-standins/tests/validation.rs
@@ -1,4 +1,4 @@
-//! What callers may get wrong: each answer says which field it was.
+//! Invalid requests and settings: the error names the field.
 
 mod fleet;
 
@@ -8,6 +8,7 @@
     Fleet, FleetOptions, Response, generation_body, read_response, request, send_request,
 };
 
+/// Asserts that a request was rejected as not run, with an error for `field`.
 fn assert_rejected(res: &Response, status: u16, field: &str) {
     assert_eq!(res.status, status, "{field}: {res:?}");
     let body = res.json();
@@ -60,7 +61,7 @@
     let key = format!("idempotency-key: {}\r\n", "k".repeat(300));
     assert_rejected(&fleet.send(0, "small", "/scribe/run", &body, &key), 400, "idempotency-key");
     assert_rejected(&fleet.send(0, "small", "/scribe/run", &"x".repeat(2000), ""), 413, "body");
-    // A head that never ends, and a body that is cut short.
+    // An incomplete head, then a truncated body.
     let mut slow = TcpStream::connect(address).unwrap();
     slow.write_all(b"POST /scribe/run HTTP/1.1\r\nhost:").unwrap();
     assert_rejected(&read_response(&mut slow), 408, "head");
