--- a/crates/portfield-standins/tests/fleet/mod.rs
+++ b/crates/portfield-standins/tests/fleet/mod.rs
@@ -181,8 +181,8 @@
         let args = [string("platform"), string("--listen"), string("127.0.0.1:0")];
         let platform = Process::start("portfield-standins", &args, 1);
         let relay = start_relay(options.n_hosts.len());
-        let start_upstreams = |n: usize, centre: usize| -> Vec<Process> {
-            (0..n).map(|_| start_upstream(centre)).collect()
+        let start_upstreams = |n: usize, data_centre: usize| -> Vec<Process> {
+            (0..n).map(|_| start_upstream(data_centre)).collect()
         };
         let mut res = Self {
             dir,
@@ -428,9 +428,9 @@
     }
 }
 
-/// Starts an upstream in data centre number `centre`.
-fn start_upstream(centre: usize) -> Process {
-    let listen = format!("127.0.{}.200:0", centre + 1);
+/// Starts an upstream in data centre number `data_centre`.
+fn start_upstream(data_centre: usize) -> Process {
+    let listen = format!("127.0.{}.200:0", data_centre + 1);
     let args = ["upstream", "--listen", &listen, "--token-ms", "10"].map(string);
     Process::start("portfield-standins", &args, 1)
 }
--- a/crates/portfield-standins/tests/soak.rs
+++ b/crates/portfield-standins/tests/soak.rs
@@ -79,10 +79,10 @@
     };
     match res.status {
         200 if res.is_complete && res.body == expected_events(name, cost) => {
-            observed.count("streams complete")
+            observed.count("streams complete");
         }
         200 if expected_events(name, cost).starts_with(&res.body) => {
-            observed.count("streams incomplete")
+            observed.count("streams incomplete");
         }
         200 => observed.record_violation(format!("{name} got a foreign response: {res:?}")),
         // The router stopped after the check that it listens.
