--- a/crates/portfield-standins/src/platform.rs
+++ b/crates/portfield-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: a transactional table, an object store and a host list.
+//! Stand-in for the platform: a transactional table, an object store and a host list.
 
 use std::{
     collections::HashMap,
@@ -18,48 +18,50 @@
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Switches for faults.
+/// Faults to inject, set by POST `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Nothing is answered.
+    /// Responds 503 after 30 s.
     pub down: bool,
-    /// Everything takes this much longer, in milliseconds.
+    /// Delay added to every response, in milliseconds.
     pub slow_ms: u64,
-    /// So many further commits take effect but their answers are lost.
+    /// Number of commits, from the next one on, that are applied but get no response in time.
     pub lose_answers: u32,
-    /// So many further commits are lost before they take effect.
+    /// Number of commits, from the next one on, that are neither applied nor responded to in time.
     pub lose_requests: u32,
-    /// The host list stays as it was.
+    /// Keeps serving the host list as it was last read.
     pub frozen_list: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
+    /// Version and value by key.
     rows: HashMap<String, (u64, String)>,
     objects: HashMap<String, Vec<u8>>,
     hosts: Vec<Host>,
-    shown: Vec<Host>,
+    /// Host list as last read; falls behind `hosts` while the list is frozen.
+    listed_hosts: Vec<Host>,
     faults: Faults,
     n_reads: u64,
     n_commits: u64,
 }
 
-/// The platform's state, shared by its connections.
+/// Handle of the platform's state, shared by all connections.
 #[derive(Debug, Clone, Default)]
 struct Platform {
     state: Arc<Mutex<State>>,
 }
 
-/// Serves the platform until the process ends.
+/// Serves the platform with an initial host list until the process ends.
 pub async fn serve(rt: Runtime, listener: TcpListener, hosts: Vec<Host>) {
     let platform = Platform::default();
     platform.lock().hosts = hosts;
-    let handler = move |request| answer(platform.clone(), request);
+    let handler = move |request| handle_request(platform.clone(), request);
     http1::serve(rt, listener, handler).await;
 }
 
-async fn answer(platform: Platform, mut request: Request) -> Response {
+async fn handle_request(platform: Platform, mut request: Request) -> Response {
     let path = request.url().path().to_owned();
     if path == "/faults" {
         return set_faults(&platform, &mut request).await;
@@ -69,7 +71,7 @@
         return json_response(200, &json!({ "reads": state.n_reads, "commits": state.n_commits }));
     }
     if path == "/hosts" && request.method() != Method::Get {
-        return change_hosts(&platform, &mut request).await;
+        return update_hosts(&platform, &mut request).await;
     }
     let faults = platform.lock().faults.clone();
     clock::sleep(Duration::from_millis(faults.slow_ms)).await;
@@ -82,10 +84,10 @@
             Err(res) => res,
         },
         (Method::Post, "/commit") => match read_json::<Transaction>(&mut request).await {
-            Ok(it) => commit(&platform, &it).await,
+            Ok(transaction) => commit(&platform, &transaction).await,
             Err(res) => res,
         },
-        (Method::Get, "/hosts") => list(&platform, &request),
+        (Method::Get, "/hosts") => list_hosts(&platform, &request),
         (Method::Put, _) => {
             let body = request.body_bytes().await.unwrap_or_default();
             platform.lock().objects.insert(path, body);
@@ -99,7 +101,7 @@
     }
 }
 
-/// Never answers, as a service that is down behind its address.
+/// Responds 503 after 30 s, like a service that is down but still accepts connections.
 async fn hang() -> Response {
     clock::sleep(Duration::from_secs(30)).await;
     json_response(503, &json!({ "error": "down" }))
@@ -115,8 +117,8 @@
     }
 }
 
-/// Adds, changes or removes hosts; the list that is read follows unless it is frozen.
-async fn change_hosts(platform: &Platform, request: &mut Request) -> Response {
+/// Adds, replaces or removes a host, identified by its scheduler's address.
+async fn update_hosts(platform: &Platform, request: &mut Request) -> Response {
     let method = request.method();
     let host = match read_json::<Host>(request).await {
         Ok(it) => it,
@@ -130,32 +132,34 @@
     json_response(200, &json!({}))
 }
 
-/// Answers with the host list, or that it is still the one that the caller has.
-fn list(platform: &Platform, request: &Request) -> Response {
-    let hosts = platform.list();
+/// Responds with the host list, or 304 if the caller's `if-none-match` is still current.
+fn list_hosts(platform: &Platform, request: &Request) -> Response {
+    let hosts = platform.listed_hosts();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
-    let tag = format!("\"{:x}\"", xxh3_64(text.as_bytes()));
-    let known = request.header("if-none-match").is_some_and(|it| it.as_str() == tag);
-    let mut res = if known { Response::new(304) } else { json_response(200, &hosts) };
-    res.insert_header("etag", tag);
+    let etag = format!("\"{:x}\"", xxh3_64(text.as_bytes()));
+    let is_unchanged = request.header("if-none-match").is_some_and(|it| it.as_str() == etag);
+    let mut res = if is_unchanged { Response::new(304) } else { json_response(200, &hosts) };
+    res.insert_header("etag", etag);
     res
 }
 
+/// Commits a transaction, unless a fault drops the request or the response.
 async fn commit(platform: &Platform, transaction: &Transaction) -> Response {
-    if take_one(&mut platform.lock().faults.lose_requests) {
+    if consume_fault(&mut platform.lock().faults.lose_requests) {
         return hang().await;
     }
     let res = platform.commit(transaction);
-    if take_one(&mut platform.lock().faults.lose_answers) {
+    if consume_fault(&mut platform.lock().faults.lose_answers) {
         return hang().await;
     }
     json_response(200, &res)
 }
 
-fn take_one(n: &mut u32) -> bool {
-    let any = 0 < *n;
-    *n = n.saturating_sub(1);
-    any
+/// Returns whether a fault is set to occur, and counts this occurrence down.
+fn consume_fault(n_left: &mut u32) -> bool {
+    let is_set = 0 < *n_left;
+    *n_left = n_left.saturating_sub(1);
+    is_set
 }
 
 impl Platform {
@@ -163,27 +167,30 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the rows of `keys`, and counts the read.
     fn read(&self, keys: &[String]) -> Vec<Row> {
         let mut state = self.lock();
         state.n_reads += 1;
-        keys.iter().map(|it| row(&state, it)).collect()
+        keys.iter().map(|it| find_row(&state, it)).collect()
     }
 
-    fn list(&self) -> Vec<Host> {
+    /// Returns the host list, updated first unless it is frozen.
+    fn listed_hosts(&self) -> Vec<Host> {
         let mut state = self.lock();
         if !state.faults.frozen_list {
-            state.shown = state.hosts.clone();
+            state.listed_hosts = state.hosts.clone();
         }
-        state.shown.clone()
+        state.listed_hosts.clone()
     }
 
+    /// Applies all writes if every check holds; otherwise returns the rows whose versions differ.
     fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         let mut state = self.lock();
         state.n_commits += 1;
         let conflicts: Vec<_> = transaction
             .checks
             .iter()
-            .map(|it| (it.version, row(&state, &it.key)))
+            .map(|it| (it.version, find_row(&state, &it.key)))
             .filter(|(version, row)| *version != row.version)
             .map(|(_, row)| row)
             .collect();
@@ -198,7 +205,8 @@
     }
 }
 
-fn row(state: &State, key: &str) -> Row {
+/// Returns the row of `key`; an absent one has [`ABSENT_VERSION`] and an empty value.
+fn find_row(state: &State, key: &str) -> Row {
     let found = state.rows.get(key).cloned();
     let (version, value) = found.unwrap_or((ABSENT_VERSION, String::new()));
     Row { key: key.to_owned(), version, value }
