--- a/crates/portfield-router/src/app.rs
+++ b/crates/portfield-router/src/app.rs
@@ -127,7 +127,10 @@
             address,
             counters: Counters::default(),
             metrics: Metrics::new("portfield.router", settings.statsd),
-            table: TableWriter::start(&rt, PlatformClient::new(settings.platform, PLATFORM_TIMEOUT)),
+            table: TableWriter::start(
+                &rt,
+                PlatformClient::new(settings.platform, PLATFORM_TIMEOUT),
+            ),
             incarnation,
             n_requests: AtomicU64::new(0),
             draining: AtomicBool::new(false),
