--- a/crates/portfield-net/src/connector.rs
+++ b/crates/portfield-net/src/connector.rs
@@ -46,8 +46,7 @@
             open_tunnel(&mut stream, address).await?;
             Ok(stream)
         };
-        let timed_out =
-            || Err(io::Error::new(io::ErrorKind::TimedOut, "timed out while connecting"));
+        let timed_out = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
         clock::timeout(CONNECT_TIMEOUT, connect).await.unwrap_or_else(timed_out)
     }
 }
@@ -64,5 +63,5 @@
     if response.starts_with(b"HTTP/1.1 200") {
         return Ok(());
     }
-    Err(io::Error::other("the relay rejected CONNECT"))
+    Err(io::Error::other("the relay refused"))
 }
