--- a/crates/portfield-router/src/admin.rs
+++ b/crates/portfield-router/src/admin.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use http_types::{Request, Response};
-use portfield_net::{http1::json, rpc};
+use portfield_net::{http1::json_response, rpc};
 use serde_json::json;
 
 use crate::app::App;
@@ -13,24 +13,27 @@
     match request.url().path() {
         "/ready" => {
             let status = if app.is_ready() { 200 } else { 503 };
-            json(status, &json!({ "revision": app.fleet().revision }))
+            json_response(status, &json!({ "revision": app.fleet().revision }))
         }
         "/status" => status(app),
-        "/burn" => json(200, &app.burn_report()),
+        "/burn" => json_response(200, &app.burn_report()),
         "/records" => {
             let id = request.url().query().unwrap_or_default();
-            json(200, &app.records(id))
+            json_response(200, &app.records(id))
         }
-        _ => json(404, &json!({ "error": "try /ready, /status, /burn or /records?REQUEST-ID" })),
+        _ => json_response(
+            404,
+            &json!({ "error": "try /ready, /status, /burn or /records?REQUEST-ID" }),
+        ),
     }
 }
 
 fn status(app: &App) -> Response {
-    let (sent, received) = rpc::traffic();
+    let (sent, received) = rpc::control_traffic();
     let (waiting, running) = app.load();
     let counters = &app.counters;
     let count = |it: &std::sync::atomic::AtomicU64| it.load(Ordering::Relaxed);
-    json(
+    json_response(
         200,
         &json!({
             "host": app.address.ip(),
--- a/crates/portfield-router/src/app.rs
+++ b/crates/portfield-router/src/app.rs
@@ -19,7 +19,7 @@
     slo::{Sample, SlidingWindows},
     wire,
 };
-use portfield_net::{clock, metrics::Metrics, platform::Platform, rpc, rt::Runtime};
+use portfield_net::{clock, metrics::Metrics, platform::PlatformClient, rpc, rt::Runtime};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -105,7 +105,7 @@
 impl App {
     /// Builds the state and starts its background tasks; `address` is the bound address for callers.
     pub(crate) fn new(rt: Runtime, settings: Settings, address: SocketAddr) -> Arc<Self> {
-        let incarnation = clock::life();
+        let incarnation = clock::unix_millis();
         let mut router =
             Router::new(address.ip(), settings.data_centre.clone(), incarnation & 0xff_ffff);
         for it in &settings.schedulers {
@@ -127,7 +127,10 @@
             address,
             counters: Counters::default(),
             metrics: Metrics::new("portfield.router", settings.statsd),
-            table: TableWriter::start(&rt, Platform::new(settings.platform, PLATFORM_TIMEOUT)),
+            table: TableWriter::start(
+                &rt,
+                PlatformClient::new(settings.platform, PLATFORM_TIMEOUT),
+            ),
             incarnation,
             n_requests: AtomicU64::new(0),
             draining: AtomicBool::new(false),
@@ -297,7 +300,7 @@
             ] {
                 self.metrics.gauge(name, it.load(Ordering::Relaxed));
             }
-            let (sent, received) = rpc::traffic();
+            let (sent, received) = rpc::control_traffic();
             self.metrics.gauge("control_bytes", sent + received);
         }
     }
--- a/crates/portfield-router/src/idempotency.rs
+++ b/crates/portfield-router/src/idempotency.rs
@@ -13,7 +13,7 @@
     idempotency::{Claim, ClaimState, Decision, MAX_KEPT_ANSWER, claim_key, decide},
     route::Outcome,
 };
-use portfield_net::platform::ABSENT;
+use portfield_net::platform::ABSENT_VERSION;
 
 use crate::{
     app::App,
@@ -86,7 +86,7 @@
     let row = claim_key(call.workspace.id, call.service.id, key);
     let content: [&[u8]; 3] = [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body];
     let own_claim = Claim::new(&call.id, &content);
-    let mut version = ABSENT;
+    let mut version = ABSENT_VERSION;
     for _ in 0..MAX_ATTEMPTS {
         let found = match app.table.write(&row, version, own_claim.to_row()).await {
             Written::Applied => {
--- a/crates/portfield-router/src/relay.rs
+++ b/crates/portfield-router/src/relay.rs
@@ -18,7 +18,7 @@
     route::{backoff, resume_token},
     slo::Sample,
 };
-use portfield_net::{clock, events::Events};
+use portfield_net::{clock, sse::EventBuffer};
 
 use crate::{
     app::App,
@@ -65,7 +65,7 @@
         ticket,
         endpoint,
         stream_id,
-        events: Events::default(),
+        events: EventBuffer::default(),
         is_event_stream,
         n_events: 0,
         workspace: call.workspace.id,
@@ -97,7 +97,7 @@
     endpoint: Endpoint,
     /// Id of the stream, if it can be resumed.
     stream_id: Option<String>,
-    events: Events,
+    events: EventBuffer,
     is_event_stream: bool,
     n_events: u32,
     arrived_at: Duration,
@@ -171,7 +171,7 @@
     async fn resume_stream(&mut self, cause: &str) -> io::Result<()> {
         self.events.take_partial();
         self.app.record(&self.id, 0, format!("answer broke: {cause}"));
-        let last_id = self.events.last_id().unwrap_or_default().to_owned();
+        let last_id = self.events.last_event_id().unwrap_or_default().to_owned();
         for n in 0..MAX_RESUMES {
             let Some(stream_id) = &self.stream_id else { break };
             let res = upstream::resume(&self.app, &self.endpoint, stream_id, &last_id).await;
--- a/crates/portfield-router/src/writes.rs
+++ b/crates/portfield-router/src/writes.rs
@@ -9,7 +9,7 @@
 use portfield_net::{
     clock,
     http1::Error,
-    platform::{Check, Committed, Platform, Put, Row, Transaction},
+    platform::{Check, CommitOutcome, PlatformClient, Put, Row, Transaction},
     rt::Runtime,
 };
 
@@ -50,7 +50,7 @@
 
 impl TableWriter {
     /// Starts the task.
-    pub(crate) fn start(rt: &Runtime, platform: Platform) -> Self {
+    pub(crate) fn start(rt: &Runtime, platform: PlatformClient) -> Self {
         let (sender, receiver) = async_channel::unbounded();
         rt.spawn(run(platform, receiver));
         Self { sender }
@@ -66,7 +66,7 @@
     }
 }
 
-async fn run(platform: Platform, receiver: Receiver<PendingWrite>) {
+async fn run(platform: PlatformClient, receiver: Receiver<PendingWrite>) {
     let mut pending: Vec<PendingWrite> = Vec::new();
     loop {
         if pending.is_empty() {
@@ -96,15 +96,15 @@
 }
 
 /// Commits a batch, reports the writes whose outcome is known and returns the others.
-async fn commit(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
+async fn commit(platform: &PlatformClient, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     let transaction = Transaction {
         checks: batch.iter().map(|it| it.check.clone()).collect(),
         puts: batch.iter().map(|it| it.put.clone()).collect(),
     };
     match platform.commit(&transaction).await {
-        Ok(Committed::Applied) => reply_all(batch, &Written::Applied),
-        Ok(Committed::Conflict(rows)) => resolve_conflict(batch, &rows),
-        Err(Error::Unclear(_)) => read_back(platform, batch).await,
+        Ok(CommitOutcome::Applied) => reply_all(batch, &Written::Applied),
+        Ok(CommitOutcome::Conflict(rows)) => resolve_conflict(batch, &rows),
+        Err(Error::OutcomeUnknown(_)) => read_back(platform, batch).await,
         // A write whose outcome was unclear before may still be applied.
         Err(_) => {
             for it in batch {
@@ -137,10 +137,10 @@
 /// Determines the outcome of a batch from its rows, and returns the writes to send again.
 ///
 /// Sending them again is safe because they are bound to a version.
-async fn read_back(platform: &Platform, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
+async fn read_back(platform: &PlatformClient, batch: Vec<PendingWrite>) -> Vec<PendingWrite> {
     clock::sleep(READ_BACK_PAUSE).await;
     let keys: Vec<_> = batch.iter().map(|it| it.check.key.clone()).collect();
-    let rows = platform.read(&keys).await.unwrap_or_default();
+    let rows = platform.read_rows(&keys).await.unwrap_or_default();
     let mut rest = Vec::new();
     for mut it in batch {
         it.attempts += 1;
