--- a/crates/portfield/src/balance/fast_map.rs
+++ b/crates/portfield/src/balance/fast_map.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-/// A map whose keys no caller can choose: numbers of upstreams, and hashes of hosts, workspaces and
-/// prompt prefixes.
+/// A map whose keys no caller can choose: wire ids of upstreams, and hashes of hosts, workspaces
+/// and prompt prefixes.
 ///
 /// At 295 hosts some hundred thousand entries of digests are merged per second, and the standard
 /// hash is slower because it resists chosen keys. This hash, and not allocating a list of choices
--- a/crates/portfield/src/balance/placement.rs
+++ b/crates/portfield/src/balance/placement.rs
@@ -8,7 +8,7 @@
 /// An upstream that a request may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Number of the upstream.
+    /// Wire id of the upstream.
     pub upstream: u32,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
@@ -72,7 +72,7 @@
 /// The upstream chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Assignment {
-    /// Number of the upstream.
+    /// Wire id of the upstream.
     pub upstream: u32,
     /// Estimated time to the first event, or to the response of a plain service.
     pub estimate: Duration,
--- a/crates/portfield/src/balance/scoring.rs
+++ b/crates/portfield/src/balance/scoring.rs
@@ -71,11 +71,11 @@
 
     /// Returns an upstream's rank; the highest is chosen.
     pub(super) fn rank(self, upstream: u32) -> u64 {
-        let number = match self {
+        let seed = match self {
             Self::SharedPart(it) => u64::from(it),
             Self::Random(it) => it,
         };
-        xxh3_64_with_seed(&number.to_le_bytes(), u64::from(upstream))
+        xxh3_64_with_seed(&seed.to_le_bytes(), u64::from(upstream))
     }
 }
 
--- a/crates/portfield/src/balance/topology.rs
+++ b/crates/portfield/src/balance/topology.rs
@@ -147,8 +147,8 @@
     ///
     /// In a hierarchy every host hears its leader, so only the leader sends all of it.
     pub fn digest_scope(&self, sequence: u64) -> DigestScope {
-        let tells_all = !self.is_hierarchical() || self.is_leader();
-        if tells_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
+        let sends_all = !self.is_hierarchical() || self.is_leader();
+        if sends_all && sequence.is_multiple_of(FULL_DIGEST_EVERY) {
             return DigestScope::Full;
         }
         DigestScope::Changes
--- a/crates/portfield/src/balance/upstream_signals.rs
+++ b/crates/portfield/src/balance/upstream_signals.rs
@@ -52,8 +52,8 @@
     pub fn take_expired_backoffs(&mut self, now: Duration) -> Vec<u32> {
         let expired = self
             .upstreams
-            .iter_numbered_mut()
-            .filter_map(|(number, it)| it.backoff.take_expired(now).then_some(number));
+            .iter_with_ids_mut()
+            .filter_map(|(id, it)| it.backoff.take_expired(now).then_some(id));
         expired.collect()
     }
 
--- a/crates/portfield/src/balance/upstream_table.rs
+++ b/crates/portfield/src/balance/upstream_table.rs
@@ -129,9 +129,9 @@
         self.upstreams.values()
     }
 
-    /// Iterates over all upstreams and their numbers, mutably.
-    pub(crate) fn iter_numbered_mut(&mut self) -> impl Iterator<Item = (u32, &mut UpstreamState)> {
-        self.upstreams.iter_mut().map(|(number, it)| (*number, it))
+    /// Iterates over all upstreams and their wire ids, mutably.
+    pub(crate) fn iter_with_ids_mut(&mut self) -> impl Iterator<Item = (u32, &mut UpstreamState)> {
+        self.upstreams.iter_mut().map(|(id, it)| (*id, it))
     }
 
     /// Returns the state of a known upstream.
