--- a/crates/portfield/src/balance/balancer.rs
+++ b/crates/portfield/src/balance/balancer.rs
@@ -17,7 +17,7 @@
 };
 use crate::wire;
 
-/// Number of a request sent to an upstream, unique on this host.
+/// Id of a request sent to an upstream, unique on this host.
 pub type RunId = u64;
 
 /// Shortest and longest time after which a refused caller is told to retry.
--- a/crates/portfield/src/balance/load_shedder.rs
+++ b/crates/portfield/src/balance/load_shedder.rs
@@ -84,7 +84,7 @@
 /// How a request was answered, as far as it concerns load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// Answered in any other way.
+    /// Answered in any way other than [`Self::Refused`].
     Served,
     /// Refused because this host is overloaded.
     Refused,
@@ -182,8 +182,8 @@
         overload
     }
 
-    /// Returns why a request is refused whose workspace recently offered that much work, in
-    /// messages.
+    /// Returns why a request is refused, or `None` to admit it; `offered` is the work that its
+    /// workspace recently offered, in messages.
     fn check_share(&self, now: Duration, offered: f64, random: f64) -> Option<Overload> {
         let shed_ratio = (self.lateness - SHED_RANGE.0) / (SHED_RANGE.1 - SHED_RANGE.0);
         if shed_ratio <= 0.0 {
--- a/crates/portfield/src/balance/peer_table.rs
+++ b/crates/portfield/src/balance/peer_table.rs
@@ -16,8 +16,8 @@
 /// Time without a summary from another data centre's leader after which this host's summaries go to
 /// a random host there: about four periods at 60 hosts per data centre.
 const LEADER_SILENT_AFTER: Duration = Duration::from_millis(500);
-/// Time without a summary after which the hosts that a leader stands for no longer count; the same
-/// as for a single host.
+/// Time without a summary after which the hosts that it covered no longer count; the same as for a
+/// single host.
 const LEADER_DEAD_AFTER: Duration = Duration::from_secs(10);
 
 /// Time without a digest from any host of a data centre after which it counts as unreachable: too
--- a/crates/portfield/src/balance/store_watchers.rs
+++ b/crates/portfield/src/balance/store_watchers.rs
@@ -4,8 +4,8 @@
 
 use super::{fast_map::FastMap, peer_state::PEER_TIMEOUT};
 
-/// Up to this many hosts, every host watches the store: the calls saved would be worth less than a
-/// hundredth of the revenue, and each host learns of changes by itself.
+/// Up to this many hosts, every host watches the store: the calls that fewer watchers would save
+/// cost less than a hundredth of the fleet's revenue, and each host learns of changes by itself.
 const ALL_WATCH_LIMIT: usize = 12;
 /// Hosts per data centre that watch the store in a larger fleet.
 const WATCHERS_PER_CENTRE: usize = 2;
@@ -48,7 +48,7 @@
     /// processed within `contact`.
     ///
     /// With 4 s, calls are held for 2.2 s instead of 1.2 s, so an unchanged store gets half as
-    /// many.
+    /// many calls.
     pub fn new(contact: Duration) -> Self {
         let hold = contact
             .saturating_sub(STORE_CALL_TIMEOUT + PROPAGATION)
--- a/crates/portfield/src/balance/warmup.rs
+++ b/crates/portfield/src/balance/warmup.rs
@@ -5,11 +5,11 @@
 //! all hosts together; 64 hosts send it 9 per second each on average, and learn of each other's
 //! requests 50 to 260 ms late, or not at all across a network partition.
 //!
-//! So hosts do not count together. A few hosts of the upstream's data centre, chosen by rendezvous
+//! So hosts do not keep a common count. A few hosts of the upstream's data centre, chosen by rendezvous
 //! hash from the known ones, dead or alive, may each send an equal part; all others send nothing. A
 //! partition between data centres does not change that, and a chosen host that dies takes only its
 //! own part with it. The limit is divided by one more than the number of chosen hosts, because
-//! hosts with different membership views differ by one choice.
+//! hosts that know of different members may together choose one host more.
 
 use std::{collections::VecDeque, time::Duration};
 
