--- a/crates/portfield/src/catalog/directory.rs
+++ b/crates/portfield/src/catalog/directory.rs
@@ -335,8 +335,8 @@
                     ..entry.clone()
                 }
         };
-        // Hosts pass on a change of the cold time only; it is not reported as a change of the
-        // upstream.
+        // A change of the cold time alone is passed on to other hosts, but is not reported as a
+        // change of the upstream.
         let is_news = !self.entries.get(&id).is_some_and(differs_only_in_cold);
         let upstream = Arc::new(Upstream { hash: incarnation_hash(&entry), entry });
         let entry =
--- a/crates/portfield/src/catalog/draining.rs
+++ b/crates/portfield/src/catalog/draining.rs
@@ -9,8 +9,8 @@
 
 use crate::digest_scope::{DIGESTS_PER_UPDATE, DigestScope};
 
-/// Upstreams remembered, beyond which the oldest mark is dropped. In a release all upstreams of a
-/// fleet may leave, several hundred.
+/// Upstreams remembered; beyond that the oldest mark is dropped. During a release all upstreams of a
+/// fleet, several hundred, may leave.
 const MAX_MARKS: usize = 1024;
 /// Upstreams named in one digest.
 const MAX_PER_DIGEST: usize = 64;
--- a/crates/portfield/src/catalog/evacuation.rs
+++ b/crates/portfield/src/catalog/evacuation.rs
@@ -10,7 +10,7 @@
 /// Time for which an evacuation is kept that is missing from a store restored from a backup.
 ///
 /// The operator writes lost rows again within a few seconds, and the evacuation stays active until
-/// then. If the row that lifted it was lost, it ends after this time at the latest.
+/// then. One that was lifted by a change that the store lost ends after this time at the latest.
 pub const EVACUATION_GRACE: Duration = Duration::from_secs(5);
 
 /// Lifted evacuations remembered in case the store is restored from a backup; an operator orders a
