--- a/crates/portfield/src/quarantine/registry.rs
+++ b/crates/portfield/src/quarantine/registry.rs
@@ -159,10 +159,10 @@
     pub fn suspects_for_digest(
         &mut self,
         now: Duration,
-        audience: &GossipTopology,
+        topology: &GossipTopology,
         sequence: u64,
     ) -> Vec<wire::Suspect> {
-        let scope = match audience.digest_scope(sequence) {
+        let scope = match topology.digest_scope(sequence) {
             DigestScope::Changes => Scope::Local,
             DigestScope::Full => Scope::Full,
         };
@@ -204,8 +204,8 @@
             .collect();
         if MAX_PER_DIGEST < suspects.len() {
             // Suspects sent least often go first, of these the ones with most crashes; the others
-            // rotate. Without the rotation, one of 300 suspects that became known together was not
-            // sent for three seconds.
+            // rotate. When all changed suspects ranked alike, however often they had been sent, one
+            // of 300 that became known together was not sent for three seconds.
             self.rotation = (self.rotation + MAX_PER_DIGEST) % suspects.len();
             suspects.rotate_left(self.rotation);
             suspects.sort_by_key(|it| Reverse((it.1.n_sends_left(scope), it.1.n_crashes())));
@@ -225,9 +225,9 @@
         f: impl FnOnce(&mut CrashHistory),
     ) -> Option<QuarantineEntry> {
         let history = self.history_mut(now, request);
-        let was_refused = history.remaining(now).is_some();
+        let was_quarantined = history.remaining(now).is_some();
         f(history);
-        entry(request, history, now).filter(|_| !was_refused)
+        entry(request, history, now).filter(|_| !was_quarantined)
     }
 
     /// Attributes the crashes of those of `requests` that are over the threshold to them, and
