--- a/crates/portfield/src/lib.rs
+++ b/crates/portfield/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`balance`]: load balancing, decided by each host on digests that the hosts exchange
 //! - [`quarantine`]: requests that crash the upstreams that run them
 //! - [`digest_scope`]: incremental and full digests
-//! - [`suspend`]: detection of suspended hosts, whose cached state may be stale
+//! - [`suspend`]: detection that this process was suspended, which makes its cached state stale
 //! - [`fleet`]: the operators' configuration, its plans and its revisions
 //! - [`member`]: membership, and which host owns a shard
 //! - [`schedule`]: queues, fair order and slots of the shards that a host owns
--- a/crates/portfield/src/suspend.rs
+++ b/crates/portfield/src/suspend.rs
@@ -1,12 +1,12 @@
-//! Detects that a host was suspended, and whether its cached state may be used afterwards.
+//! Detects that this process was suspended, and whether its cached state may be used afterwards.
 //!
-//! A machine may be suspended, or a process stopped, for seconds while the fleet goes on: keys are
-//! revoked, upstreams leave or restart, configurations change. The cached state is then as old as
-//! the suspension was long, and messages left in the socket buffers describe the time before it.
+//! The process may be stopped, or its machine suspended, for seconds while the fleet goes on: keys
+//! are revoked, upstreams leave or restart, configurations change. The cached state is then as old
+//! as the suspension was long, and messages left in the socket buffers describe the time before it.
 
 use std::time::Duration;
 
-/// Time between two ticks from which the host counts as suspended.
+/// Time between two ticks from which the process counts as suspended.
 ///
 /// Cached state must reflect a change within two seconds, and may have been half a second old
 /// before the suspension. A host short of CPU time ticks a few tenths of a second late.
@@ -24,7 +24,7 @@
     Upstreams,
 }
 
-/// Detects suspensions of the host, and tracks which cached state was confirmed since.
+/// Detects suspensions of the process, and tracks which cached state was confirmed since.
 ///
 /// # Examples
 ///
