--- a/crates/portfield/tests/balance.rs
+++ b/crates/portfield/tests/balance.rs
@@ -340,8 +340,8 @@
     assert_eq!((other.asked, other.taken), (40.0 * 10_700.0, 40.0 * 10_700.0));
 }
 
-/// A workspace whose engine was full got under half of what the best served one got, which found
-/// its own engines idle.
+/// A workspace whose prefix is cached at an engine that was full got under half of what the best
+/// served workspace got, whose own engines were idle.
 #[test]
 fn a_starved_workspace_may_use_an_engine_without_its_prefix() {
     let mut it = Balancer::new(WINDOW);
--- a/crates/portfield/tests/digest.rs
+++ b/crates/portfield/tests/digest.rs
@@ -306,7 +306,7 @@
 /// workspace that had used its share seemed to have used many times as much, and got idle engines
 /// only for four seconds.
 ///
-/// Cause: a total has no time, and the host already knew that usage from other digests. The usage
+/// Cause: a total does not show when it grew, and the host already knew that usage from other digests. The usage
 /// attributed to two workspaces rose from 1.0 to 4.6 and from 2.4 to 8.8 million tokens within half
 /// a second, by their usage since the start of the fleet; in the six seconds around it they got
 /// 0.40 and 0.38 of what they were entitled to, refused by share. All 28 such rises of one day came
--- a/crates/portfield/tests/engine_simulation/mod.rs
+++ b/crates/portfield/tests/engine_simulation/mod.rs
@@ -102,7 +102,7 @@
 
 /// Returns the lowest ratio, over all spans of `n_seconds`, of the tokens that a workspace got to
 /// those that it was entitled to: in each second the lesser of what it asked for and what the best
-/// served workspace got. Users call less than a half unfair.
+/// served workspace got. Users call a ratio below 0.5 unfair.
 pub fn min_fairness(tokens: &HashMap<u32, Vec<Tokens>>, workspace: u32, n_seconds: usize) -> f64 {
     let own = &tokens[&workspace];
     let ratio = |from: usize| {
--- a/crates/portfield/tests/flood.rs
+++ b/crates/portfield/tests/flood.rs
@@ -53,7 +53,7 @@
     for seed in 1..=3 {
         let rate = 600.0;
         let Outcomes { served, .. } = simulate(Workload { rate, n_hosts: 60, seconds: 10 }, seed);
-        // Less than half of the load counts as unfair to users.
+        // Users call it unfair to be served less than half of what they ask for.
         let least = served[6..].iter().min().expect("four seconds");
         assert!(rate / 2.0 <= f64::from(*least), "seed {seed}: {served:?}");
     }
--- a/crates/portfield/tests/quarantine.rs
+++ b/crates/portfield/tests/quarantine.rs
@@ -23,20 +23,20 @@
     RequestKey { workspace: 7, fingerprint }
 }
 
-/// Audience of a host in a small fleet.
-fn audience() -> GossipTopology {
+/// Topology of a host in a small fleet.
+fn topology() -> GossipTopology {
     let place = GossipConfig { host: 1, data_centre: 1, direct_limit: 12 };
     GossipTopology::new(Duration::ZERO, place, &[], 0)
 }
 
 /// Returns the suspects in the next digest of a host.
 fn own_suspects(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
-    it.suspects_for_digest(now, &audience(), 1)
+    it.suspects_for_digest(now, &topology(), 1)
 }
 
 /// Returns the suspects in a full digest of a host.
 fn all_suspects(it: &mut Quarantine, now: Duration) -> Vec<Suspect> {
-    it.suspects_for_digest(now, &audience(), 8)
+    it.suspects_for_digest(now, &topology(), 8)
 }
 
 /// Records `n` crashes of a request at upstreams numbered from `first`; returns the last new entry.
--- a/crates/portfield/tests/suspend.rs
+++ b/crates/portfield/tests/suspend.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(n)
 }
 
-/// A host that ticks every 25 ms and is then suspended until `at`.
+/// A detector that ticks every 25 ms until its process is suspended; the process resumes at `at`.
 fn resumed(at: Duration) -> SuspendDetector {
     let mut res = SuspendDetector::default();
     (0..40).for_each(|n| assert_eq!(res.tick(ms(n * 25)), None));
