--- a/crates/portfield-router/src/admin.rs
+++ b/crates/portfield-router/src/admin.rs
@@ -9,7 +9,7 @@
 use crate::app::App;
 
 /// Handles a request to the admin endpoint.
-pub(crate) fn answer(app: &App, request: &Request) -> Response {
+pub(crate) fn handle(app: &App, request: &Request) -> Response {
     match request.url().path() {
         "/ready" => {
             let status = if app.is_ready() { 200 } else { 503 };
--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -34,22 +34,22 @@
     let drain = settings.drain;
     let app = App::new(rt.clone(), settings, address);
     log::info!(address:% = address, admin:% = admin_address; "started");
-    let state = app.clone();
+    let admin_app = app.clone();
     rt.spawn(http1::serve(
         rt.clone(),
         admin,
-        http1::sync_handler(move |it| admin::answer(&state, it)),
+        http1::sync_handler(move |it| admin::handle(&admin_app, it)),
     ));
     rt.spawn(app.clone().run_timers());
     rt.spawn(app.clone().report_metrics());
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.spawn_cancellable(server::serve(app.clone(), listener, stopped));
+    let server = rt.spawn_cancellable(server::serve(app.clone(), listener, stopped));
     daemon::shutdown_signal().await?;
     log::info!("draining");
     app.drain();
     clock::sleep(drain).await;
     drop(stop);
-    front.await;
+    server.await;
     app.flush().await;
     log::info!("stopped");
     Ok(())
--- a/crates/portfield-scheduler/src/admin.rs
+++ b/crates/portfield-scheduler/src/admin.rs
@@ -5,27 +5,27 @@
 use portfield_net::{http1::json_response, rpc};
 use serde_json::{Value, json};
 
-use crate::shell::Shell;
+use crate::app::App;
 
 /// Answers a request of the admin port.
-pub(crate) fn answer(shell: &Shell, request: &Request) -> Response {
+pub(crate) fn handle(app: &App, request: &Request) -> Response {
     match request.url().path() {
-        "/ready" => ready(shell),
-        "/status" => json_response(200, &shell.read(|it| status(it))),
-        "/decisions" => decisions(shell, request),
+        "/ready" => ready(app),
+        "/status" => json_response(200, &app.read(|it| status(it))),
+        "/decisions" => decisions(app, request),
         _ => json_response(404, &json!({ "error": "try /ready, /status or /decisions" })),
     }
 }
 
-fn ready(shell: &Shell) -> Response {
-    let revision = shell.read(|it| it.fleet().revision);
+fn ready(app: &App) -> Response {
+    let revision = app.read(|it| it.fleet().revision);
     let status = if 0 < revision { 200 } else { 503 };
     json_response(status, &json!({ "revision": revision }))
 }
 
-fn status(core: &Scheduler) -> Value {
+fn status(scheduler: &Scheduler) -> Value {
     let (sent, received) = rpc::control_traffic();
-    let members: Vec<_> = core
+    let members: Vec<_> = scheduler
         .view()
         .iter()
         .map(|(host, it)| {
@@ -38,7 +38,7 @@
             json!({ "host": host, "data_centre": it.data_centre, "state": state })
         })
         .collect();
-    let shards: Vec<_> = core
+    let shards: Vec<_> = scheduler
         .status()
         .iter()
         .map(|it| {
@@ -57,8 +57,8 @@
         })
         .collect();
     json!({
-        "host": core.view().local_host(),
-        "revision": core.fleet().revision,
+        "host": scheduler.view().local_host(),
+        "revision": scheduler.fleet().revision,
         "control_sent": sent,
         "control_received": received,
         "members": members,
@@ -66,7 +66,7 @@
     })
 }
 
-fn decisions(shell: &Shell, request: &Request) -> Response {
+fn decisions(app: &App, request: &Request) -> Response {
     let query = |key: &str| {
         let pairs = request.url().query_pairs();
         pairs.into_iter().find(|(name, _)| name == key).map(|(_, value)| value.into_owned())
@@ -76,7 +76,7 @@
     let (Some(host), Some(ticket)) = (host, ticket) else {
         return json_response(400, &json!({ "error": "give host and ticket" }));
     };
-    let all: Vec<_> = shell.read(|it| {
+    let all: Vec<_> = app.read(|it| {
         let all = it.decisions(host, ticket);
         all.iter()
             .map(|it| json!({ "at_ms": it.at.as_millis(), "text": it.step.to_string() }))
--- a/crates/portfield-scheduler/src/shell.rs
+++ b/crates/portfield-scheduler/src/app.rs
@@ -31,7 +31,7 @@
 
 /// Why a call to a scheduler got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Failure {
+enum CallError {
     /// Nothing listens at its address.
     Refused,
     /// It may have arrived or not.
@@ -46,8 +46,8 @@
 }
 
 #[derive(Debug)]
-struct State {
-    core: Scheduler,
+struct Inner {
+    scheduler: Scheduler,
     sessions: HashMap<HostId, Session>,
     channels: HashMap<SocketAddr, Channel>,
     n_sessions: u64,
@@ -55,33 +55,32 @@
 
 /// One scheduler process.
 #[derive(Debug)]
-pub(crate) struct Shell {
+pub(crate) struct App {
     pub rt: Runtime,
     pub links: Connector,
     pub metrics: Metrics,
     wake: (Sender<()>, Receiver<()>),
-    state: Mutex<State>,
+    inner: Mutex<Inner>,
 }
 
-impl Shell {
+impl App {
     /// Builds the state; `address` is the one it is bound to.
     pub(crate) fn new(rt: Runtime, settings: &Settings, address: SocketAddr) -> Arc<Self> {
-        let me = HostListEntry {
+        let entry = HostListEntry {
             host: address.ip(),
             address,
             data_centre: settings.data_centre.clone(),
             leaving: false,
         };
         let owner = schedule::OwnerConfig::default();
-        let core =
-            schedule::SchedulerConfig { entry: me, incarnation: clock::unix_millis(), owner };
+        let config = schedule::SchedulerConfig { entry, incarnation: clock::unix_millis(), owner };
         Arc::new(Self {
             rt,
             links: settings.links.clone(),
             metrics: Metrics::new("portfield.scheduler", settings.statsd),
             wake: async_channel::bounded(1),
-            state: Mutex::new(State {
-                core: Scheduler::new(core),
+            inner: Mutex::new(Inner {
+                scheduler: Scheduler::new(config),
                 sessions: HashMap::new(),
                 channels: HashMap::new(),
                 n_sessions: 0,
@@ -90,86 +89,95 @@
     }
 
     /// Hands an event to the decision state and carries out what it asks for.
-    pub(crate) fn feed(self: &Arc<Self>, event: Event) {
-        let mut state = self.lock();
-        let actions = state.core.handle(clock::now(), event);
+    pub(crate) fn handle_event(self: &Arc<Self>, event: Event) {
+        let mut inner = self.lock();
+        let actions = inner.scheduler.handle(clock::now(), event);
         for action in actions {
-            self.act(&mut state, action);
+            self.perform(&mut inner, action);
         }
-        drop(state);
+        drop(inner);
         let _ = self.wake.0.try_send(());
     }
 
     /// Reads the decision state.
     pub(crate) fn read<T>(&self, f: impl FnOnce(&mut Scheduler) -> T) -> T {
-        f(&mut self.lock().core)
+        f(&mut self.lock().scheduler)
     }
 
     /// Opens a router's session and returns its number.
-    pub(crate) fn open(self: &Arc<Self>, host: HostId, sender: Sender<wire::OwnerFrame>) -> u64 {
-        let mut state = self.lock();
-        state.n_sessions += 1;
-        let number = state.n_sessions;
-        state.sessions.insert(host, Session { number, sender });
-        drop(state);
+    pub(crate) fn open_session(
+        self: &Arc<Self>,
+        host: HostId,
+        sender: Sender<wire::OwnerFrame>,
+    ) -> u64 {
+        let mut inner = self.lock();
+        inner.n_sessions += 1;
+        let number = inner.n_sessions;
+        inner.sessions.insert(host, Session { number, sender });
+        drop(inner);
         log::info!(host:% = host, session = number; "router up");
-        self.feed(Event::RouterConnected(host));
+        self.handle_event(Event::RouterConnected(host));
         number
     }
 
     /// Takes in a router's frame, if it comes by the newest session.
-    pub(crate) fn hear(self: &Arc<Self>, host: HostId, number: u64, frame: wire::RouterFrame) {
+    pub(crate) fn handle_frame(
+        self: &Arc<Self>,
+        host: HostId,
+        number: u64,
+        frame: wire::RouterFrame,
+    ) {
         if self.is_current(host, number) {
-            self.feed(Event::RouterFrame(host, frame));
+            self.handle_event(Event::RouterFrame(host, frame));
         }
     }
 
     /// Ends a router's session.
-    pub(crate) fn close(self: &Arc<Self>, host: HostId, number: u64) {
+    pub(crate) fn close_session(self: &Arc<Self>, host: HostId, number: u64) {
         if !self.is_current(host, number) {
             return;
         }
         self.lock().sessions.remove(&host);
         log::info!(host:% = host, session = number; "router down");
-        self.feed(Event::RouterDisconnected(host));
+        self.handle_event(Event::RouterDisconnected(host));
     }
 
     /// Ticks whenever something is due.
-    pub(crate) async fn keep_time(self: Arc<Self>) {
+    pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
-            let next = self.lock().core.next_tick();
+            let next = self.lock().scheduler.next_tick();
             let pause = next.saturating_sub(clock::now()).clamp(MIN_SLEEP, MAX_SLEEP);
             clock::timeout(pause, self.wake.1.recv()).await;
-            let due = self.lock().core.next_tick() <= clock::now();
+            let due = self.lock().scheduler.next_tick() <= clock::now();
             if due {
-                self.feed(Event::Tick);
+                self.handle_event(Event::Tick);
             }
         }
     }
 
     /// Asks another scheduler for its configuration.
-    pub(crate) async fn fetch(self: Arc<Self>, address: SocketAddr) {
+    pub(crate) async fn fetch_config(self: Arc<Self>, address: SocketAddr) {
         let above = self.read(|it| it.fleet().revision);
-        let Ok(channel) = self.channel(address).await else { return };
+        let Ok(channel) = self.connect(address).await else { return };
         let call = async { channel.scheduler().fetch(wire::FetchRequest { above }).await };
         let Some(Ok(reply)) = clock::timeout(PEER_TIMEOUT, call).await else { return };
         if let Ok(fleet) = serde_json::from_str::<Fleet>(&reply.into_inner().fleet) {
-            self.adopt(fleet);
+            self.update_fleet(fleet);
         }
     }
 
     /// Offers a configuration to the decision state.
-    pub(crate) fn adopt(self: &Arc<Self>, fleet: Fleet) {
+    pub(crate) fn update_fleet(self: &Arc<Self>, fleet: Fleet) {
         let old = self.read(|it| it.fleet().revision);
         let revision = fleet.revision;
-        self.feed(Event::Config(fleet));
+        self.handle_event(Event::Config(fleet));
         if old < revision {
             log::info!(revision, old; "configuration in force");
         }
     }
 
     /// Probes a host in another host's place.
-    pub(crate) async fn probe_for(self: &Arc<Self>, target: HostId) -> bool {
+    pub(crate) async fn probe_target(self: &Arc<Self>, target: HostId) -> bool {
         let request = self.read(|it| wire::ProbeRequest {
             from: it.view().local_host().to_string(),
             revision: it.fleet().revision,
@@ -177,7 +185,7 @@
         });
         let address = self.read(|it| it.view().get(target).map(|it| it.address));
         let Some(address) = address else { return false };
-        self.ask(address, request).await.is_ok()
+        self.send_probe(address, request).await.is_ok()
     }
 
     /// Sends a probe to an address that no host is known for yet.
@@ -186,78 +194,80 @@
             from: it.view().local_host().to_string(),
             ..Default::default()
         });
-        if let Ok(reply) = self.ask(address, request).await {
-            self.feed(Event::ProbeReply(address.ip(), reply));
+        if let Ok(reply) = self.send_probe(address, request).await {
+            self.handle_event(Event::ProbeReply(address.ip(), reply));
         }
     }
 
-    fn act(self: &Arc<Self>, state: &mut State, action: Action) {
+    fn perform(self: &Arc<Self>, inner: &mut Inner, action: Action) {
         match action {
             Action::SendToRouter(host, frame) => {
-                if let Some(it) = state.sessions.get(&host) {
+                if let Some(it) = inner.sessions.get(&host) {
                     let _ = it.sender.try_send(frame);
                 }
             }
             Action::SendToPeer(address, frame) => {
-                let shell = self.clone();
-                self.rt.spawn(async move { shell.send_peer(address, frame).await });
+                let app = self.clone();
+                self.rt.spawn(async move { app.send_to_peer(address, frame).await });
             }
             Action::SendProbe(address, host, request) => {
-                let shell = self.clone();
+                let app = self.clone();
                 self.rt.spawn(async move {
                     let is_direct = request.target.is_empty();
-                    match shell.ask(address, request).await {
-                        Ok(reply) => shell.feed(Event::ProbeReply(host, reply)),
-                        Err(Failure::Refused) if is_direct => shell.feed(Event::ProbeRefused(host)),
+                    match app.send_probe(address, request).await {
+                        Ok(reply) => app.handle_event(Event::ProbeReply(host, reply)),
+                        Err(CallError::Refused) if is_direct => {
+                            app.handle_event(Event::ProbeRefused(host));
+                        }
                         Err(_) => (),
                     }
                 });
             }
-            Action::FetchConfig(address) => self.rt.spawn(self.clone().fetch(address)),
+            Action::FetchConfig(address) => self.rt.spawn(self.clone().fetch_config(address)),
         }
     }
 
-    async fn send_peer(self: Arc<Self>, address: SocketAddr, frame: wire::PeerFrame) {
+    async fn send_to_peer(self: Arc<Self>, address: SocketAddr, frame: wire::PeerFrame) {
         let sent = frame.clone();
         let call = async {
-            let channel = self.channel(address).await.ok()?;
+            let channel = self.connect(address).await.ok()?;
             channel.scheduler().exchange(sent).await.ok()
         };
         let res = clock::timeout(PEER_TIMEOUT, call).await.flatten();
-        self.feed(Event::PeerReply(frame, res.map(tonic::Response::into_inner)));
+        self.handle_event(Event::PeerReply(frame, res.map(tonic::Response::into_inner)));
     }
 
-    async fn ask(
+    async fn send_probe(
         self: &Arc<Self>,
         address: SocketAddr,
         request: wire::ProbeRequest,
-    ) -> Result<wire::ProbeReply, Failure> {
+    ) -> Result<wire::ProbeReply, CallError> {
         let is_indirect = !request.target.is_empty();
-        let time = if is_indirect { PROBE_TIMEOUT * 2 } else { PROBE_TIMEOUT };
+        let timeout = if is_indirect { PROBE_TIMEOUT * 2 } else { PROBE_TIMEOUT };
         let call = async {
-            let channel = self.channel(address).await?;
+            let channel = self.connect(address).await?;
             let reply = channel.scheduler().probe(request).await;
-            reply.map(tonic::Response::into_inner).map_err(|_| Failure::Lost)
+            reply.map(tonic::Response::into_inner).map_err(|_| CallError::Lost)
         };
-        clock::timeout(time, call).await.unwrap_or(Err(Failure::Lost))
+        clock::timeout(timeout, call).await.unwrap_or(Err(CallError::Lost))
     }
 
     /// Returns a connection to a scheduler, the one that is open if there is one.
-    async fn channel(self: &Arc<Self>, address: SocketAddr) -> Result<Channel, Failure> {
-        let old = self.lock().channels.get(&address).cloned();
-        if let Some(it) = old.filter(|it| !it.is_closed()) {
+    async fn connect(self: &Arc<Self>, address: SocketAddr) -> Result<Channel, CallError> {
+        let existing = self.lock().channels.get(&address).cloned();
+        if let Some(it) = existing.filter(|it| !it.is_closed()) {
             return Ok(it);
         }
         let data_centre = self.read(|it| {
             let found = it.view().iter().find(|(_, info)| info.address == address);
             found.map(|(_, info)| info.data_centre.clone()).unwrap_or_default()
         });
-        let failure = |err: io::Error| match err.kind() {
-            io::ErrorKind::ConnectionRefused => Failure::Refused,
-            _ => Failure::Lost,
+        let to_call_error = |err: io::Error| match err.kind() {
+            io::ErrorKind::ConnectionRefused => CallError::Refused,
+            _ => CallError::Lost,
         };
-        let stream = self.links.connect(&data_centre, address).await.map_err(failure)?;
-        let channel = Channel::open(&self.rt, stream).await.map_err(|_| Failure::Lost)?;
+        let stream = self.links.connect(&data_centre, address).await.map_err(to_call_error)?;
+        let channel = Channel::open(&self.rt, stream).await.map_err(|_| CallError::Lost)?;
         self.lock().channels.insert(address, channel.clone());
         Ok(channel)
     }
@@ -266,7 +276,7 @@
         self.lock().sessions.get(&host).is_some_and(|it| it.number == number)
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/portfield-scheduler/src/grpc.rs
+++ b/crates/portfield-scheduler/src/grpc.rs
@@ -6,41 +6,41 @@
 use portfield::{schedule::Event, wire, wire::scheduler_server};
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::shell::Shell;
+use crate::app::App;
 
 /// Answers calls out of the shell's state.
 #[derive(Debug, Clone)]
-pub(crate) struct Server {
-    shell: Arc<Shell>,
+pub(crate) struct GrpcServer {
+    app: Arc<App>,
 }
 
-impl Server {
-    pub(crate) fn new(shell: Arc<Shell>) -> Self {
-        Self { shell }
+impl GrpcServer {
+    pub(crate) fn new(app: Arc<App>) -> Self {
+        Self { app }
     }
 }
 
-type Frames = Pin<Box<dyn Stream<Item = Result<wire::OwnerFrame, Status>> + Send>>;
+type FrameStream = Pin<Box<dyn Stream<Item = Result<wire::OwnerFrame, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl scheduler_server::Scheduler for Server {
-    type SessionStream = Frames;
+impl scheduler_server::Scheduler for GrpcServer {
+    type SessionStream = FrameStream;
 
     async fn session(
         &self,
         request: Request<Streaming<wire::RouterFrame>>,
-    ) -> Result<Response<Frames>, Status> {
+    ) -> Result<Response<FrameStream>, Status> {
         let mut frames = request.into_inner();
         let first = frames.message().await?.ok_or(Status::invalid_argument("no first frame"))?;
         let host = first.host.parse().map_err(|_| Status::invalid_argument("host"))?;
         let (sender, receiver) = async_channel::unbounded();
-        let shell = self.shell.clone();
-        let number = shell.open(host, sender);
-        self.shell.rt.spawn(async move {
+        let app = self.app.clone();
+        let number = app.open_session(host, sender);
+        self.app.rt.spawn(async move {
             while let Ok(Some(frame)) = frames.message().await {
-                shell.hear(host, number, frame);
+                app.handle_frame(host, number, frame);
             }
-            shell.close(host, number);
+            app.close_session(host, number);
         });
         Ok(Response::new(Box::pin(receiver.map(Ok))))
     }
@@ -52,10 +52,10 @@
         let request = request.into_inner();
         let mut alive = true;
         if let Ok(target) = request.target.parse() {
-            alive = self.shell.probe_for(target).await;
+            alive = self.app.probe_target(target).await;
         }
-        self.shell.feed(Event::ProbeRequest(request.clone()));
-        let reply = self.shell.read(|it| it.probe_reply(&request));
+        self.app.handle_event(Event::ProbeRequest(request.clone()));
+        let reply = self.app.read(|it| it.probe_reply(&request));
         Ok(Response::new(wire::ProbeReply { alive, ..reply }))
     }
 
@@ -64,8 +64,8 @@
         request: Request<wire::PeerFrame>,
     ) -> Result<Response<wire::PeerReply>, Status> {
         let frame = request.into_inner();
-        let reply = self.shell.read(|it| it.peer_reply(&frame));
-        self.shell.feed(Event::PeerFrame(frame));
+        let reply = self.app.read(|it| it.peer_reply(&frame));
+        self.app.handle_event(Event::PeerFrame(frame));
         Ok(Response::new(reply))
     }
 
@@ -73,7 +73,7 @@
         &self,
         request: Request<wire::FetchRequest>,
     ) -> Result<Response<wire::FetchReply>, Status> {
-        let fleet = self.shell.read(|it| it.fleet().clone());
+        let fleet = self.app.read(|it| it.fleet().clone());
         let mut res = wire::FetchReply { revision: fleet.revision, ..Default::default() };
         if request.into_inner().above < fleet.revision {
             res.fleet =
--- a/crates/portfield-scheduler/src/main.rs
+++ b/crates/portfield-scheduler/src/main.rs
@@ -1,9 +1,9 @@
 //! `portfield-scheduler`: owns shards of upstream capacity and grants it in fair order.
 
 mod admin;
+mod app;
 mod grpc;
 mod settings;
-mod shell;
 mod watch;
 
 use std::time::Duration;
@@ -14,10 +14,10 @@
     clock, daemon, http1, rpc, rt::Runtime, wire::scheduler_server::SchedulerServer,
 };
 
-use crate::{settings::Settings, shell::Shell};
+use crate::{app::App, settings::Settings};
 
 /// Time in which the members and routers learn of a hand-over before the process ends.
-const HAND_OVER: Duration = Duration::from_millis(1500);
+const HANDOVER_TIME: Duration = Duration::from_millis(1500);
 /// Threads beside the main one.
 const N_THREADS: usize = 0;
 
@@ -28,25 +28,25 @@
 async fn run(rt: Runtime, settings: Settings) -> eyre::Result<()> {
     let (listener, address) = http1::bind(settings.listen).await.wrap_err("listen")?;
     let (admin, admin_address) = http1::bind(settings.admin).await.wrap_err("admin")?;
-    let shell = Shell::new(rt.clone(), &settings, address);
+    let app = App::new(rt.clone(), &settings, address);
     log::info!(address:% = address, admin:% = admin_address; "started");
     rt.spawn(rpc::serve(
         rt.clone(),
         listener,
-        SchedulerServer::new(grpc::Server::new(shell.clone())),
+        SchedulerServer::new(grpc::GrpcServer::new(app.clone())),
     ));
-    let state = shell.clone();
+    let admin_app = app.clone();
     rt.spawn(http1::serve(
         rt.clone(),
         admin,
-        http1::sync_handler(move |it| admin::answer(&state, it)),
+        http1::sync_handler(move |it| admin::handle(&admin_app, it)),
     ));
-    watch::start(&rt, &shell, &settings);
-    rt.spawn(shell.clone().keep_time());
+    watch::start(&rt, &app, &settings);
+    rt.spawn(app.clone().run_timers());
     daemon::shutdown_signal().await?;
     log::info!("handing over");
-    shell.feed(Event::Leave);
-    clock::sleep(HAND_OVER).await;
+    app.handle_event(Event::Leave);
+    clock::sleep(HANDOVER_TIME).await;
     log::info!("stopped");
     Ok(())
 }
--- a/crates/portfield-scheduler/src/watch.rs
+++ b/crates/portfield-scheduler/src/watch.rs
@@ -11,51 +11,51 @@
 };
 use serde::Deserialize;
 
-use crate::{settings::Settings, shell::Shell};
+use crate::{app::App, settings::Settings};
 
 /// Time in which the platform answers.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time in which an upstream reports its load.
-const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time between two sets of metrics.
 const METRICS_PERIOD: Duration = Duration::from_secs(5);
 
 /// What an upstream says of itself.
 #[derive(Debug, Deserialize)]
-struct Report {
+struct HealthReport {
     running: u32,
     #[serde(default)]
     leaving: bool,
 }
 
 /// Starts all watches.
-pub(crate) fn start(rt: &Runtime, shell: &Arc<Shell>, settings: &Settings) {
+pub(crate) fn start(rt: &Runtime, app: &Arc<App>, settings: &Settings) {
     let platform = PlatformClient::new(settings.platform, PLATFORM_TIMEOUT);
-    rt.spawn(watch_hosts(shell.clone(), platform.clone(), settings.list_period));
-    rt.spawn(watch_fleet(shell.clone(), platform, settings.config_period));
-    rt.spawn(watch_upstreams(shell.clone(), settings.report_period));
-    rt.spawn(send_metrics(shell.clone()));
-    rt.spawn(join(shell.clone(), settings.seeds.clone()));
+    rt.spawn(watch_hosts(app.clone(), platform.clone(), settings.list_period));
+    rt.spawn(watch_fleet(app.clone(), platform, settings.config_period));
+    rt.spawn(watch_upstreams(app.clone(), settings.report_period));
+    rt.spawn(report_metrics(app.clone()));
+    rt.spawn(join_members(app.clone(), settings.seeds.clone()));
 }
 
-async fn watch_hosts(shell: Arc<Shell>, platform: PlatformClient, period: Duration) {
-    let mut tag = String::new();
+async fn watch_hosts(app: Arc<App>, platform: PlatformClient, period: Duration) {
+    let mut etag = String::new();
     loop {
-        if let Ok(Some((hosts, fresh))) = platform.read_hosts_if_changed(&tag).await {
-            tag = fresh;
+        if let Ok(Some((hosts, new_etag))) = platform.read_hosts_if_changed(&etag).await {
+            etag = new_etag;
             let entries = hosts.iter().map(|it| it.list_entry()).collect();
-            shell.feed(Event::HostList(entries));
+            app.handle_event(Event::HostList(entries));
         }
         clock::sleep(period).await;
     }
 }
 
-async fn watch_fleet(shell: Arc<Shell>, platform: PlatformClient, period: Duration) {
+async fn watch_fleet(app: Arc<App>, platform: PlatformClient, period: Duration) {
     loop {
-        let above = shell.read(|it| it.fleet().revision);
+        let above = app.read(|it| it.fleet().revision);
         match fleet_store::read_fleet(&platform, above).await {
-            Ok(Some(fleet)) => shell.adopt(fleet),
+            Ok(Some(fleet)) => app.update_fleet(fleet),
             Ok(None) => (),
             Err(err) => log::debug!(err:%; "platform"),
         }
@@ -63,44 +63,44 @@
     }
 }
 
-async fn watch_upstreams(shell: Arc<Shell>, period: Duration) {
+async fn watch_upstreams(app: Arc<App>, period: Duration) {
     loop {
-        for (id, address) in shell.read(|it| it.watched_upstreams()) {
-            shell.rt.spawn(report(shell.clone(), id, address));
+        for (id, address) in app.read(|it| it.watched_upstreams()) {
+            app.rt.spawn(poll_health(app.clone(), id, address));
         }
         clock::sleep(period).await;
     }
 }
 
-async fn report(shell: Arc<Shell>, id: UpstreamId, address: SocketAddr) {
-    let target = Client { timeout: REPORT_TIMEOUT, ..Client::direct(address) };
-    let health = match target.get::<Report>("/health").await {
+async fn poll_health(app: Arc<App>, id: UpstreamId, address: SocketAddr) {
+    let client = Client { timeout: HEALTH_TIMEOUT, ..Client::direct(address) };
+    let health = match client.get::<HealthReport>("/health").await {
         Ok(it) => Health::Up { running: it.running, leaving: it.leaving },
         Err(_) => Health::Down,
     };
-    shell.feed(Event::UpstreamHealth(id, health));
+    app.handle_event(Event::UpstreamHealth(id, health));
 }
 
-async fn send_metrics(shell: Arc<Shell>) {
+async fn report_metrics(app: Arc<App>) {
     loop {
         clock::sleep(METRICS_PERIOD).await;
-        let all = shell.read(|it| it.status());
+        let all = app.read(|it| it.status());
         let sum = |f: fn(&ShardStatus) -> u64| all.iter().map(f).sum();
-        shell.metrics.gauge("shards", all.len() as u64);
-        shell.metrics.gauge("slots", sum(|it| u64::from(it.slots)));
-        shell.metrics.gauge("slots_used", sum(|it| u64::from(it.used)));
+        app.metrics.gauge("shards", all.len() as u64);
+        app.metrics.gauge("slots", sum(|it| u64::from(it.slots)));
+        app.metrics.gauge("slots_used", sum(|it| u64::from(it.used)));
         let waiting = |it: &ShardStatus| it.backlog.iter().map(|it| u64::from(it.waiting)).sum();
-        shell.metrics.gauge("waiting", sum(waiting));
+        app.metrics.gauge("waiting", sum(waiting));
         let (sent, received) = rpc::control_traffic();
-        shell.metrics.gauge("control_bytes", sent + received);
+        app.metrics.gauge("control_bytes", sent + received);
     }
 }
 
 /// Asks the seeds for the members until some are known, in case the platform is down.
-async fn join(shell: Arc<Shell>, seeds: Vec<SocketAddr>) {
-    while !seeds.is_empty() && shell.read(|it| it.view().iter().count()) < 2 {
+async fn join_members(app: Arc<App>, seeds: Vec<SocketAddr>) {
+    while !seeds.is_empty() && app.read(|it| it.view().iter().count()) < 2 {
         for it in &seeds {
-            shell.probe_seed(*it).await;
+            app.probe_seed(*it).await;
         }
         clock::sleep(Duration::from_millis(500)).await;
     }
