--- a/crates/portfield-scheduler/src/admin.rs
+++ b/crates/portfield-scheduler/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port: readiness, status, decisions.
+//! Admin endpoint: readiness, status and decisions on tickets.
 
 use http_types::{Request, Response};
 use portfield::{member::MemberState, schedule::Scheduler};
@@ -7,7 +7,7 @@
 
 use crate::app::App;
 
-/// Answers a request of the admin port.
+/// Handles a request to the admin endpoint.
 pub(crate) fn handle(app: &App, request: &Request) -> Response {
     match request.url().path() {
         "/ready" => ready(app),
--- a/crates/portfield-scheduler/src/app.rs
+++ b/crates/portfield-scheduler/src/app.rs
@@ -1,4 +1,4 @@
-//! The decision state behind a lock, and the sockets that carry out what it asks for.
+//! State shared by the tasks of the scheduler process, and the driver of its decision logic.
 
 use std::{
     collections::HashMap,
@@ -20,25 +20,25 @@
 
 use crate::settings::Settings;
 
-/// Time in which a probe is answered.
+/// Timeout of a direct probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time in which a frame to a peer is confirmed.
+/// Timeout of other calls to schedulers.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest sleep between two ticks.
+/// Longest sleep between two checks of the timers.
 const MAX_SLEEP: Duration = Duration::from_millis(200);
-/// Shortest sleep between two ticks.
+/// Shortest sleep between two checks of the timers.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// Why a call to a scheduler got no answer.
+/// Why a call to a scheduler failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallError {
-    /// Nothing listens at its address.
+    /// The connection was refused.
     Refused,
-    /// It may have arrived or not.
+    /// No response; the call may have been handled.
     Lost,
 }
 
-/// A router's session.
+/// A session with a router.
 #[derive(Debug)]
 struct Session {
     number: u64,
@@ -53,7 +53,7 @@
     n_sessions: u64,
 }
 
-/// One scheduler process.
+/// State of the scheduler process, shared by its tasks.
 #[derive(Debug)]
 pub(crate) struct App {
     pub rt: Runtime,
@@ -64,7 +64,7 @@
 }
 
 impl App {
-    /// Builds the state; `address` is the one it is bound to.
+    /// Builds the state; `address` is the bound address for routers and other schedulers.
     pub(crate) fn new(rt: Runtime, settings: &Settings, address: SocketAddr) -> Arc<Self> {
         let entry = HostListEntry {
             host: address.ip(),
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Hands an event to the decision state and carries out what it asks for.
+    /// Passes an event to the decision logic and performs the actions that result.
     pub(crate) fn handle_event(self: &Arc<Self>, event: Event) {
         let mut inner = self.lock();
         let actions = inner.scheduler.handle(clock::now(), event);
@@ -99,12 +99,12 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Reads the decision state.
+    /// Runs `f` on the decision logic, without performing actions.
     pub(crate) fn read<T>(&self, f: impl FnOnce(&mut Scheduler) -> T) -> T {
         f(&mut self.lock().scheduler)
     }
 
-    /// Opens a router's session and returns its number.
+    /// Replaces the session with a router's host, if any, by a new one and returns its number.
     pub(crate) fn open_session(
         self: &Arc<Self>,
         host: HostId,
@@ -115,12 +115,12 @@
         let number = inner.n_sessions;
         inner.sessions.insert(host, Session { number, sender });
         drop(inner);
-        log::info!(host:% = host, session = number; "router up");
+        log::info!(host:% = host, session = number; "session with router opened");
         self.handle_event(Event::RouterConnected(host));
         number
     }
 
-    /// Takes in a router's frame, if it comes by the newest session.
+    /// Handles a router's frame, if its session is the newest with that host.
     pub(crate) fn handle_frame(
         self: &Arc<Self>,
         host: HostId,
@@ -132,17 +132,17 @@
         }
     }
 
-    /// Ends a router's session.
+    /// Ends a router's session, unless a newer one has replaced it.
     pub(crate) fn close_session(self: &Arc<Self>, host: HostId, number: u64) {
         if !self.is_current(host, number) {
             return;
         }
         self.lock().sessions.remove(&host);
-        log::info!(host:% = host, session = number; "router down");
+        log::info!(host:% = host, session = number; "session with router closed");
         self.handle_event(Event::RouterDisconnected(host));
     }
 
-    /// Ticks whenever something is due.
+    /// Runs the timers of the decision logic.
     pub(crate) async fn run_timers(self: Arc<Self>) {
         loop {
             let next = self.lock().scheduler.next_tick();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Asks another scheduler for its configuration.
+    /// Fetches the configuration from another scheduler.
     pub(crate) async fn fetch_config(self: Arc<Self>, address: SocketAddr) {
         let above = self.read(|it| it.fleet().revision);
         let Ok(channel) = self.connect(address).await else { return };
@@ -166,17 +166,17 @@
         }
     }
 
-    /// Offers a configuration to the decision state.
+    /// Replaces the configuration if the new revision is higher.
     pub(crate) fn update_fleet(self: &Arc<Self>, fleet: Fleet) {
         let old = self.read(|it| it.fleet().revision);
         let revision = fleet.revision;
         self.handle_event(Event::Config(fleet));
         if old < revision {
-            log::info!(revision, old; "configuration in force");
+            log::info!(revision, old; "configuration replaced");
         }
     }
 
-    /// Probes a host in another host's place.
+    /// Probes a host on behalf of another; returns whether it responded.
     pub(crate) async fn probe_target(self: &Arc<Self>, target: HostId) -> bool {
         let request = self.read(|it| wire::ProbeRequest {
             from: it.view().local_host().to_string(),
@@ -188,7 +188,7 @@
         self.send_probe(address, request).await.is_ok()
     }
 
-    /// Sends a probe to an address that no host is known for yet.
+    /// Probes an address whose host is not yet a known member.
     pub(crate) async fn probe_seed(self: &Arc<Self>, address: SocketAddr) {
         let request = self.read(|it| wire::ProbeRequest {
             from: it.view().local_host().to_string(),
@@ -252,7 +252,7 @@
         clock::timeout(timeout, call).await.unwrap_or(Err(CallError::Lost))
     }
 
-    /// Returns a connection to a scheduler, the one that is open if there is one.
+    /// Returns a connection to a scheduler, reusing an open one.
     async fn connect(self: &Arc<Self>, address: SocketAddr) -> Result<Channel, CallError> {
         let existing = self.lock().channels.get(&address).cloned();
         if let Some(it) = existing.filter(|it| !it.is_closed()) {
--- a/crates/portfield-scheduler/src/grpc.rs
+++ b/crates/portfield-scheduler/src/grpc.rs
@@ -1,4 +1,4 @@
-//! The gRPC service that routers and other schedulers call.
+//! gRPC service for routers and other schedulers.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::app::App;
 
-/// Answers calls out of the shell's state.
+/// Server that passes calls to the scheduler process.
 #[derive(Debug, Clone)]
 pub(crate) struct GrpcServer {
     app: Arc<App>,
--- a/crates/portfield-scheduler/src/main.rs
+++ b/crates/portfield-scheduler/src/main.rs
@@ -1,4 +1,4 @@
-//! `portfield-scheduler`: owns shards of upstream capacity and grants it in fair order.
+//! `portfield-scheduler`: owns shards of the upstream capacity and grants it in fair order.
 
 mod admin;
 mod app;
@@ -16,9 +16,9 @@
 
 use crate::{app::App, settings::Settings};
 
-/// Time in which the members and routers learn of a hand-over before the process ends.
+/// Time at shutdown for members and routers to learn that this scheduler hands its shards over.
 const HANDOVER_TIME: Duration = Duration::from_millis(1500);
-/// Threads beside the main one.
+/// Number of threads in addition to the main thread.
 const N_THREADS: usize = 0;
 
 fn main() -> eyre::Result<()> {
@@ -44,7 +44,7 @@
     watch::start(&rt, &app, &settings);
     rt.spawn(app.clone().run_timers());
     daemon::shutdown_signal().await?;
-    log::info!("handing over");
+    log::info!("handing shards over");
     app.handle_event(Event::Leave);
     clock::sleep(HANDOVER_TIME).await;
     log::info!("stopped");
--- a/crates/portfield-scheduler/src/settings.rs
+++ b/crates/portfield-scheduler/src/settings.rs
@@ -7,33 +7,33 @@
     settings::{Error, Reader},
 };
 
-/// What a scheduler is told at its start.
+/// Settings of a scheduler, read at its start.
 #[derive(Debug, Clone)]
 pub(crate) struct Settings {
-    /// Address for routers and other schedulers; its IP number names the host.
+    /// Address for routers and other schedulers; its IP address identifies the host.
     pub listen: SocketAddr,
-    /// Address for operators.
+    /// Address of the admin endpoint.
     pub admin: SocketAddr,
     /// Name of the data centre.
     pub data_centre: String,
     /// Address of the platform's services.
     pub platform: SocketAddr,
-    /// Schedulers to ask for the members while the platform is down.
+    /// Schedulers from which the membership is learned while the platform is down.
     pub seeds: Vec<SocketAddr>,
-    /// Relays towards other data centres.
+    /// Relays to other data centres, by name.
     pub links: Connector,
-    /// Time between two looks at the host list.
+    /// Period of polling the host list.
     pub list_period: Duration,
-    /// Time between two looks at the configuration's revision.
+    /// Period of polling the configuration's revision.
     pub config_period: Duration,
-    /// Time between two load reports of an upstream.
+    /// Period of polling the health of each upstream.
     pub report_period: Duration,
-    /// Where metrics go.
+    /// Address that metrics are sent to.
     pub statsd: Option<SocketAddr>,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub(crate) fn open(path: &Path) -> Result<Self, Error> {
         let mut it = Reader::open(path);
         let res = Self {
--- a/crates/portfield-scheduler/src/watch.rs
+++ b/crates/portfield-scheduler/src/watch.rs
@@ -1,4 +1,4 @@
-//! What a scheduler looks at by itself: the host list, the configuration, its upstreams.
+//! Polling of the host list, the configuration and the upstreams.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,15 +13,14 @@
 
 use crate::{app::App, settings::Settings};
 
-/// Time in which the platform answers.
+/// Timeout for a response of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which an upstream reports its load.
+/// Timeout for the health report of an upstream.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(800);
-
-/// Time between two sets of metrics.
+/// Period of the metrics.
 const METRICS_PERIOD: Duration = Duration::from_secs(5);
 
-/// What an upstream says of itself.
+/// Health report of an upstream.
 #[derive(Debug, Deserialize)]
 struct HealthReport {
     running: u32,
@@ -29,7 +28,7 @@
     leaving: bool,
 }
 
-/// Starts all watches.
+/// Starts the tasks that poll, report metrics and join the membership.
 pub(crate) fn start(rt: &Runtime, app: &Arc<App>, settings: &Settings) {
     let platform = PlatformClient::new(settings.platform, PLATFORM_TIMEOUT);
     rt.spawn(watch_hosts(app.clone(), platform.clone(), settings.list_period));
@@ -57,7 +56,7 @@
         match fleet_store::read_fleet(&platform, above).await {
             Ok(Some(fleet)) => app.update_fleet(fleet),
             Ok(None) => (),
-            Err(err) => log::debug!(err:%; "platform"),
+            Err(err) => log::debug!(err:%; "reading the configuration failed"),
         }
         clock::sleep(period).await;
     }
@@ -96,7 +95,7 @@
     }
 }
 
-/// Asks the seeds for the members until some are known, in case the platform is down.
+/// Probes the seeds until another member is known, in case the platform is down.
 async fn join_members(app: Arc<App>, seeds: Vec<SocketAddr>) {
     while !seeds.is_empty() && app.read(|it| it.view().iter().count()) < 2 {
         for it in &seeds {
