--- a/crates/portfield-replay/src/sim/fleet.rs
+++ b/crates/portfield-replay/src/sim/fleet.rs
@@ -1,31 +1,31 @@
-//! The configuration of a case.
+//! Fleet configuration of a case.
 
 use portfield::fleet::hash_token;
 use portfield::fleet::{Fleet, FleetSpec, Kind, ServiceSpec, UpstreamSpec, WorkspaceSpec};
 
 use crate::case::Case;
 
-/// Longest wait of a request, in milliseconds.
-const WAIT_LIMIT: u64 = 100_000;
+/// Wait limit of every service, in milliseconds.
+const WAIT_LIMIT_MS: u64 = 100_000;
 
-/// Returns the name of a data centre.
-pub(super) fn centre_name(idx: usize) -> String {
+/// Returns the name of a data centre, given by index.
+pub(super) fn data_centre_name(idx: usize) -> String {
     format!("centre-{idx}")
 }
 
-/// Builds the configuration of a case: every service has its own engines.
-pub(super) fn build(case: &Case) -> Fleet {
+/// Builds the fleet of a case; every service has engines of its own.
+pub(super) fn build_fleet(case: &Case) -> Fleet {
     let deployment = &case.deployment;
-    let mut intent = FleetSpec {
-        data_centres: (0..deployment.hosts.len()).map(centre_name).collect(),
+    let mut spec = FleetSpec {
+        data_centres: (0..deployment.hosts.len()).map(data_centre_name).collect(),
         ..FleetSpec::default()
     };
     for it in &case.load {
-        if !intent.services.iter().any(|old| old.name == it.service) {
-            intent.services.push(service(&it.service, deployment.token_us));
+        if !spec.services.iter().any(|old| old.name == it.service) {
+            spec.services.push(service_spec(&it.service, deployment.token_us));
         }
-        if !intent.workspaces.iter().any(|old| old.name == it.workspace) {
-            intent.workspaces.push(WorkspaceSpec {
+        if !spec.workspaces.iter().any(|old| old.name == it.workspace) {
+            spec.workspaces.push(WorkspaceSpec {
                 name: it.workspace.clone(),
                 share: it.share,
                 token_sha256: hash_token(&it.workspace),
@@ -34,14 +34,14 @@
             });
         }
     }
-    for (number, it) in intent.services.iter().enumerate() {
-        for (centre, n) in deployment.engines.iter().enumerate() {
+    for (number, it) in spec.services.iter().enumerate() {
+        for (data_centre, n) in deployment.engines.iter().enumerate() {
             for idx in 0..*n {
-                let ip = [127, number as u8 + 1, centre as u8 + 1, idx as u8 + 1];
-                intent.upstreams.push(UpstreamSpec {
+                let ip = [127, number as u8 + 1, data_centre as u8 + 1, idx as u8 + 1];
+                spec.upstreams.push(UpstreamSpec {
                     address: (ip, 8000).into(),
                     service: it.name.clone(),
-                    data_centre: centre_name(centre),
+                    data_centre: data_centre_name(data_centre),
                     slots: deployment.slots,
                     leaving: false,
                     fenced: false,
@@ -50,17 +50,17 @@
             }
         }
     }
-    intent.assign_ids(&Fleet::default())
+    spec.assign_ids(&Fleet::default())
 }
 
-fn service(name: &str, token_us: u64) -> ServiceSpec {
+fn service_spec(name: &str, token_us: u64) -> ServiceSpec {
     ServiceSpec {
         name: name.to_owned(),
         kind: Kind::Engine,
         repeatable: true,
         first_token_ms: 780,
         token_gap_ms: token_us * 2 / 1000,
-        wait_limit_ms: WAIT_LIMIT,
+        wait_limit_ms: WAIT_LIMIT_MS,
         shard_size: 16,
     }
 }
--- a/crates/portfield/src/schedule/slots.rs
+++ b/crates/portfield/src/schedule/slots.rs
@@ -1,6 +1,7 @@
 //! Slots of the upstreams of one shard: free, used, lent or in doubt.
 //!
-//! A slot is in doubt if a request may still run in it that no known router or borrower holds.
+//! A slot is in doubt, or doubtful, if a request may still run in it that no known router or borrower
+//! holds.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -88,7 +89,7 @@
         (self.limit as u32).clamp(1, self.slots)
     }
 
-    fn is_open(&self, now: Duration) -> bool {
+    fn is_available(&self, now: Duration) -> bool {
         let is_fresh = self.reported_at.is_some_and(|it| now <= it + MAX_REPORT_AGE);
         is_fresh
             && !self.is_down
@@ -98,7 +99,7 @@
     }
 
     fn n_free(&self, now: Duration) -> u32 {
-        if self.is_open(now) { self.limit().saturating_sub(self.load()) } else { 0 }
+        if self.is_available(now) { self.limit().saturating_sub(self.load()) } else { 0 }
     }
 }
 
--- a/crates/portfield/tests/cost_estimator.rs
+++ b/crates/portfield/tests/cost_estimator.rs
@@ -1,11 +1,11 @@
-//! Learned costs.
+//! Cost estimates learned from earlier requests.
 
 use portfield::schedule::CostEstimator;
 
-/// Found by the replays of `rough` and `lies`: the mean of ratios let single small hints
-/// for large requests raise every later estimate twentyfold.
+/// With a mean of ratios, single small hints for large requests raised all later estimates
+/// twentyfold. Found by the replays of `rough` and `lies`.
 #[test]
-fn bad_hints_lose_to_the_mean() {
+fn inaccurate_hints_are_ignored() {
     let mut it = CostEstimator::default();
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..400 {
@@ -14,12 +14,12 @@
         it.observe(1, hint, cost);
     }
     for hint in [5, 50, 500] {
-        assert!((45..=65).contains(&it.estimate(1, hint)), "{}", it.estimate(1, hint));
+        assert!((45..=65).contains(&it.estimate(1, hint)), "hint {hint}: {}", it.estimate(1, hint));
     }
 }
 
 #[test]
-fn good_hints_beat_the_mean() {
+fn proportional_hints_are_used() {
     let mut it = CostEstimator::default();
     for cost in [10, 1000, 20, 900, 15, 1100, 10, 950, 12, 1000] {
         it.observe(1, cost * 2, cost);
