--- a/crates/portfield-host/src/upstream_signals.rs
+++ b/crates/portfield-host/src/upstream_signals.rs
@@ -118,15 +118,15 @@
     log::info!(
         request = call.id, upstream = upstream.entry.id, status = status.as_u16(), sent = asked.raw,
         backoff_ms = asked.delay.map(|it| it.as_millis().min(u128::from(u64::MAX)) as u64),
-        left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asked for back-off"
+        left_ms = end.map(|it| (it - now).as_millis() as u64); "upstream asked for backoff"
     );
 }
 
-/// Logs the upstreams whose back-off has expired.
+/// Logs the upstreams whose backoff has expired.
 pub(crate) fn log_expired_backoffs(host: &Host) {
     let over = host.balancer().take_expired_backoffs(clock::now());
     for number in over {
-        log::info!(upstream = upstream_id(host, number), number; "back-off from upstream ended");
+        log::info!(upstream = upstream_id(host, number), number; "backoff from upstream ended");
     }
 }
 
