--- a/crates/portfield-host/src/active_probes.rs
+++ b/crates/portfield-host/src/active_probes.rs
@@ -5,7 +5,7 @@
     sync::{Mutex, PoisonError},
 };
 
-/// Upstreams that are being probed, by number.
+/// Upstreams that are being probed, by wire id.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveProbes {
     upstreams: Mutex<HashSet<u32>>,
--- a/crates/portfield-host/src/admin.rs
+++ b/crates/portfield-host/src/admin.rs
@@ -69,7 +69,7 @@
     fingerprint: String,
     /// Name of its workspace, empty if the configuration has none with that hash.
     workspace: String,
-    /// Number of upstreams that ended while running it.
+    /// Number of upstreams that crashed under it.
     n_ends: usize,
     /// Seconds until it is tried again.
     left_s: u64,
--- a/crates/portfield-host/src/attempt.rs
+++ b/crates/portfield-host/src/attempt.rs
@@ -145,7 +145,7 @@
         let res = clock::timeout(timeout, connection.sender.try_send_request(request)).await;
         return match res {
             None => {
-                // A time-out that spans a suspension of this host says nothing about the upstream.
+                // A timeout that spans a suspension of this host says nothing about the upstream.
                 let suspended = host.resumed_at().is_some_and(|it| started <= it);
                 run.end(if suspended { Completion::Cancelled } else { Completion::Broken });
                 AttemptResult::Failed(Outcome::TimedOut, "no answer in time".to_owned())
@@ -200,8 +200,8 @@
     res.map_err(|err| {
         let text = err.to_string();
         if is_fd_limit(&err) {
-            // Not the upstream's fault: when it was blamed, a host out of file descriptors stopped
-            // using one healthy upstream after another.
+            // Not the upstream's fault: when this counted as unreachable, a host out of file
+            // descriptors stopped using one healthy upstream after another.
             host.handle_accept_failure(&err);
             return ConnectError { completion: Completion::Cancelled, text };
         }
--- a/crates/portfield-host/src/call.rs
+++ b/crates/portfield-host/src/call.rs
@@ -26,7 +26,8 @@
 /// Retry delay given by a host that is shutting down; the retry goes to another host.
 const STOPPING_RETRY: Duration = Duration::from_millis(50);
 
-/// Retry delay given by a host that was suspended; it mostly catches up within this time.
+/// Retry delay given by a host that was suspended; the retry goes to another host. This one mostly
+/// learns within as much time what has changed.
 pub(crate) const SUSPENDED_RETRY: Duration = Duration::from_millis(100);
 /// Error text of that refusal.
 pub(crate) const SUSPENDED_TEXT: &str = "this host stood still, and hears first what has changed";
--- a/crates/portfield-host/src/cold_start.rs
+++ b/crates/portfield-host/src/cold_start.rs
@@ -11,7 +11,8 @@
 use crate::state::{Host, hash_name};
 
 /// Time after start during which a host that could not read the table of hosts sends nothing to
-/// cold upstreams. Until it has heard of the other hosts, its limit would be that of a host alone.
+/// cold upstreams. By then it knows the other hosts from their digests; before, it would send as
+/// much as if it were the only one.
 const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Number of upstreams turning cold together up to which each gets its own log line: a whole data
 /// centre may return at once.
--- a/crates/portfield-host/src/evacuations.rs
+++ b/crates/portfield-host/src/evacuations.rs
@@ -15,26 +15,28 @@
 
 /// Applies rows of the operator's table.
 ///
-/// The key alone makes the order: it stands even if its value cannot be decoded.
-pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], reading: &TableRead) {
+/// The key of a row alone is the order: it stands even if the value cannot be decoded.
+pub(crate) fn apply_rows(host: &Arc<Host>, rows: &[Row], table_read: &TableRead) {
     let order = |it: &Row| {
         let data_centre = store::evacuated_data_centre(&it.key)?.to_owned();
         Some(EvacuationRow { data_centre, row_version: it.version, is_lifted: it.value.is_none() })
     };
     let orders: Vec<EvacuationRow> = rows.iter().filter_map(order).collect();
-    if orders.is_empty() && reading.scope == ReadScope::Changes {
+    if orders.is_empty() && table_read.scope == ReadScope::Changes {
         return;
     }
-    let TableRead { version, scope, source } = *reading;
-    let source = match scope {
+    let TableRead { version, scope, missing_rows } = *table_read;
+    let missing_rows = match scope {
         // Only a restore from a backup loses the operator's orders; an outage of the store does
         // not.
-        ReadScope::Restored => source,
+        ReadScope::Restored => missing_rows,
         ReadScope::Changes | ReadScope::Full => MissingRows::Deleted,
     };
     let changes = host.update_list(|it| match scope {
         ReadScope::Changes => it.evacuations.apply(version, orders),
-        ReadScope::Full | ReadScope::Restored => it.evacuations.replace(version, orders, source),
+        ReadScope::Full | ReadScope::Restored => {
+            it.evacuations.replace(version, orders, missing_rows)
+        }
     });
     record_changes(host, &changes, "store");
 }
--- a/crates/portfield-host/src/ingress.rs
+++ b/crates/portfield-host/src/ingress.rs
@@ -19,7 +19,7 @@
     pub n_accepted: u64,
     /// Connections closed.
     pub n_closed: u64,
-    /// Connections closed by their callers without being told to.
+    /// Connections closed by their callers without a `connection: close` from this host.
     pub n_caller_closed: u64,
     /// Requests read.
     pub n_requests: u64,
@@ -57,7 +57,7 @@
         self.counts().n_closed += 1;
     }
 
-    /// Counts a connection that its caller closed without being told to.
+    /// Counts a connection that its caller closed without a `connection: close` from this host.
     pub(crate) fn record_caller_close(&self) {
         self.counts().n_caller_closed += 1;
     }
--- a/crates/portfield-host/src/lifecycle.rs
+++ b/crates/portfield-host/src/lifecycle.rs
@@ -22,7 +22,7 @@
 
 /// Interval for checking whether all requests are finished during shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Time-out for closing idle connections at the end of shutdown.
+/// Timeout for closing idle connections at the end of shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Margin before the end of the grace period at which requests still running are cut off.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
--- a/crates/portfield-host/src/main.rs
+++ b/crates/portfield-host/src/main.rs
@@ -1,7 +1,7 @@
 //! `portfield-host`: the router process of one host.
 //!
-//! Accepts callers' requests, places each of them on an upstream without asking anyone, and relays
-//! the response. Its state comes from the platform's store and the other hosts' digests.
+//! Accepts callers' requests, places each of them on an upstream without asking another process,
+//! and relays the response. Its state comes from the platform's store and the other hosts' digests.
 
 mod active_probes;
 mod admin;
--- a/crates/portfield-host/src/peers/fetch.rs
+++ b/crates/portfield-host/src/peers/fetch.rs
@@ -25,12 +25,12 @@
     upstream_list::UpstreamList,
 };
 
-/// Time-out for a configuration. Leaves time to ask a second host within the two seconds in which a
+/// Timeout for a configuration. Leaves time to ask a second host within the two seconds in which a
 /// change must be in force.
 const CONFIG_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time-out for a whole list: 600 KB for 3,000 upstreams, sent by a host with a quarter of a core.
+/// Timeout for a whole list: 600 KB for 3,000 upstreams, sent by a host with a quarter of a core.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time-out for list changes. Leaves time to ask a second host within the two seconds after which a
+/// Timeout for list changes. Leaves time to ask a second host within the two seconds after which a
 /// draining upstream must get no more requests.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(700);
 
@@ -142,11 +142,12 @@
     });
     let removed = reply.gone.into_iter().map(|id| ListRow { id, entry: None, version: 0 });
     let rows: Vec<ListRow> = updated.chain(removed).collect();
-    // The entries that may only have expired are marked by the other host as held.
+    // The other host marks entries that may only have expired as held; all others that it lacks
+    // were deleted.
     let table_read = TableRead {
         version: StoreVersion::new(reply.list_era, reply.list_version),
         scope: if reply.is_partial { ReadScope::Changes } else { ReadScope::Full },
-        source: MissingRows::Deleted,
+        missing_rows: MissingRows::Deleted,
     };
     host.update_list(|it| {
         if apply_list(it, rows, &table_read) {
--- a/crates/portfield-host/src/peers/receive.rs
+++ b/crates/portfield-host/src/peers/receive.rs
@@ -59,7 +59,8 @@
             host.metrics.count("digests_malformed");
             continue;
         };
-        // A digest that makes its handler panic would reach, and end, every other host too.
+        // Contains panics: a digest reaches all hosts, so that one which makes the handler panic
+        // would crash every one of them.
         panics::catch("digest", || handle_datagram(&host, &socket, address, digest, &mut newer));
         newer.fetch(&host);
     }
@@ -214,7 +215,7 @@
         let Some(from) = self.list.take() else { return };
         let now = clock::now();
         let version = host.with_list(|it| it.directory.version());
-        let is_due = host.needs_peer_list() || LIST_FETCH_DELAY <= self.lag.grow(now, version);
+        let is_due = host.needs_peer_list() || LIST_FETCH_DELAY <= self.lag.update(now, version);
         if self.list_due <= now && is_due {
             self.list_due = now + LIST_FETCH_INTERVAL;
             fetch::start(host, from, Wanted::List, &self.is_fetching_list);
@@ -231,7 +232,7 @@
 
 impl Lag {
     /// Returns how long the list has been known to be outdated in this version.
-    fn grow(&mut self, now: Duration, version: StoreVersion) -> Duration {
+    fn update(&mut self, now: Duration, version: StoreVersion) -> Duration {
         let since = match self.since {
             Some((same, since)) if same == version => since,
             _ => now,
--- a/crates/portfield-host/src/peers/send.rs
+++ b/crates/portfield-host/src/peers/send.rs
@@ -106,7 +106,8 @@
     }
 }
 
-/// Builds the summary of this host's data centre; it replaces the host as the digest's sender.
+/// Builds the summary of this host's data centre: a digest whose sender is the data centre, by the
+/// hash of its name, in place of this host.
 fn summary(host: &Host, header: Digest) -> Digest {
     let mut res = Digest { host: u64::from(header.data_centre), passed_on: true, ..header };
     host.balancer().fill_summary(clock::now(), &mut res);
--- a/crates/portfield-host/src/pool.rs
+++ b/crates/portfield-host/src/pool.rs
@@ -20,7 +20,7 @@
 };
 use socket2::{SockRef, TcpKeepalive};
 
-/// Time-out for opening a connection; a live upstream accepts within milliseconds.
+/// Timeout for opening a connection; a live upstream accepts within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent data may stay unacknowledged before the kernel closes the connection.
 ///
@@ -53,7 +53,7 @@
     until: Duration,
 }
 
-/// Idle connections by upstream number.
+/// Idle connections by the wire id of their upstream.
 #[derive(Debug)]
 pub(crate) struct Pool {
     rt: Runtime,
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// An error of the socket, or a time-out; nothing of a request was sent then.
+    /// An error of the socket, or a timeout; nothing of a request was sent then.
     pub(crate) async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         let connect = Async::<std::net::TcpStream>::connect(address);
         let timed_out = || Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"));
--- a/crates/portfield-host/src/probe.rs
+++ b/crates/portfield-host/src/probe.rs
@@ -27,7 +27,7 @@
     if !host.probes.begin(upstream.wire_id()) {
         return;
     }
-    note_unreachable(host, upstream, err);
+    record_unreachable(host, upstream, err);
     let (task, upstream) = (host.clone(), upstream.clone());
     let first = err.kind().into();
     host.rt.spawn(async move {
@@ -66,7 +66,7 @@
                 }
             }
             Err(err) if is_refused(&err) => {
-                note_unreachable(host, upstream, &err);
+                record_unreachable(host, upstream, &err);
                 return probe_until_reachable(host, upstream, &err).await;
             }
             Err(err) => {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Logs that no connection could be opened; a refused connection shows that the upstream ended.
-fn note_unreachable(host: &Host, upstream: &Upstream, err: &io::Error) {
+/// Records that no connection could be opened; a refused connection shows that the upstream ended.
+fn record_unreachable(host: &Host, upstream: &Upstream, err: &io::Error) {
     log::info!(upstream = upstream.entry.id, err:%; "upstream unreachable");
     if is_refused(err) {
         quarantine::record_upstream_end(host, upstream, EndEvidence::Refused);
@@ -93,7 +93,7 @@
 /// Attempts to connect to an upstream until it is reachable or no longer listed.
 ///
 /// If its address refused connections meanwhile, it may have restarted before its list entry shows
-/// that.
+/// that, and is then treated as cold.
 async fn probe_until_reachable(host: &Host, upstream: &Upstream, first: &io::Error) {
     let lost = clock::now();
     let mut has_ended = is_refused(first);
--- a/crates/portfield-host/src/quarantine.rs
+++ b/crates/portfield-host/src/quarantine.rs
@@ -32,7 +32,7 @@
 /// Origin of a quarantine entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuarantineSource {
-    /// This host observed the last of the upstream ends that led to it.
+    /// This host observed the last of the crashes that led to it.
     Own,
     /// Another host's digest.
     Host,
@@ -76,7 +76,7 @@
     add_suspects(host, &requests, upstream);
 }
 
-/// Records that an upstream ended while it ran some requests.
+/// Records that an upstream crashed under some requests.
 fn add_suspects(host: &Host, requests: &[RequestKey], upstream: &Upstream) {
     let entries = host.quarantine().record_crash(clock::now(), requests, upstream.wire_id());
     entries.iter().for_each(|it| record_quarantine(host, it, QuarantineSource::Own));
--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -20,7 +20,7 @@
 /// Longest such pause: the stored entries matter only after a loss of all hosts, and a store that
 /// is down must not be flooded with calls.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
-/// Interval for reading the table while a data centre is unreachable: a lethal request known there
+/// Interval for reading the table while a data centre is unreachable: a request quarantined there
 /// must be known here within three seconds.
 const PARTITION_POLL: Duration = Duration::from_millis(1500);
 /// Number of hosts per data centre that read the table at their start: all hosts of a small one,
--- a/crates/portfield-host/src/relay.rs
+++ b/crates/portfield-host/src/relay.rs
@@ -68,7 +68,7 @@
     response: Option<Box<UpstreamResponse>>,
     events: EventBuffer,
     first_event: Option<Duration>,
-    /// Time-out of the current read.
+    /// Timeout of the current read.
     timeout: Option<clock::Deadline>,
 }
 
@@ -77,7 +77,7 @@
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let read_timeout = self.read_timeout();
-            // A resumable stream has a time-out per read; any other has a single one for the whole
+            // A resumable stream has a timeout per read; any other has a single one for the whole
             // response.
             if self.timeout.is_none() || read_timeout < self.exchange.call.remaining() {
                 self.timeout = Some(clock::deadline(read_timeout));
@@ -116,17 +116,21 @@
         }
     }
 
-    /// Returns the time-out for the next chunk.
+    /// Returns the timeout for the next chunk.
     fn read_timeout(&self) -> Duration {
         let left = self.exchange.call.remaining();
         if !self.exchange.may_retry() {
             return left;
         }
         let route = &self.exchange.call.route;
-        let pause = route.max_gap.map_or(DEFAULT_MAX_SILENCE, |it| it * SILENCE_FACTOR);
+        let max_silence = route.max_gap.map_or(DEFAULT_MAX_SILENCE, |it| it * SILENCE_FACTOR);
         // Before the first event, the engine may still be processing the prompts of other requests.
-        let pause = if self.first_event.is_none() { pause + route.latency_target } else { pause };
-        left.min(pause)
+        let max_silence = if self.first_event.is_none() {
+            max_silence + route.latency_target
+        } else {
+            max_silence
+        };
+        left.min(max_silence)
     }
 
     /// Records that complete events arrived.
--- a/crates/portfield-host/src/settings.rs
+++ b/crates/portfield-host/src/settings.rs
@@ -36,13 +36,13 @@
     pub share_window: Duration,
     /// Maximum number of concurrent requests; each takes some 100 KB.
     pub active_limit: usize,
-    /// Maximum number of other hosts up to which every host sends its digest to every other one;
-    /// above that, data centres exchange summaries. Summaries scored 0.06 higher on one deployment
-    /// of 58 hosts and 0.015 lower on another.
+    /// Number of other hosts up to which every host sends its digest to every other one; above
+    /// that, data centres exchange summaries. Summaries scored 0.06 higher on one deployment of 58
+    /// hosts and 0.015 lower on another.
     pub direct_hosts: usize,
     /// Maximum number of log lines per second.
     pub log_lines: u64,
-    /// Time-outs of watching the store.
+    /// Timeouts of watching the store.
     pub store_timeouts: StoreTimeouts,
     /// Requests per second that all hosts together may send to a cold upstream, as a multiple of
     /// the rate that its service sets.
--- a/crates/portfield-host/src/state.rs
+++ b/crates/portfield-host/src/state.rs
@@ -85,7 +85,7 @@
     active: Arc<()>,
     /// When the store last responded.
     store_response: AtomicInstant,
-    /// When accepting or opening a connection last failed.
+    /// When a connection last could not be accepted, or opened for lack of file descriptors.
     accept_failure: AtomicInstant,
 }
 
@@ -349,7 +349,7 @@
         self.pool.clear();
     }
 
-    /// Returns whether accepting a connection has not failed recently.
+    /// Returns whether no accept has failed recently.
     fn can_accept(&self) -> bool {
         self.accept_failure.elapsed().is_none_or(|it| ACCEPT_BACKOFF < it)
     }
--- a/crates/portfield-host/src/store_watch.rs
+++ b/crates/portfield-host/src/store_watch.rs
@@ -48,13 +48,13 @@
     let store = Store::new(host.settings().store, STORE_CALL_TIMEOUT);
     let operator = WatchedTable {
         table: store::OPERATOR_TABLE,
-        knowledge: CachedState::Config,
+        cached_state: CachedState::Config,
         interval: OPERATOR_INTERVAL,
         apply: apply_operator_rows,
     };
     let upstreams = WatchedTable {
         table: store::UPSTREAMS_TABLE,
-        knowledge: CachedState::Upstreams,
+        cached_state: CachedState::Upstreams,
         interval: LIST_INTERVAL,
         apply: apply_upstream_rows,
     };
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy)]
 struct WatchedTable {
     table: &'static str,
-    knowledge: CachedState,
+    cached_state: CachedState,
     /// Minimum time between the starts of two calls.
     interval: Duration,
     apply: fn(&Arc<Host>, TableUpdate),
@@ -93,7 +93,7 @@
     era: Option<u64>,
     pause: Duration,
     last_response: Duration,
-    /// When the store last responded again after an outage.
+    /// When the store last responded again after an outage, or was found to be restored.
     recovered: Option<Duration>,
     is_unreachable: bool,
     next_interval: Duration,
@@ -170,8 +170,8 @@
             self.recovered = Some(now);
         }
         self.last_response = now;
-        // After a first read only, this host does not follow the table yet, and must not look like
-        // a watcher of the store to the others.
+        // After the first read alone, this host does not follow the table yet. If the others took
+        // it for a watcher of the store, some that do watch would stop.
         if self.version.is_some() {
             self.host.record_store_response();
         }
@@ -186,15 +186,15 @@
         }
         self.host.update_store_era(version.era, "store");
         let recent = self.recovered.filter(|it| now < *it + REGISTRATION_GRACE);
-        let source = match recent {
+        let missing_rows = match recent {
             Some(recovered) => MissingRows::MayReturn { restored_at: recovered },
             None => MissingRows::Deleted,
         };
         let gap = std::mem::replace(&mut self.next_interval, self.watched.interval);
         (self.version, self.era) = (Some(version), Some(version.era));
-        let update = TableUpdate { rows, table_read: TableRead { version, scope, source } };
+        let update = TableUpdate { rows, table_read: TableRead { version, scope, missing_rows } };
         (self.watched.apply)(&self.host, update);
-        self.host.suspend_detector().confirm_from_store(sent, self.watched.knowledge);
+        self.host.suspend_detector().confirm_from_store(sent, self.watched.cached_state);
         clock::sleep((sent + gap).saturating_sub(now)).await;
     }
 
--- a/crates/portfield-host/src/suspension.rs
+++ b/crates/portfield-host/src/suspension.rs
@@ -20,7 +20,7 @@
         Some(length)
     }
 
-    /// Returns whether this host's state of the fleet is fresh enough to be used.
+    /// Returns whether this host's view of the fleet is fresh enough to be used.
     pub(crate) fn has_fresh_state(&self) -> bool {
         self.check_suspension();
         self.suspend_detector().is_state_usable(clock::now())
--- a/crates/portfield-host/src/table_read.rs
+++ b/crates/portfield-host/src/table_read.rs
@@ -20,7 +20,7 @@
 pub(crate) struct TableRead {
     pub version: StoreVersion,
     pub scope: ReadScope,
-    pub source: MissingRows,
+    pub missing_rows: MissingRows,
 }
 
 /// Which part of a table was read.
@@ -68,7 +68,7 @@
     rows: Vec<ListRow>,
     table_read: &TableRead,
 ) -> bool {
-    let TableRead { version, scope, source } = *table_read;
+    let TableRead { version, scope, missing_rows } = *table_read;
     // Rows are passed on to other hosts with the version of the list: older rows would pass for
     // newer ones.
     if version < list.directory.version() {
@@ -89,8 +89,8 @@
         (read, None)
     };
     let changed = match scope {
-        ReadScope::Changes => directory.apply(version, accepted, source),
-        ReadScope::Full | ReadScope::Restored => directory.replace(version, accepted, source),
+        ReadScope::Changes => directory.apply(version, accepted, missing_rows),
+        ReadScope::Full | ReadScope::Restored => directory.replace(version, accepted, missing_rows),
     };
     rows.iter().for_each(|it| directory.set_row_version(&it.id, it.version));
     // Raw bytes are passed on only for rows that were applied unmodified.
