--- a/crates/portfield-host/tests/process_pause.rs
+++ b/crates/portfield-host/tests/process_suspension.rs
@@ -1,7 +1,7 @@
-//! Behaviour of a host whose process was paused for seconds while the rest of the fleet ran.
+//! Behaviour of a host whose process was suspended for seconds while the rest of the fleet ran.
 //!
-//! Requests and messages of other hosts wait in its sockets, and its state is as old as the pause. It must not
-//! accept an API key that was revoked, or use an upstream that was removed, during the pause.
+//! Requests and messages of other hosts wait in its sockets, and its state dates from before the suspension. It must
+//! not accept an API key that was revoked, or use an upstream that was removed, during the suspension.
 
 mod fleet;
 
@@ -15,8 +15,8 @@
 use portfield_platform_standins::StoreFault;
 use std::io::Write;
 
-/// Duration of the pause, longer than the time for which a host may use its state without an update.
-const PAUSE: Duration = Duration::from_millis(2500);
+/// Duration of the suspension, longer than the time for which a host may use its state without an update.
+const SUSPENSION: Duration = Duration::from_millis(2500);
 
 /// Sends a request without reading the response.
 fn send_unanswered(host: &Host, text: &str) -> TcpStream {
@@ -25,12 +25,12 @@
     stream
 }
 
-/// Pauses a host, runs `meanwhile`, sends requests, and returns their responses after the host resumes.
-fn pause_host(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
+/// Suspends a host, runs `meanwhile`, sends requests, and returns their responses after the host resumes.
+fn suspend_host(host: &Host, requests: &[String], meanwhile: impl FnOnce()) -> Vec<Response> {
     host.signal("-STOP");
     meanwhile();
     let mut streams: Vec<_> = requests.iter().map(|it| send_unanswered(host, it)).collect();
-    thread::sleep(PAUSE);
+    thread::sleep(SUSPENSION);
     host.signal("-CONT");
     streams.iter_mut().map(|it| read_response(it).unwrap()).collect()
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn key_revoked_during_a_pause_is_not_accepted() {
+fn key_revoked_during_a_suspension_is_not_accepted() {
     let mut fleet = Fleet::new(2, 0);
     let (host, _other) = (fleet.start_host(), fleet.start_host());
     let text = |n: u32| request("order", &format!("r{n}")).replace("key-a", "key-b");
@@ -52,7 +52,7 @@
     let requests: Vec<String> = (1..6).map(text).collect();
     let store = fleet.store.clone();
     let responses =
-        pause_host(&host, &requests, || store.put("op", "config", &config_without_key_b(5)));
+        suspend_host(&host, &requests, || store.put("op", "config", &config_without_key_b(5)));
     for it in responses {
         assert!([401, 503].contains(&it.status), "{} {}", it.status, it.text());
     }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn upstream_removed_during_a_pause_gets_no_requests() {
+fn upstream_removed_during_a_suspension_gets_no_requests() {
     let mut fleet = Fleet::new(2, 0);
     fleet.store.remove("servers", "plain-1");
     let (host, _other) = (fleet.start_host(), fleet.start_host());
@@ -71,7 +71,7 @@
     let n_executed = fleet.plain_upstreams[0].n_executed();
     let requests: Vec<String> = (1..6).map(|n| request("order", &format!("r{n}"))).collect();
     let (store, entry) = (fleet.store.clone(), fleet.plain_upstreams[1].entry("desk", "ready"));
-    let responses = pause_host(&host, &requests, || {
+    let responses = suspend_host(&host, &requests, || {
         store.remove("servers", "plain-0");
         store.put("servers", "plain-1", &entry);
     });
@@ -86,15 +86,15 @@
     });
 }
 
-/// A host that is cut off from the store and has no peers after a pause serves by its last known state, as any
+/// A host that is cut off from the store and has no peers after a suspension serves by its last known state, as any
 /// isolated host does.
 #[test]
-fn isolated_host_serves_again_seconds_after_a_pause() {
+fn isolated_host_serves_again_seconds_after_a_suspension() {
     let mut fleet = Fleet::new(1, 0);
     let host = fleet.start_host();
     let store = fleet.store.clone();
     let requests = [request("order", "r1")];
-    let responses = pause_host(&host, &requests, || store.set_fault(StoreFault::Hang));
+    let responses = suspend_host(&host, &requests, || store.set_fault(StoreFault::Hang));
     assert_eq!(responses[0].status, 503);
     let retry_after: f64 = responses[0].header("retry-after").unwrap().parse().unwrap();
     assert!(retry_after < 1.0, "Retry-After is {retry_after} s");
--- a/crates/portfield-host/tests/requests.rs
+++ b/crates/portfield-host/tests/requests.rs
@@ -317,7 +317,7 @@
     let mut sent = None;
     wait_until("the host connects to the upstream", || {
         let mut caller = connect(host.listen).unwrap();
-        // Under load, a host that takes over 1.5 s to read the body counts as paused and refuses the request.
+        // Under load, a host that takes over 1.5 s to read the body counts as suspended and refuses the request.
         let _ = caller.write_all(text.trim_end_matches("body").as_bytes());
         let _ = caller.write_all(&vec![b'x'; SIZE]);
         caller.set_nonblocking(true).unwrap();
@@ -343,7 +343,7 @@
 
 /// Guards against execution of a request that waited in a host's socket until its caller disconnected: nobody
 /// reads the response. A host out of file descriptors forwarded five such requests ten seconds late; here the
-/// process is paused.
+/// process is suspended.
 #[test]
 fn request_of_a_disconnected_caller_is_not_forwarded() {
     let mut fleet = Fleet::new(1, 0);
--- a/crates/portfield-host/tests/self_reports/mod.rs
+++ b/crates/portfield-host/tests/self_reports/mod.rs
@@ -7,7 +7,7 @@
 
 /// Time after a response in which requests already in flight may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// Time before a response from which on a link fault or a pause of the host may have prevented its delivery.
+/// A link fault or a suspension of the host up to this long before a response may have prevented its delivery.
 const READ_DELAY: Duration = Duration::from_millis(200);
 
 /// Time after an upstream's restart in which a host cut off from the store may only know the earlier incarnation.
@@ -33,8 +33,8 @@
 /// Faults and restarts during a soak test that excuse requests against a self-report.
 #[derive(Debug, Default)]
 pub struct Timeline {
-    /// Process pauses, by the host's listen address.
-    pub pauses: Vec<(SocketAddr, Interval)>,
+    /// Suspensions of host processes, by the host's listen address.
+    pub suspensions: Vec<(SocketAddr, Interval)>,
     /// Faults on the link to an upstream that may lose or hold back bytes, by the upstream's index.
     pub link_faults: Vec<(usize, Interval)>,
     /// Restart times of upstreams, by their index.
@@ -77,7 +77,7 @@
             .filter(|it| report.sent_at + IN_FLIGHT_TIME < it.received_at && it.received_at < end)
             .filter(|it| {
                 target(it) == Some(host)
-                    && !timeline.was_paused(host, report.sent_at, it.received_at)
+                    && !timeline.was_suspended(host, report.sent_at, it.received_at)
             })
             .filter_map(|it| it.header("attempt-id"))
             .collect();
@@ -112,9 +112,9 @@
         usize::from(self.restarts.iter().any(|it| it.0 == index && is_recent(it.1)))
     }
 
-    /// Returns whether a host was paused between a self-report and a request.
-    fn was_paused(&self, host: SocketAddr, sent_at: Duration, received_at: Duration) -> bool {
+    /// Returns whether a host was suspended between a self-report and a request.
+    fn was_suspended(&self, host: SocketAddr, sent_at: Duration, received_at: Duration) -> bool {
         let overlaps = |it: &Interval| it.overlaps(sent_at.saturating_sub(READ_DELAY), received_at);
-        self.pauses.iter().any(|it| it.0 == host && overlaps(&it.1))
+        self.suspensions.iter().any(|it| it.0 == host && overlaps(&it.1))
     }
 }
--- a/crates/portfield-host/tests/soak.rs
+++ b/crates/portfield-host/tests/soak.rs
@@ -74,14 +74,14 @@
     actions: Vec<String>,
     /// Log lines of replaced hosts.
     past_logs: Vec<Vec<Value>>,
-    /// Data centres to which hosts are assigned in turn; with two, each knows the other by aggregates.
+    /// Data centres to which hosts are assigned in turn; with two, each knows the other by summaries.
     data_centres: &'static [&'static str],
     /// IDs and current store entries of the upstreams.
     entries: Vec<(String, Value)>,
     /// Earlier snapshot of the store, for the next restore.
     snapshot: StoreSnapshot,
-    /// Maximum pause of a host, in milliseconds; every third seed pauses hosts for seconds.
-    max_pause_ms: u64,
+    /// Maximum suspension of a host, in milliseconds; every third seed suspends hosts for seconds.
+    max_suspension_ms: u64,
 }
 
 impl Soak {
@@ -115,7 +115,7 @@
             config_version: 1,
             actions: Vec::new(),
             past_logs: Vec::new(),
-            max_pause_ms: if seed.is_multiple_of(3) { 2600 } else { 800 },
+            max_suspension_ms: if seed.is_multiple_of(3) { 2600 } else { 800 },
             data_centres: if seed.is_multiple_of(2) { &["north"] } else { &["north", "south"] },
         };
         for idx in 0..N_HOSTS {
@@ -130,8 +130,8 @@
     /// Starts the host of an index in its data centre.
     fn start_host(&mut self, idx: usize, extra_settings: &str) -> Host {
         let data_centre = self.data_centres[idx % self.data_centres.len()];
-        let aggregate_setting = if 1 < self.data_centres.len() { "direct_hosts = 1" } else { "" };
-        self.fleet.spawn_host_in(data_centre, &format!("{aggregate_setting}\n{extra_settings}"))
+        let summary_setting = if 1 < self.data_centres.len() { "direct_hosts = 1" } else { "" };
+        self.fleet.spawn_host_in(data_centre, &format!("{summary_setting}\n{extra_settings}"))
     }
 
     /// Injects a random fault; those that don't end by themselves end in [`Soak::clear_faults`].
@@ -147,11 +147,11 @@
             2 => {
                 let start = clock::now();
                 self.hosts[host].signal("-STOP");
-                thread::sleep(Duration::from_millis(self.rng.u64(50..self.max_pause_ms)));
+                thread::sleep(Duration::from_millis(self.rng.u64(50..self.max_suspension_ms)));
                 self.hosts[host].signal("-CONT");
                 let interval = Interval { start, end: clock::now() };
-                self.timeline.pauses.push((self.hosts[host].listen, interval));
-                format!("host {host} paused")
+                self.timeline.suspensions.push((self.hosts[host].listen, interval));
+                format!("host {host} suspended")
             }
             3 => {
                 self.hosts[host].signal("-HUP");
--- a/crates/portfield-host/tests/state_sync.rs
+++ b/crates/portfield-host/tests/state_sync.rs
@@ -244,7 +244,7 @@
 }
 
 /// Guards against stale entries under a newer version: hosts that had just started sent their peers an upstream's
-/// older entry, and all took a draining upstream for ready (deployment Craigmhor scale-2, seed 400597386945).
+/// older entry, and all took a draining upstream for ready (scaled-up deployment Craigmhor scale-2, seed 400597386945).
 #[test]
 fn stale_store_rows_are_not_passed_to_peers() {
     let mut fleet = Fleet::new(2, 0);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn remote_data_centre_is_known_by_its_aggregate() {
+fn remote_data_centre_is_known_by_its_summary() {
     let mut fleet = Fleet::new(1, 1);
     let data_centres = [("north", 8), ("south", 6)];
     let mut hosts = Vec::new();
@@ -296,16 +296,16 @@
         hosts.extend((0..n).map(|_| fleet.spawn_host_in(data_centre, "direct_hosts = 12")));
     }
     let n_hosts = hosts.len() as f64;
-    // A host counted both by its own digest and by an aggregate would make the number too high.
+    // A host counted both by its own digest and in a summary would make the number too high.
     for host in &hosts {
-        wait_until("the host knows all others by aggregates", || {
+        wait_until("the host knows all others by summaries", || {
             2.0 <= host.metric("portfield_sums") && host.metric("portfield_hosts") == n_hosts
         });
     }
     let leaving = hosts.pop().expect("there is a host");
     drop(leaving);
     for host in &hosts {
-        wait_until("the stopped host is removed from the aggregate", || {
+        wait_until("the stopped host is removed from the summary", || {
             host.metric("portfield_hosts") == n_hosts - 1.0
         });
     }
@@ -401,7 +401,7 @@
     wait_until("the host reaches the store again", || {
         !isolated.log_entries("store available again").is_empty()
     });
-    // With its peer paused, the host gets the next change from the store.
+    // With its peer suspended, the host gets the next change from the store.
     first.signal("-STOP");
     fleet.store.remove("servers", "plain-0");
     let is_gone =
