--- a/crates/portfieldctl/src/quarantine.rs
+++ b/crates/portfieldctl/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The `quarantine` command: requests refused because upstreams ended while running them.
+//! The `quarantine` command: requests refused because upstreams crashed under them.
 
 use std::{fmt::Write, net::SocketAddr};
 
@@ -17,7 +17,8 @@
     left_s: u64,
 }
 
-/// Lists the requests that a host refuses, each with the upstreams that it ended and the time left.
+/// Lists the requests that a host refuses, each with the number of upstreams that crashed under it
+/// and the time left.
 ///
 /// # Errors
 ///
