--- a/crates/portfield-host/src/quarantine_store.rs
+++ b/crates/portfield-host/src/quarantine_store.rs
@@ -18,7 +18,7 @@
 /// Pause after a failed call; doubles up to [`MAX_PAUSE`].
 const INITIAL_PAUSE: Duration = Duration::from_millis(600);
 /// Longest such pause: the stored entries matter only after a loss of all hosts, and a store that
-/// is down must not be flooded with calls.
+/// is down must not be called by every host all the time.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 /// Interval for reading the table while a data centre is unreachable: a request quarantined there
 /// must be known here within three seconds.
