--- a/crates/portfield/src/schedule/counters.rs
+++ b/crates/portfield/src/schedule/counters.rs
@@ -102,8 +102,9 @@
     /// Starts lifting workspaces that become active; called once the other owners' counters are
     /// known.
     ///
-    /// **NOTE:** A lift is never taken back. If a new owner lifted a workspace before it knew its past
-    /// service, that service would count twice: in the lift and again once it is reported.
+    /// **NOTE:** A lift is never taken back. If a new owner lifted a workspace before it knew the
+    /// cost served to it so far, that cost would count twice: in the lift and again once it is
+    /// reported.
     pub fn enable_lifts(&mut self) {
         self.lifts_enabled = true;
     }
--- a/crates/portfield/src/schedule/peer.rs
+++ b/crates/portfield/src/schedule/peer.rs
@@ -28,7 +28,7 @@
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 /// Overhead of a call to a peer, in bytes.
 const CALL_OVERHEAD: usize = 120;
-/// Shortest time between two frames to a peer, also if they carry loans or new demand.
+/// Shortest time between two frames to a peer, even if they carry loans or new demand.
 const MIN_FRAME_GAP: Duration = Duration::from_millis(2);
 
 /// State of the exchange with one peer.
@@ -170,7 +170,8 @@
     pub fn handle_frame(&mut self, now: Duration, frame: &wire::PeerShard) {
         let Some(from) = frame.from.as_ref().map(ShardKey::from) else { return };
         if from == self.shard {
-            // Another host also considers itself the owner; the service it counted is valid.
+            // Another host also considers itself the owner; the costs that it counted as served are
+            // valid all the same.
             self.merge_usage(from, frame);
             return;
         }
--- a/crates/portfield/src/schedule/scheduler.rs
+++ b/crates/portfield/src/schedule/scheduler.rs
@@ -244,8 +244,8 @@
         }
     }
 
-    /// Adds a router whose session opened. If it already had one, its tickets and requests are removed
-    /// first, as it registers them again.
+    /// Adds a router whose session opened. If it already had one, its tickets and requests are
+    /// removed first, as it registers them again.
     fn add_router(&mut self, now: Duration, host: HostId) {
         if !self.routers.insert(host) {
             self.owners.values_mut().for_each(|it| it.remove_router(now, host));
