--- a/crates/portfield/src/member/membership.rs
+++ b/crates/portfield/src/member/membership.rs
@@ -11,7 +11,8 @@
 const TRANSMIT_FACTOR: u32 = 3;
 /// Largest number of updates passed on in one message.
 const MAX_UPDATES: usize = 6;
-/// Time for which a dead or leaving member is kept once it is no longer in the host list.
+/// Time for which a member that is no longer in the host list is kept after it was declared dead or
+/// began to leave.
 const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
 /// State of a member.
@@ -97,7 +98,8 @@
         self.local_host
     }
 
-    /// Returns a number that rises whenever a member is added or removed, or changes its state or address.
+    /// Returns a number that rises whenever a member is added or removed, or changes its state or
+    /// address.
     pub fn version(&self) -> u64 {
         self.version
     }
