--- a/crates/portfield-net/src/clock.rs
+++ b/crates/portfield-net/src/clock.rs
@@ -1,5 +1,8 @@
 //! Clock readings, waits and timeouts of all programs.
 //!
+//! No other module reads a clock, so that all agree on time suspended. Exceptions are the measuring tools, the stand-in
+//! relay and tests.
+//!
 //! A machine may be suspended for seconds. The three clocks treat this time differently:
 //!
 //! - `CLOCK_BOOTTIME` includes it. [`now`] reads this clock, so all ages, deadlines and time windows do too.
