--- a/crates/portfield-router/src/app.rs
+++ b/crates/portfield-router/src/app.rs
@@ -47,7 +47,7 @@
     Rejected(RejectReason, Duration),
 }
 
-/// One event in the life of a request, for operators.
+/// One event in the processing of a request, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Record {
     /// Id of the request.
--- a/crates/portfield-router/src/main.rs
+++ b/crates/portfield-router/src/main.rs
@@ -43,13 +43,13 @@
     rt.spawn(app.clone().run_timers());
     rt.spawn(app.clone().report_metrics());
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let front = rt.spawn_cancellable(server::serve(app.clone(), listener, stopped));
+    let server_task = rt.spawn_cancellable(server::serve(app.clone(), listener, stopped));
     daemon::shutdown_signal().await?;
     log::info!("draining");
     app.drain();
     clock::sleep(drain).await;
     drop(stop);
-    front.await;
+    server_task.await;
     app.flush().await;
     log::info!("stopped");
     Ok(())
--- a/crates/portfield-router/src/resume.rs
+++ b/crates/portfield-router/src/resume.rs
@@ -1,4 +1,4 @@
-//! Resumes a stream for a caller that sends its resume token, also if another router served it.
+//! Resumes a stream for a caller that sends its resume token, even if another router served it.
 
 use std::sync::Arc;
 
--- a/crates/portfield-router/src/server.rs
+++ b/crates/portfield-router/src/server.rs
@@ -1,7 +1,8 @@
 //! HTTP/1.1 server for callers, built on hyper.
 //!
-//! **NOTE:** The project's style guide prescribes `async-h1`; docs/design/http.md says which
-//! requests that accepts although they break a guarantee, and why hyper is used here.
+//! **NOTE:** The project's style guide prescribes `async-h1`, but that accepts requests that break a
+//! guarantee, such as truncated bodies. docs/design/http.md lists them and says why hyper is used
+//! instead.
 
 use std::{
     convert::Infallible,
@@ -66,7 +67,7 @@
     let _ = stream.set_nodelay(true);
     let has_suppressed = Arc::new(AtomicBool::new(false));
     let head_buffer = HeadBuffer::default();
-    let guarded = CallerStream {
+    let caller_stream = CallerStream {
         stream: stream.clone(),
         has_suppressed: has_suppressed.clone(),
         head_buffer: head_buffer.clone(),
@@ -80,7 +81,7 @@
         .header_read_timeout(app.settings.head_timeout)
         .max_headers(MAX_HEADERS)
         .max_buf_size(MAX_HEAD_BYTES)
-        .serve_connection(FuturesIo::new(guarded), service);
+        .serve_connection(FuturesIo::new(caller_stream), service);
     let mut connection = std::pin::pin!(connection);
     let stopped = async {
         let _ = stop.recv().await;
--- a/crates/portfield-router/src/upstream.rs
+++ b/crates/portfield-router/src/upstream.rs
@@ -59,7 +59,7 @@
         Self::find(fleet, id).filter(|_| fleet.upstream(id).is_some_and(|it| !it.leaving))
     }
 
-    /// Finds an upstream, also if it is leaving, for requests that already run there.
+    /// Finds an upstream, even if it is leaving, for requests that already run there.
     pub(crate) fn find(fleet: &Fleet, id: UpstreamId) -> Option<Self> {
         let it = fleet.upstream(id)?;
         let data_centre = fleet.data_centre_name(it.data_centre).to_owned();
