--- a/crates/portfield-replay/src/case.rs
+++ b/crates/portfield-replay/src/case.rs
@@ -148,7 +148,8 @@
     Engine,
     /// An engine is marked as leaving in the configuration, and stays so.
     Leave,
-    /// The scheduler of a host is paused, and then handles the events that arrived meanwhile.
+    /// The scheduler of a host is suspended, and on resuming handles the events that arrived
+    /// meanwhile.
     Pause,
 }
 
--- a/crates/portfield-replay/src/sim/faults.rs
+++ b/crates/portfield-replay/src/sim/faults.rs
@@ -62,10 +62,10 @@
             (FaultKind::Leave, FaultPhase::Start) => self.mark_leaving(target),
             (FaultKind::Leave, FaultPhase::End) => (),
             (FaultKind::Pause, FaultPhase::Start) => {
-                self.hosts[target].paused_events = Some(Vec::new());
+                self.hosts[target].suspended_events = Some(Vec::new());
             }
             (FaultKind::Pause, FaultPhase::End) => {
-                let deferred = self.hosts[target].paused_events.take().unwrap_or_default();
+                let deferred = self.hosts[target].suspended_events.take().unwrap_or_default();
                 deferred.into_iter().for_each(|it| self.handle(it));
             }
         }
--- a/crates/portfield-replay/src/sim/mod.rs
+++ b/crates/portfield-replay/src/sim/mod.rs
@@ -107,8 +107,8 @@
     scheduler_generation: u64,
     /// Number of starts of the router.
     router_generation: u64,
-    /// Events held back while the scheduler is paused; `None` if it isn't.
-    paused_events: Option<Vec<Event>>,
+    /// Events held back while the scheduler is suspended; `None` if it isn't.
+    suspended_events: Option<Vec<Event>>,
     /// The host has no power: connections to it hang instead of being refused.
     is_powered_off: bool,
     /// Request of each open ticket.
@@ -206,7 +206,7 @@
                     router: None,
                     scheduler_generation: 0,
                     router_generation: 0,
-                    paused_events: None,
+                    suspended_events: None,
                     is_powered_off: false,
                     tickets: HashMap::new(),
                     scheduler_tick: Duration::MAX,
@@ -390,13 +390,13 @@
 
     /// Delivers an event to a host's scheduler and carries out the resulting actions.
     ///
-    /// The event is dropped if the scheduler has restarted, and held back while it is paused.
+    /// The event is dropped if the scheduler has restarted, and held back while it is suspended.
     fn deliver_to_scheduler(&mut self, idx: usize, generation: u64, event: schedule::Event) {
         let host = &mut self.hosts[idx];
         if host.scheduler_generation != generation {
             return;
         }
-        if let Some(deferred) = &mut host.paused_events {
+        if let Some(deferred) = &mut host.suspended_events {
             deferred.push(Event::SchedulerInput(idx, generation, event));
             return;
         }
--- a/crates/portfield-replay/src/sim/network.rs
+++ b/crates/portfield-replay/src/sim/network.rs
@@ -54,7 +54,7 @@
     fn reach_scheduler(&self, from: usize, to: usize) -> (Option<u64>, Duration) {
         let (a, b) = (self.hosts[from].data_centre, self.hosts[to].data_centre);
         let host = &self.hosts[to];
-        let answers = host.scheduler.is_some() && host.paused_events.is_none();
+        let answers = host.scheduler.is_some() && host.suspended_events.is_none();
         let open = !self.is_cut(a, b) && !self.is_cut(b, a);
         ((answers && open).then_some(host.scheduler_generation), self.link_delay(a, b))
     }
