--- a/crates/portfield-standins/src/upstream.rs
+++ b/crates/portfield-standins/src/upstream.rs
@@ -20,7 +20,7 @@
 
 /// Time without a reader after which a generation is cancelled.
 const ORPHAN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval at which the reported load is updated.
+/// Interval at which the reported load is updated, so that it lags by up to this much.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Increase of the token interval for each running request, as a fraction of the interval.
 const BATCH_SLOWDOWN: f64 = 0.02;
@@ -85,7 +85,7 @@
     echo: String,
     is_cancelled: bool,
     n_readers: u32,
-    /// Time at which the last reader left, or of the start, by the monotonic clock.
+    /// Time at which the last reader left, at first the time of the start, by [`clock::now`].
     last_read: Duration,
 }
 
--- a/crates/portfield-standins/tests/outcomes.rs
+++ b/crates/portfield-standins/tests/outcomes.rs
@@ -38,7 +38,7 @@
             assert!(res.is_complete && res.json() == json!({ "echo": fault }), "{res:?}");
             assert_eq!(n_runs, 1, "{fault}");
         }
-        // The router sends nothing to an upstream for a moment after a failure.
+        // After a failure, the shard's owner grants no slot of the upstream for at least 500 ms.
         thread::sleep(Duration::from_millis(600));
     }
 }
--- a/crates/portfield-standins/tests/shutdown.rs
+++ b/crates/portfield-standins/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown, crash and pause of routers and schedulers, and leaving upstreams.
+//! Shutdown, crash and suspension of routers and schedulers, and leaving upstreams.
 
 mod fleet;
 
@@ -79,7 +79,7 @@
     assert!(get(fleet.engines[0].address, "/runs").json()["most_running"].as_u64() <= Some(2));
 }
 
-/// A shard's owner is paused until another scheduler takes the shard over, and then resumes.
+/// A shard's owner is suspended until another scheduler takes the shard over, and then resumes.
 #[test]
 fn resumed_shard_owner_does_not_exceed_the_slots() {
     let fleet = Fleet::start(FleetOptions { slots: 2, ..FleetOptions::default() });
@@ -113,7 +113,7 @@
     let before = n_runs(0);
     spawn_generations(&fleet, 0, 6, 5).into_iter().for_each(|it| it.join().unwrap());
     assert_eq!((n_runs(0), n_runs(1)), (before, 6));
-    // The second announces itself that it leaves, so no engine is left.
+    // The second reports in its health response that it is leaving, so no engine is left.
     update_settings(&fleet.engines[1], &json!({ "leaving": true }));
     wait_until("the router knows that the engine leaves", || {
         let wait = "x-portfield-wait-ms: 300\r\n";
--- a/crates/portfield-standins/tests/streams.rs
+++ b/crates/portfield-standins/tests/streams.rs
@@ -38,7 +38,8 @@
     wait_until("the generation runs", || runs()["running"] == 1);
     drop(stream);
     wait_until("the generation is cancelled", || runs()["running"] == 0);
-    // The engine itself cancels a stream after 5 s without a reader, so this must be earlier.
+    // The engine itself cancels a stream after 5 s without a reader. With fewer than 300 tokens,
+    // at 10 ms each, it was the router that cancelled it.
     assert_eq!(runs()["cancelled"], 1);
     assert!(runs()["tokens"].as_u64().unwrap() < 300);
     let status = || get(fleet.hosts[0].router.addresses[1].1, "/status").json();
