--- a/crates/portfield-load/src/bin/portfield-bench.rs
+++ b/crates/portfield-load/src/bin/portfield-bench.rs
@@ -18,7 +18,7 @@
 const N_THREADS: usize = 2;
 /// Streams opened concurrently.
 const OPEN_BATCH: usize = 500;
-/// Time-out for the next event of a stream.
+/// Timeout for the next event of a stream.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Measures one router against direct calls to the upstreams behind it.
