--- a/crates/portfield-burn/src/main.rs
+++ b/crates/portfield-burn/src/main.rs
@@ -10,7 +10,7 @@
 
 use crate::report::{Report, RouterReport};
 
-/// Time-out of a request to the platform or a router.
+/// Timeout of a request to the platform or a router.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads every router and reports burn rates over several windows.
